--- a/bench/audit_bench.cpp
+++ b/bench/audit_bench.cpp
@@ -58,11 +58,13 @@
         trails,
         [&](std::size_t, const audit::Entry& e) {
           benchmark::DoNotOptimize(e.at);
-          if (++records % 100'000 == 0) most = std::max(most, residentBytes() - before);
+          if (++records % 100'000 == 0)
+            most = std::max(most, residentBytes() - before);
         },
         [&](std::size_t, const audit::Gap&) { ++gaps; });
   }
-  if (gaps > 0) state.SkipWithError("there are gaps");
+  if (gaps > 0)
+    state.SkipWithError("there are gaps");
   state.SetItemsProcessed(records);
   state.SetBytesProcessed(state.iterations() * state.range(0) * state.range(1));
   state.counters["resident_mb"] = most / 1e6;
@@ -86,7 +88,8 @@
       m.id = "m" + std::to_string(s) + "-" + std::to_string(n);
       m.message_class = "payment";
       m.body = std::string(200, 'b');
-      if (!j.reserve(m)) return state.SkipWithError("the journal is full");
+      if (!j.reserve(m))
+        return state.SkipWithError("the journal is full");
       j.accepted(m);
       j.attempted(m.id, {"e0", 1'700'000'000'000'000, false, version});
     }
@@ -100,7 +103,8 @@
     std::streambuf* const out = std::cout.rdbuf(said.rdbuf());
     const int status = audit::audit(q);
     std::cout.rdbuf(out);
-    if (status != 0 || said.str().find("plan") == std::string::npos) state.SkipWithError("not found");
+    if (status != 0 || said.str().find("plan") == std::string::npos)
+      state.SkipWithError("not found");
   }
   state.counters["journals_mb"] = static_cast<double>(journals) / 1e6;
   state.counters["resident_mb"] = (residentBytes() - before) / 1e6;
--- a/bench/decide_bench.cpp
+++ b/bench/decide_bench.cpp
@@ -29,7 +29,8 @@
     }
     turn({std::move(list)});
     std::vector<Event> arrivals;
-    for (std::int64_t i = 0; i < held + kSlots; ++i) arrivals.push_back(arrival());
+    for (std::int64_t i = 0; i < held + kSlots; ++i)
+      arrivals.push_back(arrival());
     turn(arrivals);
   }
   // Prepares a turn, which is not timed; decide() is.
@@ -52,7 +53,8 @@
   std::vector<Action> decide(const std::vector<Event>& events) { return sender_.decide(now_, events); }
   void take(const std::vector<Action>& actions) {
     for (const Action& a : actions)
-      if (const auto* s = std::get_if<Send>(&a)) out_.emplace_back(s->id, attempts_[s->id]++);
+      if (const auto* s = std::get_if<Send>(&a))
+        out_.emplace_back(s->id, attempts_[s->id]++);
   }
 
  private:
@@ -117,7 +119,8 @@
  public:
   Reporter() : ConsoleReporter(OO_None) {}  // no colours: the last line is JSON
   void ReportRuns(const std::vector<Run>& runs) override {
-    for (const Run& r : runs) figures[r.benchmark_name()] = r.GetAdjustedRealTime();
+    for (const Run& r : runs)
+      figures[r.benchmark_name()] = r.GetAdjustedRealTime();
     ConsoleReporter::ReportRuns(runs);
   }
   nlohmann::json figures = nlohmann::json::object();
@@ -127,7 +130,8 @@
 
 int main(int argc, char** argv) {
   benchmark::Initialize(&argc, argv);
-  if (benchmark::ReportUnrecognizedArguments(argc, argv)) return 2;
+  if (benchmark::ReportUnrecognizedArguments(argc, argv))
+    return 2;
   Reporter reporter;
   benchmark::RunSpecifiedBenchmarks(&reporter);
   std::cout << nlohmann::json{{"us", reporter.figures}}.dump() << '\n';
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -20,7 +20,8 @@
     plan_ = shown(p).dump();
   }
   void read(const std::string& key, std::int64_t after, Micros, Done done) override {
-    if (after > 0) return;  // held back for good
+    if (after > 0)
+      return;  // held back for good
     fleet::Answered a;
     a.entries.push_back({key, plan_, "", 1});
     a.index = 1;
@@ -63,7 +64,8 @@
   own.program = "0.4.0";
   own.settings = own.daemon = "0123456789abcdef";
   part.start(own, "start", {});
-  while (!part.holds() && io.run_one() > 0) continue;
+  while (!part.holds() && io.run_one() > 0)
+    continue;
   for (auto _ : state) {
     if (!part.holds() || !part.holds())
       state.SkipWithError("it may not act");  // in the turn, at the first byte
--- a/bench/knowledge_bench.cpp
+++ b/bench/knowledge_bench.cpp
@@ -15,7 +15,8 @@
 
 Lesson lessonOf(std::int64_t d, bool endpoint) {
   Lesson l;
-  if (endpoint) l.endpoint = "partner-" + std::to_string(d) + "@10.0.0.1:9001";
+  if (endpoint)
+    l.endpoint = "partner-" + std::to_string(d) + "@10.0.0.1:9001";
   l.destination = d;
   l.limit = 42.5;
   l.told = true;
@@ -44,7 +45,8 @@
 void BM_KnowledgeEncode(benchmark::State& state) {
   const knowledge::Book book = bookOf(state.range(0));
   std::size_t left_out = 0, bytes = 0;
-  for (auto _ : state) bytes = knowledge::encode(book, UINT64_MAX, left_out).size();
+  for (auto _ : state)
+    bytes = knowledge::encode(book, UINT64_MAX, left_out).size();
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 BENCHMARK(BM_KnowledgeEncode)->Arg(20)->Arg(2000)->Arg(20000)->Unit(benchmark::kMicrosecond);
@@ -54,7 +56,8 @@
   const std::string bytes = knowledge::encode(bookOf(state.range(0)), UINT64_MAX, left_out);
   const std::string path = "/tmp/grademux-knowledge-bench";
   for (auto _ : state)
-    if (!replaceFile(path, bytes).empty()) state.SkipWithError("can't be written");
+    if (!replaceFile(path, bytes).empty())
+      state.SkipWithError("can't be written");
   std::remove(path.c_str());
 }
 BENCHMARK(BM_KnowledgeWrite)->Arg(20)->Arg(2000)->Arg(20000)->Unit(benchmark::kMicrosecond);
@@ -99,8 +102,10 @@
     const auto actions = sender.decide(++now, {Survey{after, 256}});
     ++turns;
     for (const Action& a : actions) {
-      if (std::holds_alternative<Lesson>(a)) ++lessons;
-      if (const auto* end = std::get_if<Surveyed>(&a)) after = end->all ? INT64_MIN : end->after;
+      if (std::holds_alternative<Lesson>(a))
+        ++lessons;
+      if (const auto* end = std::get_if<Surveyed>(&a))
+        after = end->all ? INT64_MIN : end->after;
     }
   }
   state.counters["lessons_a_turn"] = static_cast<double>(lessons) / static_cast<double>(turns);
--- a/bench/log_bench.cpp
+++ b/bench/log_bench.cpp
@@ -25,10 +25,18 @@
   log::configure({});
   std::remove(spec.file.c_str());
 }
-void BM_LogLineOffByLevel(benchmark::State& s) { write(s, log::Level::info, 0, false); }
-void BM_LogLineCutByRate(benchmark::State& s) { write(s, log::Level::debug, 1e-6, false); }
-void BM_LogLineText(benchmark::State& s) { write(s, log::Level::debug, 0, false); }
-void BM_LogLineJson(benchmark::State& s) { write(s, log::Level::debug, 0, true); }
+void BM_LogLineOffByLevel(benchmark::State& s) {
+  write(s, log::Level::info, 0, false);
+}
+void BM_LogLineCutByRate(benchmark::State& s) {
+  write(s, log::Level::debug, 1e-6, false);
+}
+void BM_LogLineText(benchmark::State& s) {
+  write(s, log::Level::debug, 0, false);
+}
+void BM_LogLineJson(benchmark::State& s) {
+  write(s, log::Level::debug, 0, true);
+}
 BENCHMARK(BM_LogLineOffByLevel)->Unit(benchmark::kMicrosecond);
 BENCHMARK(BM_LogLineCutByRate)->Unit(benchmark::kMicrosecond);
 BENCHMARK(BM_LogLineText)->Unit(benchmark::kMicrosecond);
--- a/model/clock.h
+++ b/model/clock.h
@@ -31,7 +31,8 @@
       Due d = std::move(due_.back());
       due_.pop_back();
       now_ = d.when;
-      if (++steps_ > most_steps) throw std::runtime_error("the run has more steps than [run] most_steps");
+      if (++steps_ > most_steps)
+        throw std::runtime_error("the run has more steps than [run] most_steps");
       d.then();
     }
     now_ = std::max(now_, end);
--- a/model/experiment.cpp
+++ b/model/experiment.cpp
@@ -45,9 +45,12 @@
     const toml::table file = toml::parse(all.substr(0, all.rfind('\n')));
     if (const auto base = file["base"].value<std::string>())
       all += contents((fs::path(world_path).parent_path() / *base).string());
-  } catch (const toml::parse_error&) {}  // told by who reads it
-  for (const auto& [name, value] : v.set) all += '\n' + name + '=' + value;
-  for (const auto& [name, value] : v.tune) all += '\n' + name + '=' + std::to_string(value);
+  } catch (const toml::parse_error&) {
+  }  // told by who reads it
+  for (const auto& [name, value] : v.set)
+    all += '\n' + name + '=' + value;
+  for (const auto& [name, value] : v.tune)
+    all += '\n' + name + '=' + std::to_string(value);
   std::ostringstream hex;
   hex << std::hex << XXH3_64bits_withSeed(all.data(), all.size(), program);
   return hex.str();
@@ -86,7 +89,8 @@
     } else {
       Table values(*tune->as_table(), "variant.tune", mistakes);
       for (const TunedValue& own : tunedValues())
-        if (values.node(own.name.c_str())) v.tune[own.name] = values.real(own.name.c_str(), 0, -1e9, 1e9);
+        if (values.node(own.name.c_str()))
+          v.tune[own.name] = values.real(own.name.c_str(), 0, -1e9, 1e9);
       values.unknown(" in variant.tune");
     }
     if (t.node("policy") && v.policy != "tuned")
@@ -95,7 +99,8 @@
   }
   t.unknown(" in a variant");
   for (const Variant& other : e.variants)
-    if (other.name == v.name) t.expected("name", "a name of its own is expected");
+    if (other.name == v.name)
+      t.expected("name", "a name of its own is expected");
   e.variants.push_back(std::move(v));
 }
 
@@ -103,10 +108,12 @@
 std::vector<double> factors(Table& t) {
   std::vector<double> all;
   const toml::node* n = t.node("ablate");
-  if (!n) return all;
+  if (!n)
+    return all;
   const toml::array* list = n->as_array();
   for (std::size_t i = 0; list && i < list->size(); ++i)
-    if (const auto f = (*list)[i].value<double>(); f && *f >= 0 && *f <= 1000) all.push_back(*f);
+    if (const auto f = (*list)[i].value<double>(); f && *f >= 0 && *f <= 1000)
+      all.push_back(*f);
   if (!list || all.size() != list->size())
     t.expected("ablate", "a list of factors from 0 to 1000 is expected, as [0, 0.5, 2]");
   return all;
@@ -125,13 +132,17 @@
     const fs::path folder = fs::path(path).parent_path();
     for (const std::string& w : t.texts("worlds")) {
       e.worlds.push_back((folder / w).lexically_normal().string());
-      if (!fs::exists(e.worlds.back())) t.expected("worlds", "there is no file " + e.worlds.back());
+      if (!fs::exists(e.worlds.back()))
+        t.expected("worlds", "there is no file " + e.worlds.back());
     }
-    if (e.worlds.empty()) t.expected("worlds", "a list of files is expected");
+    if (e.worlds.empty())
+      t.expected("worlds", "a list of files is expected");
     e.seeds = static_cast<int>(t.whole("seeds", e.seeds, 1, 10'000));
     e.first_seed = static_cast<std::uint64_t>(t.whole("first_seed", 1, 0, INT64_MAX / 2));
-    for (const toml::table* v : t.tables("variant")) readVariant(*v, e, r.mistakes);
-    if (e.variants.empty()) t.mistake("a [[variant]] is expected");
+    for (const toml::table* v : t.tables("variant"))
+      readVariant(*v, e, r.mistakes);
+    if (e.variants.empty())
+      t.mistake("a [[variant]] is expected");
     for (const double f : factors(t)) {
       e.ablation = true;
       for (const TunedValue& own : tunedValues()) {
@@ -156,11 +167,14 @@
 }
 
 Reading varied(const std::string& world_path, const Variant& v) {
-  if (v.set.empty()) return readWorld(world_path);
+  if (v.set.empty())
+    return readWorld(world_path);
   toml::table file;
   try {
     file = toml::parse_file(world_path);
-  } catch (const toml::parse_error&) { return readWorld(world_path); }  // which tells of it
+  } catch (const toml::parse_error&) {
+    return readWorld(world_path);
+  }  // which tells of it
   Reading r;
   for (const auto& [name, value] : v.set) {
     const auto dot = name.find('.');
@@ -195,7 +209,8 @@
     std::ifstream in(kept);
     for (std::string line; std::getline(in, line);) {
       json r = json::parse(line, nullptr, false);  // a last line that was cut short is played again
-      if (r.is_object() && r.contains("key")) have[r["key"].get<std::string>()] = r;
+      if (r.is_object() && r.contains("key"))
+        have[r["key"].get<std::string>()] = r;
     }
   }
   std::deque<World> worlds;
@@ -204,7 +219,8 @@
   for (const std::string& path : e.worlds)
     for (const Variant& v : e.variants) {
       Reading r = varied(path, v);
-      if (!r.mistakes.empty()) throw std::runtime_error(r.mistakes.front().in(path));
+      if (!r.mistakes.empty())
+        throw std::runtime_error(r.mistakes.front().in(path));
       worlds.push_back(std::move(r.world));
       const std::string stamp = stampOf(path, v);
       const auto tuning = v.tune.empty() ? nullptr : std::make_shared<const Tuning>(v.tune);
@@ -231,31 +247,39 @@
         const std::lock_guard<std::mutex> lock(mutex);
         out << figures.dump() << '\n' << std::flush;
         have[r.key] = std::move(figures);
-        if (tell) tell(++done, runs.size());
+        if (tell)
+          tell(++done, runs.size());
       } catch (const std::exception& x) {
         const std::lock_guard<std::mutex> lock(mutex);
-        if (!failed) failed = std::make_exception_ptr(std::runtime_error(r.key + ": " + x.what()));
+        if (!failed)
+          failed = std::make_exception_ptr(std::runtime_error(r.key + ": " + x.what()));
         next = runs.size();
       }
     }
   };
   std::vector<std::thread> threads;
-  for (int j = 0; j < std::max(1, jobs); ++j) threads.emplace_back(work);
-  for (std::thread& t : threads) t.join();
-  if (failed) std::rethrow_exception(failed);
+  for (int j = 0; j < std::max(1, jobs); ++j)
+    threads.emplace_back(work);
+  for (std::thread& t : threads)
+    t.join();
+  if (failed)
+    std::rethrow_exception(failed);
   std::vector<json> all;
-  for (const std::string& k : keys) all.push_back(have.at(k));
+  for (const std::string& k : keys)
+    all.push_back(have.at(k));
   out.close();  // what is not of this experiment as it now is goes
   {
     std::ofstream now(kept + ".new");
-    for (const json& r : all) now << r.dump() << '\n';
+    for (const json& r : all)
+      now << r.dump() << '\n';
   }
   fs::rename(kept + ".new", kept);
   return all;
 }
 
 double median(std::vector<double> v) {
-  if (v.empty()) return 0;
+  if (v.empty())
+    return 0;
   std::sort(v.begin(), v.end());
   const std::size_t n = v.size();
   return n % 2 ? v[n / 2] : (v[n / 2 - 1] + v[n / 2]) / 2;
@@ -264,14 +288,17 @@
 Difference compare(const std::vector<double>& a, const std::vector<double>& b, std::uint64_t seed) {
   Difference d;
   std::vector<double> diffs;
-  for (std::size_t i = 0; i < std::min(a.size(), b.size()); ++i) diffs.push_back(a[i] - b[i]);
+  for (std::size_t i = 0; i < std::min(a.size(), b.size()); ++i)
+    diffs.push_back(a[i] - b[i]);
   d.pairs = diffs.size();
-  if (diffs.empty()) return d;
+  if (diffs.empty())
+    return d;
   d.median = median(diffs);
   Stream random(seed, "bootstrap");
   std::vector<double> medians, sample(diffs.size());
   for (int i = 0; i < kResamples; ++i) {
-    for (double& x : sample) x = diffs[random.below(diffs.size())];
+    for (double& x : sample)
+      x = diffs[random.below(diffs.size())];
     medians.push_back(median(sample));
   }
   std::sort(medians.begin(), medians.end());
@@ -282,10 +309,12 @@
 
 json summary(const Experiment& e, const std::vector<json>& runs) {
   std::map<std::string, std::map<std::string, std::vector<const json*>>> by;  // world, variant
-  for (const json& r : runs) by[r["world"]][r["variant"]].push_back(&r);
+  for (const json& r : runs)
+    by[r["world"]][r["variant"]].push_back(&r);
   const auto worths = [](const std::vector<const json*>& all) {
     std::vector<double> w;
-    for (const json* r : all) w.push_back((*r)["worth"]);
+    for (const json* r : all)
+      w.push_back((*r)["worth"]);
     return w;
   };
   json out = {{"experiment", e.name}, {"runs", runs.size()}, {"worlds", json::object()}};
@@ -307,7 +336,8 @@
                                                          static_cast<double>(all.size());
       }
       const double m = median(w);
-      if (v.name == e.baseline) broken += broken_here;
+      if (v.name == e.baseline)
+        broken += broken_here;
       json row = {{"policy", v.policy},
                   {"worth", m},
                   {"least", *std::min_element(w.begin(), w.end())},
@@ -320,9 +350,12 @@
             {"median", d.median}, {"interval", {d.least, d.most}}, {"pairs", d.pairs}, {"seen", d.seen()}};
       }
       table[v.name] = std::move(row);
-      if (v.policy == "oracle") oracle = std::max(oracle, m);
-      else if (v.policy != "module" && broken_here == 0) best = std::max(best, m);
-      else if (v.name == e.baseline) module = m;
+      if (v.policy == "oracle")
+        oracle = std::max(oracle, m);
+      else if (v.policy != "module" && broken_here == 0)
+        best = std::max(best, m);
+      else if (v.name == e.baseline)
+        module = m;
     }
     json entry = {{"variants", std::move(table)}};
     if (best >= 0 && oracle > best + kGap && module >= 0)
--- a/model/fleet.cpp
+++ b/model/fleet.cpp
@@ -12,7 +12,9 @@
 constexpr double kSecond = 1e6;
 constexpr Micros kFlush = 500'000;  // a clump comes within this
 
-double drawn(Stream& s, const Range& r) { return s.between(r.least, r.most); }
+double drawn(Stream& s, const Range& r) {
+  return s.between(r.least, r.most);
+}
 
 // The first place whose cumulated share lies above a drawn one.
 std::size_t pick(Stream& s, const std::vector<double>& cumulated) {
@@ -24,7 +26,9 @@
   std::partial_sum(shares.begin(), shares.end(), shares.begin());
   return shares;
 }
-double rounded(double x) { return std::round(x * 1e6) / 1e6; }
+double rounded(double x) {
+  return std::round(x * 1e6) / 1e6;
+}
 
 }  // namespace
 
@@ -40,9 +44,11 @@
       seed_(c.seed) {
   clock.run(kBegin, 1);
   drawPartners();
-  for (int i = 0; i < world.senders; ++i) nodes_.push_back(std::make_unique<Node>(*this, i, c.seed));
+  for (int i = 0; i < world.senders; ++i)
+    nodes_.push_back(std::make_unique<Node>(*this, i, c.seed));
   std::vector<Endpoint> all;
-  for (std::size_t e = 0; e < endpoints.size(); ++e) all.push_back(told(e));
+  for (std::size_t e = 0; e < endpoints.size(); ++e)
+    all.push_back(told(e));
   for (auto& n : nodes_) {
     n->hear(all);
     n->start();
@@ -55,10 +61,12 @@
   Stream s(seed_, "partners");
   const double full_load = world.rate / drawn(s, world.load), exponent = drawn(s, world.zipf);
   std::vector<double> shares;
-  for (int i = 0; i < world.partners; ++i) shares.push_back(std::pow(i + 1.0, -exponent));
+  for (int i = 0; i < world.partners; ++i)
+    shares.push_back(std::pow(i + 1.0, -exponent));
   const double all = std::accumulate(shares.begin(), shares.end(), 0.0);
   double kinds = 0, service = 0, classes = 0;
-  for (const PartnerKind& k : world.kinds) kinds += k.share;
+  for (const PartnerKind& k : world.kinds)
+    kinds += k.share;
   for (const ClassSpec& k : world.classes) {
     service += k.share * (k.service.least + k.service.most) / 2 / kSecond;
     classes += k.share;
@@ -85,7 +93,8 @@
     t.tells_wait = drawn(s, kind->tells_wait);
     t.depth = static_cast<Micros>(drawn(s, kind->depth));
     int n = 1;
-    while (n < 4 && s.chance((world.endpoints - 1) / 2)) ++n;
+    while (n < 4 && s.chance((world.endpoints - 1) / 2))
+      ++n;
     if (kind->conns > 0)
       t.connections =
           std::max(kind->least_conns, static_cast<int>(kind->conns * t.capacity * service * t.pace / n) + 1);
@@ -105,7 +114,8 @@
   announced_.resize(partners.size());
   // All senders have the same settings, by the busiest one's part.
   std::vector<double> parts;
-  for (int i = 0; i < world.senders; ++i) parts.push_back(std::pow(i + 1.0, -world.sender_skew));
+  for (int i = 0; i < world.senders; ++i)
+    parts.push_back(std::pow(i + 1.0, -world.sender_skew));
   const double busiest = parts[0] / std::accumulate(parts.begin(), parts.end(), 0.0);
   client_share_ = cumulated(parts);
   settings.slots = std::max(world.least_slots,
@@ -125,19 +135,22 @@
     gap_ = kSecond / (world.rate * (1 - share));
     clock.in(static_cast<Micros>(clients_.exponential(gap_)), [this] { nextMessage(); });
   }
-  if (share <= 0) return;
+  if (share <= 0)
+    return;
   clump_gap_ = kSecond * std::max(1.0, size) / (world.rate * share);
   clock.in(static_cast<Micros>(clients_.exponential(clump_gap_)), [this] { nextClump(); });
 }
 
 void Fleet::nextMessage() {
-  if (now() >= kBegin + world.length) return;
+  if (now() >= kBegin + world.length)
+    return;
   arrive(pick(clients_, to_), now());
   clock.in(static_cast<Micros>(clients_.exponential(gap_)), [this] { nextMessage(); });
 }
 
 void Fleet::nextClump() {
-  if (now() >= kBegin + world.length) return;
+  if (now() >= kBegin + world.length)
+    return;
   const std::size_t p = pick(clients_, to_);
   const long n = std::max(1L, std::lround(partners[p]->traits().limit * clump_));
   for (long i = 0; i < n; ++i) {
@@ -168,14 +181,16 @@
 void Fleet::again(std::size_t submission, Micros in) {
   Submission& s = submissions[submission];
   ++s.tries;
-  if (now() + in >= s.give_up_at) return over(submission, false, s.how);
+  if (now() + in >= s.give_up_at)
+    return over(submission, false, s.how);
   clock.in(in, [this, submission] { handIn(submission); });
 }
 
 void Fleet::refused(std::size_t submission, Micros pause, Micros until) {
   Submission& s = submissions[submission];
   s.give_up_at = std::min(s.give_up_at, until);
-  if (s.tries >= world.client_tries) return over(submission, false, s.how);
+  if (s.tries >= world.client_tries)
+    return over(submission, false, s.how);
   const bool heeds = pause > 0 && network_.chance(world.heed);
   again(submission, heeds ? pause : static_cast<Micros>(drawn(network_, world.again)));
 }
@@ -187,16 +202,20 @@
 
 void Fleet::over(std::size_t submission, bool delivered, Cause how) {
   Submission& s = submissions[submission];
-  if (s.over) return;
+  if (s.over)
+    return;
   s.over = true;
   s.ended = now();
-  if (s.since < now()) s.parts[static_cast<std::size_t>(Cause::client)] += now() - s.since;
+  if (s.since < now())
+    s.parts[static_cast<std::size_t>(Cause::client)] += now() - s.since;
   const MessageClass& c = settings.classes[s.cls];
   const double left = delivered ? worthAt(c, settings.late, now() - s.born) : 0;
   ledger.close(c, s.born - kBegin, s.parts, left, delivered ? Cause::count : how);
 }
 
-Micros Fleet::wayTo() { return static_cast<Micros>(drawn(network_, world.way)); }
+Micros Fleet::wayTo() {
+  return static_cast<Micros>(drawn(network_, world.way));
+}
 
 Micros Fleet::serviceOf(std::size_t cls) {
   return static_cast<Micros>(drawn(services_, world.classes[cls].service) * common_slow);
@@ -206,7 +225,9 @@
   const auto p = static_cast<std::size_t>(partner);
   return partners[p]->room(at, on_way_[p] + std::max(0, announced_[p]));
 }
-void Fleet::taking(std::int64_t partner, Micros) { ++announced_[static_cast<std::size_t>(partner)]; }
+void Fleet::taking(std::int64_t partner, Micros) {
+  ++announced_[static_cast<std::size_t>(partner)];
+}
 
 // ---- troubles
 
@@ -241,13 +262,17 @@
 std::set<std::size_t> Fleet::struck(const Trouble& t, double part) {
   std::vector<std::size_t> all;
   for (std::size_t i = 0; i < partners.size(); ++i)
-    if (t.partners.empty() || partners[i]->traits().kind->name == t.partners) all.push_back(i);
-  for (std::size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[troubles_.below(i)]);
+    if (t.partners.empty() || partners[i]->traits().kind->name == t.partners)
+      all.push_back(i);
+  for (std::size_t i = all.size(); i > 1; --i)
+    std::swap(all[i - 1], all[troubles_.below(i)]);
   std::set<std::size_t> chosen;
   double sum = 0;
   for (const std::size_t i : all) {
-    if (sum >= part) break;
-    if (sum + traffic_[i] > part + 0.1 && !chosen.empty()) continue;
+    if (sum >= part)
+      break;
+    if (sum + traffic_[i] > part + 0.1 && !chosen.empty())
+      continue;
     chosen.insert(i);
     sum += traffic_[i];
   }
@@ -263,22 +288,28 @@
     return clock.at(until, [this] { common_slow = 1; });
   }
   if (kind == TroubleKind::cut) {
-    for (auto& n : nodes_) n->cutIdle();
+    for (auto& n : nodes_)
+      n->cutIdle();
     return;
   }
   if (kind == TroubleKind::kill || kind == TroubleKind::stop) {
     std::vector<std::size_t> all(nodes_.size());
     std::iota(all.begin(), all.end(), 0);
-    for (std::size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[troubles_.below(i)]);
+    for (std::size_t i = all.size(); i > 1; --i)
+      std::swap(all[i - 1], all[troubles_.below(i)]);
     all.resize(static_cast<std::size_t>(std::ceil(part * static_cast<double>(all.size()))));
     for (const std::size_t i : all) {
       Node* n = nodes_[i].get();
-      if (!n->up()) continue;
+      if (!n->up())
+        continue;
       const bool kills = kind == TroubleKind::kill;
-      if (kills) n->die();
-      else n->stop();
+      if (kills)
+        n->die();
+      else
+        n->stop();
       clock.at(kills ? until : std::max(until, now() + Node::kLinger + 1), [n] {
-        if (!n->up()) n->start();
+        if (!n->up())
+          n->start();
       });
     }
     return;
@@ -305,7 +336,8 @@
       std::vector<Endpoint> left;
       for (const Endpoint& d : drains) {
         ListedEndpoint& e = endpoints[endpoint_of.at(d.id)];
-        if (e.state != EndpointState::draining) continue;
+        if (e.state != EndpointState::draining)
+          continue;
         e.state = EndpointState::gone;
         e.there = false;
         left.push_back(told(endpoint_of.at(d.id)));
@@ -314,7 +346,8 @@
     });
   }
   const auto changed = [this](std::size_t p) {
-    for (auto& n : nodes_) n->partnerChanged(p);
+    for (auto& n : nodes_)
+      n->partnerChanged(p);
   };
   for (const std::size_t p : chosen) {
     partners[p]->begin(kind, size, until);
@@ -331,22 +364,27 @@
 
 json Fleet::play() {
   Micros longest = 0;
-  for (const MessageClass& c : settings.classes) longest = std::max(longest, c.deadline);
+  for (const MessageClass& c : settings.classes)
+    longest = std::max(longest, c.deadline);
   Micros trouble = 0;
-  for (const Trouble& t : world.troubles) trouble = std::max(trouble, static_cast<Micros>(t.length.most));
+  for (const Trouble& t : world.troubles)
+    trouble = std::max(trouble, static_cast<Micros>(t.length.most));
   clock.run(kBegin + world.length + longest + std::max<Micros>(trouble, 10'000'000), world.most_steps);
   checker.finish(now());
   for (std::size_t i = 0; i < submissions.size(); ++i)
-    if (!submissions[i].over) over(i, false, Cause::count);
+    if (!submissions[i].over)
+      over(i, false, Cause::count);
   return figures();
 }
 
 json Fleet::figures() {
   json lost = json::object(), broken = json::object(), shown = json::array();
   for (std::size_t i = 0; i < kCauses; ++i)
-    if (ledger.lost[i] > 0) lost[nameOf(static_cast<Cause>(i))] = rounded(ledger.lost[i]);
+    if (ledger.lost[i] > 0)
+      lost[nameOf(static_cast<Cause>(i))] = rounded(ledger.lost[i]);
   for (std::size_t i = 0; i < kRules; ++i)
-    if (checker.broken[i] > 0) broken[nameOf(static_cast<Rule>(i))] = checker.broken[i];
+    if (checker.broken[i] > 0)
+      broken[nameOf(static_cast<Rule>(i))] = checker.broken[i];
   for (const Checker::Break& b : checker.first)
     shown.push_back(
         {{"rule", nameOf(b.rule)}, {"what", b.what}, {"at_s", static_cast<double>(b.at - kBegin) / 1e6}});
@@ -355,9 +393,11 @@
     over_time.push_back({rounded(ledger.offered_at[s]), rounded(ledger.delivered_at[s])});
   json lost_over_time = json::object();
   for (std::size_t i = 0; i < kCauses; ++i) {
-    if (ledger.lost[i] <= 0) continue;
+    if (ledger.lost[i] <= 0)
+      continue;
     json row = json::array();
-    for (const auto& at : ledger.lost_at) row.push_back(rounded(at[i]));
+    for (const auto& at : ledger.lost_at)
+      row.push_back(rounded(at[i]));
     lost_over_time[nameOf(static_cast<Cause>(i))] = std::move(row);
   }
   const double offered = std::max(1e-9, ledger.offered);
--- a/model/ledger.cpp
+++ b/model/ledger.cpp
@@ -15,8 +15,10 @@
 }
 
 double worthAt(const MessageClass& c, LateRule late, Micros age) {
-  if (age <= c.aim) return c.worth;
-  if (age > c.deadline) return 0;
+  if (age <= c.aim)
+    return c.worth;
+  if (age > c.deadline)
+    return 0;
   const double over = static_cast<double>(age - c.aim);
   if (late == LateRule::halves)
     return c.worth *
@@ -38,10 +40,14 @@
   offered_at[second] += c.worth;
   delivered_at[second] += left;
   const double lost_here = c.worth - left;
-  if (left <= 0) ++undelivered;
-  else if (lost_here > 0) ++late;
-  else ++in_time;
-  if (lost_here <= 0) return;
+  if (left <= 0)
+    ++undelivered;
+  else if (lost_here > 0)
+    ++late;
+  else
+    ++in_time;
+  if (lost_here <= 0)
+    return;
   const std::size_t cause =
       how != Cause::count
           ? static_cast<std::size_t>(how)
@@ -50,6 +56,8 @@
   lost_at[second][cause] += lost_here;
 }
 
-double Ledger::lostInAll() const { return std::accumulate(lost.begin(), lost.end(), 0.0); }
+double Ledger::lostInAll() const {
+  return std::accumulate(lost.begin(), lost.end(), 0.0);
+}
 
 }  // namespace grademux::model
--- a/model/main.cpp
+++ b/model/main.cpp
@@ -19,17 +19,20 @@
 namespace {
 
 bool tellMistakes(const std::vector<Mistake>& mistakes, const std::string& path) {
-  for (const Mistake& m : mistakes) std::cerr << m.in(path) << '\n';
+  for (const Mistake& m : mistakes)
+    std::cerr << m.in(path) << '\n';
   return !mistakes.empty();
 }
 
 int runOne(const std::string& path, const std::string& name, std::uint64_t seed, bool series) {
   const Reading r = readWorld(path);
-  if (tellMistakes(r.mistakes, path)) return 2;
+  if (tellMistakes(r.mistakes, path))
+    return 2;
   const PolicySpec* p = policy(name);
   if (!p) {
     std::cerr << "no such policy: " << name << "; there are:";
-    for (const PolicySpec& k : policies()) std::cerr << "\n  " << k.name << ": " << k.says;
+    for (const PolicySpec& k : policies())
+      std::cerr << "\n  " << k.name << ": " << k.says;
     std::cerr << '\n';
     return 2;
   }
@@ -51,8 +54,10 @@
 
 int experiment(const std::string& path, std::string folder, int jobs) {
   const ExperimentReading r = readExperiment(path);
-  if (tellMistakes(r.mistakes, path)) return 2;
-  if (folder.empty()) folder = "found/" + r.experiment.name;
+  if (tellMistakes(r.mistakes, path))
+    return 2;
+  if (folder.empty())
+    folder = "found/" + r.experiment.name;
   const bool terminal = ::isatty(STDERR_FILENO) != 0;
   const std::vector<json> runs =
       play(r.experiment, folder, jobs, [terminal](std::size_t done, std::size_t all) {
@@ -84,16 +89,20 @@
   std::set<std::string> variants;
   for (std::string line; std::getline(in, line);) {
     const json r = json::parse(line, nullptr, false);
-    if (!r.is_object()) continue;
+    if (!r.is_object())
+      continue;
     variants.insert(r["variant"].get<std::string>());
     auto& p = pairs[r["world"]].try_emplace(r["seed"], -1, -1).first->second;
-    if (r["variant"] == a) p.first = r["worth"];
-    if (r["variant"] == b) p.second = r["worth"];
+    if (r["variant"] == a)
+      p.first = r["worth"];
+    if (r["variant"] == b)
+      p.second = r["worth"];
   }
   for (const std::string& v : {a, b})
     if (!variants.count(v)) {
       std::cerr << "no run of " << v << "; there are:";
-      for (const std::string& k : variants) std::cerr << ' ' << k;
+      for (const std::string& k : variants)
+        std::cerr << ' ' << k;
       std::cerr << '\n';
       return 2;
     }
@@ -143,13 +152,19 @@
   cmp->add_option("B", b, "another")->required();
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) { return app.exit(e) == 0 ? 0 : 2; }
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e) == 0 ? 0 : 2;
+  }
   try {
-    if (*run) return runOne(path, name, seed, series);
-    if (*exp) return experiment(path, folder, jobs);
-    if (*cmp) return compareTwo(folder, a, b);
+    if (*run)
+      return runOne(path, name, seed, series);
+    if (*exp)
+      return experiment(path, folder, jobs);
+    if (*cmp)
+      return compareTwo(folder, a, b);
     bool wrong = false;
-    for (const std::string& p : paths) wrong = tellMistakes(readWorld(p).mistakes, p) || wrong;
+    for (const std::string& p : paths)
+      wrong = tellMistakes(readWorld(p).mistakes, p) || wrong;
     std::cout << json{{"worlds", paths.size()}, {"good", !wrong}}.dump() << '\n';
     return wrong ? 2 : 0;
   } catch (const std::exception& e) {
--- a/model/node.cpp
+++ b/model/node.cpp
@@ -8,7 +8,9 @@
 
 namespace {
 constexpr Micros kSurvey = 10'000'000;  // between two writes of what was learned
-std::size_t at(Cause c) { return static_cast<std::size_t>(c); }
+std::size_t at(Cause c) {
+  return static_cast<std::size_t>(c);
+}
 }  // namespace
 
 Node::Node(Fleet& fleet, int index, std::uint64_t seed)
@@ -23,23 +25,28 @@
   stopping_ = false;
   fleet_.checker.senderBack(index_, now);
   last_turn_ = INT64_MIN / 4;
-  for (const auto& [partner, c] : clocks_) partnerChanged(partner);
+  for (const auto& [partner, c] : clocks_)
+    partnerChanged(partner);
   policy_ = fleet_.choice.policy->make({fleet_.settings, random_.bits(), fleet_, fleet_.choice.tuning});
   ListUpdate cached;
   cached.kind = ListKind::cached;
-  for (const auto& [name, e] : list_) cached.endpoints.push_back(e);
+  for (const auto& [name, e] : list_)
+    cached.endpoints.push_back(e);
   events_.push_back(std::move(cached));
   if (fleet_.world.keeps_knowledge) {
     const Experience pool = knowledge::aged(book_.pool, now);
-    if (pool.typical_of > 0 || pool.dead_score > 0) events_.push_back(pool);
+    if (pool.typical_of > 0 || pool.dead_score > 0)
+      events_.push_back(pool);
     for (const knowledge::Known& k : book_.known) {
       const Lesson l = knowledge::aged(k.lesson, now);
-      if (l.limit > 0 || l.samples > 0 || l.risk > 0 || l.traffic > 0) events_.push_back(l);
+      if (l.limit > 0 || l.samples > 0 || l.risk > 0 || l.traffic > 0)
+        events_.push_back(l);
     }
   }
   for (const auto& [key, kept] : ailments_) {
     Ailment a = kept;
-    if (knowledge::aged(a, now, fleet_.settings.ramp_time)) events_.push_back(a);
+    if (knowledge::aged(a, now, fleet_.settings.ramp_time))
+      events_.push_back(a);
   }
   for (auto& [id, h] : journal_) {
     Submission& s = fleet_.submissions[h.submission];
@@ -49,17 +56,20 @@
     r.message.id = id;
     r.message.message_class = fleet_.settings.classes[s.cls].name;
     r.message.destination = static_cast<std::int64_t>(s.partner);
-    if (fleet_.settings.classes[s.cls].ordered) r.message.order_key = "p" + std::to_string(s.partner);
+    if (fleet_.settings.classes[s.cls].ordered)
+      r.message.order_key = "p" + std::to_string(s.partner);
     r.message.give_up_at = s.give_up_at;
     r.message.repeat = true;
-    for (const Attempt& a : h.attempts) r.attempts.push_back({a.endpoint, a.sent, !a.never_ran});
+    for (const Attempt& a : h.attempts)
+      r.attempts.push_back({a.endpoint, a.sent, !a.never_ran});
     events_.push_back(std::move(r));
     Held& back = held_[id] = std::move(h);
     back.out = 0;
     settle(back, true);
   }
   journal_.clear();
-  if (fleet_.world.keeps_knowledge) survey();
+  if (fleet_.world.keeps_knowledge)
+    survey();
   turn();
 }
 
@@ -72,17 +82,22 @@
   held_.clear();
   for (auto& [id, h] : all) {
     Submission& s = fleet_.submissions[h.submission];
-    if (h.out > 0) s.parts[at(Cause::failed_call)] += now - s.since;
-    else settle(h, false);
+    if (h.out > 0)
+      s.parts[at(Cause::failed_call)] += now - s.since;
+    else
+      settle(h, false);
     s.since = now;
-    if (h.accepted) journal_.emplace_back(id, std::move(h));
-    else fleet_.unheard(h.submission);
+    if (h.accepted)
+      journal_.emplace_back(id, std::move(h));
+    else
+      fleet_.unheard(h.submission);
   }
   for (auto& [n, c] : calls_) {
     arrived(c);
     --fleet_.endpoints[c.endpoint].open;
   }
-  for (const auto& [e, idle] : idle_) fleet_.endpoints[e].open -= static_cast<int>(idle.size());
+  for (const auto& [e, idle] : idle_)
+    fleet_.endpoints[e].open -= static_cast<int>(idle.size());
   calls_.clear();
   idle_.clear();
   slots(-out_);
@@ -99,17 +114,20 @@
   stopping_ = true;
   const Micros end = fleet_.now() + kLinger;
   add(Stopping{end});
-  if (fleet_.world.keeps_knowledge) add(Survey{INT64_MIN, INT32_MAX});
+  if (fleet_.world.keeps_knowledge)
+    add(Survey{INT64_MIN, INT32_MAX});
   const std::uint64_t life = life_;
   fleet_.clock.at(end, [this, life] {
-    if (life == life_) die();
+    if (life == life_)
+      die();
   });
 }
 
 // ---- what it hears
 
 bool Node::submit(std::size_t submission) {
-  if (!up_ || stopping_) return false;
+  if (!up_ || stopping_)
+    return false;
   Submission& s = fleet_.submissions[submission];
   const MessageClass& c = fleet_.settings.classes[s.cls];
   const std::string id = std::to_string(submission) + "." + std::to_string(s.tries);
@@ -125,7 +143,8 @@
   a.id = id;
   a.message_class = c.name;
   a.destination = static_cast<std::int64_t>(s.partner);
-  if (c.ordered) a.order_key = "p" + std::to_string(s.partner);
+  if (c.ordered)
+    a.order_key = "p" + std::to_string(s.partner);
   a.give_up_at = s.give_up_at;
   a.repeat = s.tries > 0;
   add(std::move(a));
@@ -134,24 +153,30 @@
 
 void Node::hear(const std::vector<Endpoint>& entries) {
   for (const Endpoint& e : entries) {
-    if (e.state == EndpointState::gone) list_.erase(e.id);
-    else list_[e.id] = e;
+    if (e.state == EndpointState::gone)
+      list_.erase(e.id);
+    else
+      list_[e.id] = e;
   }
-  if (up_) add(ListUpdate{ListKind::delta, entries});
+  if (up_)
+    add(ListUpdate{ListKind::delta, entries});
 }
 
 void Node::cutIdle() {
   for (auto& [e, all] : idle_)
-    for (Idle& i : all) i.dead = true;
+    for (Idle& i : all)
+      i.dead = true;
 }
 
 void Node::add(Event e) {
   events_.push_back(std::move(e));
-  if (turn_due_) return;
+  if (turn_due_)
+    return;
   turn_due_ = true;
   const std::uint64_t life = life_;
   fleet_.clock.at(last_turn_ + fleet_.settings.tick, [this, life] {
-    if (life == life_ && turn_due_) turn();
+    if (life == life_ && turn_due_)
+      turn();
   });
 }
 
@@ -169,7 +194,8 @@
       partnerChanged(partner);
       const std::uint64_t life = life_;
       fleet_.clock.at(until, [this, life, partner] {
-        if (life == life_) partnerChanged(partner);
+        if (life == life_)
+          partnerChanged(partner);
       });
     }
     if (const auto* u = std::get_if<ListUpdate>(&e))
@@ -178,23 +204,29 @@
                                         : fleet_.checker.leaves(index_, x.id, now);
   }
   carryOut(policy_->decide(now, events));
-  if (!stopping_ || !calls_.empty() || !events_.empty()) return;
+  if (!stopping_ || !calls_.empty() || !events_.empty())
+    return;
   const std::uint64_t life = life_;
   fleet_.clock.in(0, [this, life] {
-    if (life == life_) die();
+    if (life == life_)
+      die();
   });
 }
 
 // First the refusals of what has just come, then the record, then all that it promises.
 void Node::carryOut(const std::vector<Action>& actions) {
   for (const Action& a : actions) {
-    if (const auto* r = std::get_if<Refuse>(&a)) end(r->id, true, r->pause);
-    else if (const auto* f = std::get_if<Fail>(&a)) end(f->id, false, 0);
-    else if (const auto* h = std::get_if<Ailment>(&a)) ailments_[{h->destination, h->endpoint}] = *h;
+    if (const auto* r = std::get_if<Refuse>(&a))
+      end(r->id, true, r->pause);
+    else if (const auto* f = std::get_if<Fail>(&a))
+      end(f->id, false, 0);
+    else if (const auto* h = std::get_if<Ailment>(&a))
+      ailments_[{h->destination, h->endpoint}] = *h;
   }
   for (const std::string& id : fresh_) {
     const auto h = held_.find(id);
-    if (h == held_.end()) continue;
+    if (h == held_.end())
+      continue;
     h->second.accepted = true;
     const Submission& s = fleet_.submissions[h->second.submission];
     const MessageClass& c = fleet_.settings.classes[s.cls];
@@ -212,7 +244,8 @@
         outcome(h->second.attempts[static_cast<std::size_t>(c->attempt)].call, Result::cancelled);
     } else if (const auto* i = std::get_if<CloseIdle>(&a)) {
       const auto e = fleet_.endpoint_of.find(i->endpoint);
-      if (e == fleet_.endpoint_of.end()) continue;
+      if (e == fleet_.endpoint_of.end())
+        continue;
       fleet_.endpoints[e->second].open -= static_cast<int>(idle_[e->second].size());
       idle_[e->second].clear();
     } else if (const auto* w = std::get_if<WakeIn>(&a)) {
@@ -230,14 +263,16 @@
 void Node::wakeIn(Micros span) {
   const std::uint64_t life = life_;
   fleet_.clock.in(span, [this, life] {
-    if (life == life_) add(Wake{});
+    if (life == life_)
+      add(Wake{});
   });
 }
 
 void Node::survey() {
   const std::uint64_t life = life_;
   fleet_.clock.in(kSurvey, [this, life] {
-    if (life != life_) return;
+    if (life != life_)
+      return;
     add(Survey{INT64_MIN, INT32_MAX});
     survey();
   });
@@ -245,13 +280,16 @@
 
 void Node::end(const std::string& id, bool handed_back, Micros pause) {
   const auto it = held_.find(id);
-  if (it == held_.end()) return;
+  if (it == held_.end())
+    return;
   Held& h = it->second;
   const std::size_t submission = h.submission;
   Submission& s = fleet_.submissions[submission];
   const Micros now = fleet_.now();
-  if (h.out > 0) s.parts[at(Cause::failed_call)] += now - s.since;
-  else settle(h, false);
+  if (h.out > 0)
+    s.parts[at(Cause::failed_call)] += now - s.since;
+  else
+    settle(h, false);
   s.since = now;
   const bool was_accepted = h.accepted;
   const bool may_have_run = std::any_of(h.attempts.begin(), h.attempts.end(),
@@ -261,8 +299,10 @@
   const MessageClass& c = fleet_.settings.classes[s.cls];
   if (c.effect == Effect::keyed)
     for (const Attempt& a : h.attempts)
-      if (a.out || !a.never_ran) again_until = std::min(again_until, a.sent + c.memory);
-  if (was_accepted) fleet_.checker.ended(id, handed_back, false, now);
+      if (a.out || !a.never_ran)
+        again_until = std::min(again_until, a.sent + c.memory);
+  if (was_accepted)
+    fleet_.checker.ended(id, handed_back, false, now);
   held_.erase(it);
   if (handed_back) {
     s.how = was_accepted ? Cause::count : Cause::refused;
@@ -278,7 +318,8 @@
 void Node::call(const Send& s) {
   const auto it = held_.find(s.id);
   const auto known = fleet_.endpoint_of.find(s.endpoint);
-  if (it == held_.end() || known == fleet_.endpoint_of.end()) return;
+  if (it == held_.end() || known == fleet_.endpoint_of.end())
+    return;
   Held& h = it->second;
   Submission& sub = fleet_.submissions[h.submission];
   const Micros now = fleet_.now();
@@ -301,7 +342,8 @@
   const std::uint64_t life = life_;
   const auto later = [&](Micros span, auto then) {
     fleet_.clock.in(span, [this, life, n, then] {
-      if (life == life_) then(n);
+      if (life == life_)
+        then(n);
     });
   };
   if (out_ >= fleet_.settings.slots) {
@@ -320,12 +362,14 @@
     const bool dead = idle.back().dead;
     idle.pop_back();
     --e.open;  // it is the call's now
-    if (dead) return later(2 * way, [this](std::uint64_t k) { outcome(k, Result::reset, 0, true); });
+    if (dead)
+      return later(2 * way, [this](std::uint64_t k) { outcome(k, Result::reset, 0, true); });
     return later(way, [this](std::uint64_t k) { reach(k); });
   }
   const int most_open = p.traits().connections;
   if (!e.there || !p.reachable() || (most_open > 0 && e.open > most_open)) {
-    if (!p.reachable()) c.heard = true;  // in an outage
+    if (!p.reachable())
+      c.heard = true;  // in an outage
     return later(2 * way, [this](std::uint64_t k) { outcome(k, Result::connect_failed); });
   }
   ++fleet_.handshakes;
@@ -335,53 +379,64 @@
 // It comes to the partner. What it does there happens though nobody may hear of it any more.
 void Node::reach(std::uint64_t n) {
   const auto it = calls_.find(n);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   Call& c = it->second;
   const std::size_t partner = fleet_.endpoints[c.endpoint].partner;
   Partner& p = *fleet_.partners[partner];
   const Micros now = fleet_.now(), way = fleet_.wayTo();
   arrived(c);
   const Partner::Fall fall = p.weigh(index_, now);
-  if (fall.fell) fleet_.checker.pushedOver(p.id(), fall.knew, now);
+  if (fall.fell)
+    fleet_.checker.pushedOver(p.id(), fall.knew, now);
   const std::uint64_t life = life_;
   const auto answer = [this, life, n](Micros span, Result r, Micros wait) {
     fleet_.clock.in(span, [this, life, n, r, wait] {
-      if (life == life_) outcome(n, r, wait);
+      if (life == life_)
+        outcome(n, r, wait);
     });
   };
-  if (!p.serves()) c.heard = true;
-  if (!p.reachable()) return answer(way, Result::reset, 0);
+  if (!p.serves())
+    c.heard = true;
+  if (!p.reachable())
+    return answer(way, Result::reset, 0);
   const std::size_t submission = std::strtoull(c.id.c_str(), nullptr, 10);
   const std::size_t cls = fleet_.submissions[submission].cls;
   const Partner::Answer a = p.take(fleet_.serviceOf(cls), now);
-  if (a.how == Partner::Taken::silent) return;
+  if (a.how == Partner::Taken::silent)
+    return;
   if (a.how == Partner::Taken::full) {
     ++fleet_.refusals;
     return answer(way, Result::full, a.wait);
   }
   fleet_.clock.at(a.at, [this, life, n, submission, cls, &p, came = now, way] {
     if (!p.reachable()) {
-      if (life == life_) outcome(n, Result::reset);
+      if (life == life_)
+        outcome(n, Result::reset);
       return;
     }
     fleet_.checker.ran(std::to_string(submission), fleet_.settings.classes[cls], came);
-    if (!p.serves()) return;  // it hangs: done, and not told
+    if (!p.serves())
+      return;  // it hangs: done, and not told
     fleet_.clock.in(way, [this, life, n] {
-      if (life == life_) outcome(n, Result::ok);
+      if (life == life_)
+        outcome(n, Result::ok);
     });
   });
 }
 
 void Node::outcome(std::uint64_t n, Result r, Micros wait, bool stale) {
   const auto it = calls_.find(n);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   arrived(it->second);
   const Call c = it->second;
   calls_.erase(it);
   slots(-1);
   ListedEndpoint& e = fleet_.endpoints[c.endpoint];
   --e.open;
-  if (r == Result::ok || r == Result::full || r == Result::error) keepConnection(c.endpoint);
+  if (r == Result::ok || r == Result::full || r == Result::error)
+    keepConnection(c.endpoint);
   const Micros now = fleet_.now();
   const Partner& p = *fleet_.partners[e.partner];
   if (r != Result::ok && r != Result::cancelled && r != Result::not_sent && (c.heard || !p.serves()))
@@ -429,7 +484,8 @@
 }
 
 void Node::arrived(Call& c) {
-  if (c.on_way) fleet_.arrived(fleet_.endpoints[c.endpoint].partner);
+  if (c.on_way)
+    fleet_.arrived(fleet_.endpoints[c.endpoint].partner);
   c.on_way = false;
 }
 
@@ -438,7 +494,8 @@
   idle_[endpoint].push_back({fleet_.now(), false});
   const std::uint64_t life = life_;
   fleet_.clock.in(fleet_.settings.conn_idle, [this, life, endpoint] {
-    if (life == life_) expireIdle(endpoint);
+    if (life == life_)
+      expireIdle(endpoint);
   });
 }
 
@@ -452,13 +509,16 @@
 
 // ---- where its messages' time goes
 
-Micros Node::full() { return full_ + (full_since_ >= 0 ? fleet_.now() - full_since_ : 0); }
+Micros Node::full() {
+  return full_ + (full_since_ >= 0 ? fleet_.now() - full_since_ : 0);
+}
 
 void Node::slots(int change) {
   const Micros now = fleet_.now();
   out_ += change;
   const bool is = out_ >= fleet_.settings.slots;
-  if (is && full_since_ < 0) full_since_ = now;
+  if (is && full_since_ < 0)
+    full_since_ = now;
   if (!is && full_since_ >= 0) {
     full_ += now - full_since_;
     full_since_ = -1;
@@ -469,14 +529,17 @@
   const Micros now = fleet_.now();
   const auto wait = waits_.find(partner);
   const Partner& p = *fleet_.partners[partner];
-  if (wait != waits_.end() && wait->second > now) return Cause::told_wait;
-  if (!p.serves()) return Cause::away;
+  if (wait != waits_.end() && wait->second > now)
+    return Cause::told_wait;
+  if (!p.serves())
+    return Cause::away;
   return p.cold(now) ? Cause::cold : Cause::limit;
 }
 
 HoldClock& Node::clockOf(std::size_t partner) {
   const auto at = clocks_.find(partner);
-  if (at != clocks_.end()) return at->second;
+  if (at != clocks_.end())
+    return at->second;
   HoldClock& c = clocks_[partner];
   c.set(stateOf(partner), fleet_.now(), full());
   return c;
@@ -484,7 +547,8 @@
 
 void Node::partnerChanged(std::size_t partner) {
   const auto at = clocks_.find(partner);
-  if (at != clocks_.end()) at->second.set(stateOf(partner), fleet_.now(), full());
+  if (at != clocks_.end())
+    at->second.set(stateOf(partner), fleet_.now(), full());
 }
 
 // A message begins to be held, or that ends.
@@ -495,7 +559,8 @@
     h.at_hold = shown;
     return;
   }
-  for (std::size_t i = 0; i < kCauses; ++i) s.parts[i] += shown[i] - h.at_hold[i];
+  for (std::size_t i = 0; i < kCauses; ++i)
+    s.parts[i] += shown[i] - h.at_hold[i];
   h.at_hold = shown;
 }
 
--- a/model/partner.cpp
+++ b/model/partner.cpp
@@ -20,23 +20,28 @@
 }
 
 double Partner::share(Micros now) const {
-  if (!cold(now)) return 1;
+  if (!cold(now))
+    return 1;
   const double warmth = static_cast<double>(now - returned_) / static_cast<double>(rules_.ramp_time);
   return rules_.cold_share + (1 - rules_.cold_share) * warmth;
 }
 
 double Partner::left(Micros now) const {
   const double limit = limitNow(now);
-  if (traits_.kind->window) return std::clamp(1 - (span_ == now / kSecond ? in_span_ : 0) / limit, 0.0, 1.0);
+  if (traits_.kind->window)
+    return std::clamp(1 - (span_ == now / kSecond ? in_span_ : 0) / limit, 0.0, 1.0);
   const double since = static_cast<double>(now - tokens_at_) / kSecond;
   return std::clamp((tokens_ + since * limit) / std::max(1.0, limit * kBurst), 0.0, 1.0);
 }
 
 bool Partner::room(Micros now, int others) const {
-  if (!serves()) return false;
-  if (free_at_ - now > traits_.depth / 2) return false;
+  if (!serves())
+    return false;
+  if (free_at_ - now > traits_.depth / 2)
+    return false;
   const double limit = limitNow(now), calls = 1 + others;
-  if (traits_.kind->window) return (span_ == now / kSecond ? in_span_ : 0) + calls <= limit;
+  if (traits_.kind->window)
+    return (span_ == now / kSecond ? in_span_ : 0) + calls <= limit;
   const double since = static_cast<double>(now - tokens_at_) / kSecond;
   return std::min(tokens_ + since * limit, std::max(1.0, limit * kBurst)) >= calls;
 }
@@ -46,10 +51,12 @@
   a.at = now;
   const auto full = [&](Micros until) {
     a.how = Taken::full;
-    if (random_.chance(traits_.tells_wait)) a.wait = std::max<Micros>(1000, until - now);
+    if (random_.chance(traits_.tells_wait))
+      a.wait = std::max<Micros>(1000, until - now);
     return a;
   };
-  if (outage_ && out_ == TroubleKind::shut) return full(opens_);
+  if (outage_ && out_ == TroubleKind::shut)
+    return full(opens_);
   if (fallen_ || outage_) {
     a.how = Taken::silent;
     return a;
@@ -67,17 +74,22 @@
     }
     over = in_span_ + 1 > limit;
     in_span_ += over && !kind.refused_count ? 0 : 1;
-    if (over) return full((span_ + 1) * kSecond);
+    if (over)
+      return full((span_ + 1) * kSecond);
   } else {
     const double most = std::max(1.0, limit * kBurst);
     tokens_ = std::min(most, tokens_ + static_cast<double>(now - tokens_at_) / kSecond * limit);
     tokens_at_ = now;
     over = tokens_ < 1;
-    if (!over) tokens_ -= 1;
-    else if (kind.refused_count) tokens_ = std::max(-most, tokens_ - 1);
-    if (over) return full(drawnWait());
+    if (!over)
+      tokens_ -= 1;
+    else if (kind.refused_count)
+      tokens_ = std::max(-most, tokens_ - 1);
+    if (over)
+      return full(drawnWait());
   }
-  if (free_at_ - now > traits_.depth) return full(drawnWait());
+  if (free_at_ - now > traits_.depth)
+    return full(drawnWait());
   free_at_ = std::max(free_at_, now) +
              static_cast<Micros>(slowness * kSecond / std::max(0.01, traits_.capacity * share(now)));
   const double took = random_.lognormal(static_cast<double>(service) * traits_.pace * slowness, 0.4);
@@ -92,13 +104,15 @@
     return f;
   }
   reached_.emplace_back(now, sender);
-  while (reached_.front().first <= now - rules_.fall_span) reached_.pop_front();
+  while (reached_.front().first <= now - rules_.fall_span)
+    reached_.pop_front();
   // Its capacity over the part of the span in which it was back, at the middle of it.
   const Micros from = std::max(returned_, now - rules_.fall_span);
   const double span = static_cast<double>(rules_.fall_span) / kSecond;
   const double takes = traits_.capacity * share((from + now) / 2) * span;
   const double most = rules_.overload_factor * takes;
-  if (static_cast<double>(reached_.size()) <= most + kChance * std::sqrt(most) + kOneMore) return f;
+  if (static_cast<double>(reached_.size()) <= most + kChance * std::sqrt(most) + kOneMore)
+    return f;
   const auto knew = std::count_if(reached_.begin(), reached_.end(),
                                   [this](const auto& r) { return knows_.count(r.second) > 0; });
   f.fell = fallen_ = true;
@@ -107,19 +121,26 @@
 }
 
 void Partner::begin(TroubleKind kind, double size, Micros until) {
-  if (kind == TroubleKind::slow) slowness = size;
-  else if (kind == TroubleKind::limit) limit_share = size;
-  if (kind != TroubleKind::refuse && kind != TroubleKind::hang && kind != TroubleKind::shut) return;
-  if (!outage_) knows_.clear();
+  if (kind == TroubleKind::slow)
+    slowness = size;
+  else if (kind == TroubleKind::limit)
+    limit_share = size;
+  if (kind != TroubleKind::refuse && kind != TroubleKind::hang && kind != TroubleKind::shut)
+    return;
+  if (!outage_)
+    knows_.clear();
   outage_ = true;
   out_ = kind;
   opens_ = until;
 }
 
 void Partner::end(TroubleKind kind, Micros now) {
-  if (kind == TroubleKind::slow) slowness = 1;
-  else if (kind == TroubleKind::limit) limit_share = 1;
-  if (!outage_ || kind != out_) return;
+  if (kind == TroubleKind::slow)
+    slowness = 1;
+  else if (kind == TroubleKind::limit)
+    limit_share = 1;
+  if (!outage_ || kind != out_)
+    return;
   outage_ = false;
   out_ = TroubleKind::slow;
   returned_ = now;
--- a/model/policies.cpp
+++ b/model/policies.cpp
@@ -54,11 +54,15 @@
     now_ = now;
     acts_.clear();
     wake_ = kNever;
-    for (const Event& e : events) std::visit([this](const auto& x) { on(x); }, e);
-    while (!ends_.empty() && ends_.begin()->first <= now_) finish(messages_.at(ends_.begin()->second), false);
+    for (const Event& e : events)
+      std::visit([this](const auto& x) { on(x); }, e);
+    while (!ends_.empty() && ends_.begin()->first <= now_)
+      finish(messages_.at(ends_.begin()->second), false);
     release();
-    if (!ends_.empty()) wake_ = std::min(wake_, ends_.begin()->first);
-    if (wake_ != kNever) acts_.push_back(WakeIn{std::max(wake_ - now_, set_.tick)});
+    if (!ends_.empty())
+      wake_ = std::min(wake_, ends_.begin()->first);
+    if (wake_ != kNever)
+      acts_.push_back(WakeIn{std::max(wake_ - now_, set_.tick)});
     return std::move(acts_);
   }
 
@@ -93,27 +97,34 @@
   void on(const Arrival& a) { take(a, {}); }
   void on(const Resumed& r) {
     std::vector<Try> tries;
-    for (const PastAttempt& p : r.attempts) tries.push_back({p.endpoint, p.sent, false, p.may_have_run});
+    for (const PastAttempt& p : r.attempts)
+      tries.push_back({p.endpoint, p.sent, false, p.may_have_run});
     take(r.message, std::move(tries));
   }
   void on(const ListUpdate& u) {
-    if (u.kind == ListKind::failed) return;
+    if (u.kind == ListKind::failed)
+      return;
     if (u.kind != ListKind::delta)
-      for (auto& [id, d] : destinations_) d.ready.clear();
+      for (auto& [id, d] : destinations_)
+        d.ready.clear();
     for (const Endpoint& e : u.endpoints) {
       Destination& d = destinations_[e.destination];
       d.listed = e.weight;
-      if (e.state == EndpointState::ready) d.ready.insert(e.id);
-      else d.ready.erase(e.id);
+      if (e.state == EndpointState::ready)
+        d.ready.insert(e.id);
+      else
+        d.ready.erase(e.id);
     }
   }
   void on(const Gone& g) {
     const auto at = messages_.find(g.id);
-    if (at != messages_.end()) drop(at->second);
+    if (at != messages_.end())
+      drop(at->second);
   }
   void on(const Outcome& o) {
     const auto at = messages_.find(o.id);
-    if (at == messages_.end()) return late(o);
+    if (at == messages_.end())
+      return late(o);
     Message& m = at->second;
     Try& t = m.tries[static_cast<std::size_t>(o.attempt)];
     t.out = false;
@@ -122,22 +133,29 @@
     --d.out[t.endpoint];
     t.may_have_run =
         o.result != Result::full && o.result != Result::connect_failed && o.result != Result::not_sent;
-    if (o.result == Result::full && o.wait > 0) d.wait_until = std::max(d.wait_until, now_ + o.wait);
-    if (o.result == Result::ok) d.failures = 0;
-    else if (o.result != Result::full && ++d.failures >= kOpensAt) d.open_until = now_ + kOpen;
-    if (o.finished || o.result == Result::ok) return drop(m);
+    if (o.result == Result::full && o.wait > 0)
+      d.wait_until = std::max(d.wait_until, now_ + o.wait);
+    if (o.result == Result::ok)
+      d.failures = 0;
+    else if (o.result != Result::full && ++d.failures >= kOpensAt)
+      d.open_until = now_ + kOpen;
+    if (o.finished || o.result == Result::ok)
+      return drop(m);
     const int n = static_cast<int>(m.tries.size());
-    if (n >= std::min(style_.attempts, set_.max_attempts) || !maySend(m)) return finish(m, true);
+    if (n >= std::min(style_.attempts, set_.max_attempts) || !maySend(m))
+      return finish(m, true);
     const double pause = static_cast<double>(kBackOff) * std::exp2(std::min(n - 1, 6));
     hold(m, now_ + static_cast<Micros>(style_.sees ? 0 : pause * random_.between(0.5, 1.5)));
   }
   void late(const Outcome& o) {
     const auto at = lost_.find({o.id, o.attempt});
-    if (at == lost_.end()) return;
+    if (at == lost_.end())
+      return;
     --out_;
     Destination& d = destinations_[at->second.first];
     --d.out[at->second.second];
-    if (o.wait > 0) d.wait_until = std::max(d.wait_until, now_ + o.wait);
+    if (o.wait > 0)
+      d.wait_until = std::max(d.wait_until, now_ + o.wait);
     lost_.erase(at);
   }
   template <class Other>
@@ -146,7 +164,8 @@
   void take(const Arrival& a, std::vector<Try> tries) {
     const auto c = std::find_if(set_.classes.begin(), set_.classes.end(),
                                 [&](const MessageClass& k) { return k.name == a.message_class; });
-    if (c == set_.classes.end()) return acts_.push_back(Fail{a.id});
+    if (c == set_.classes.end())
+      return acts_.push_back(Fail{a.id});
     if (static_cast<int>(messages_.size()) >= set_.max_open && tries.empty())
       return acts_.push_back(Refuse{a.id, std::min(set_.max_pause, kSecond)});
     Message& m = messages_[a.id];
@@ -158,13 +177,16 @@
     m.order = ++next_;
     m.tries = std::move(tries);
     ends_.insert({m.end_at, m.id});
-    if (!maySend(m)) return finish(m, true);
+    if (!maySend(m))
+      return finish(m, true);
     hold(m, now_);
   }
   bool maySend(const Message& m) const {
     for (const Try& t : m.tries) {
-      if (!t.may_have_run) continue;
-      if (m.cls->effect == Effect::unsafe) return false;
+      if (!t.may_have_run)
+        continue;
+      if (m.cls->effect == Effect::unsafe)
+        return false;
       if (m.cls->effect == Effect::keyed &&
           (m.cls->group != RepeatGroup::all || now_ > t.sent + m.cls->memory))
         return false;
@@ -186,15 +208,19 @@
     held_.insert({rank(m), m.id});
   }
   void drop(Message& m) {
-    if (m.held) held_.erase({rank(m), m.id});
+    if (m.held)
+      held_.erase({rank(m), m.id});
     for (std::size_t i = 0; i < m.tries.size(); ++i)
-      if (m.tries[i].out) lost_[{m.id, static_cast<int>(i)}] = {m.destination, m.tries[i].endpoint};
+      if (m.tries[i].out)
+        lost_[{m.id, static_cast<int>(i)}] = {m.destination, m.tries[i].endpoint};
     ends_.erase({m.end_at, m.id});
     messages_.erase(m.id);
   }
   void finish(Message& m, bool worth_a_return) {
-    if (worth_a_return && mayRefuse(m)) acts_.push_back(Refuse{m.id, set_.told_pause ? kSecond : 0});
-    else acts_.push_back(Fail{m.id});
+    if (worth_a_return && mayRefuse(m))
+      acts_.push_back(Refuse{m.id, set_.told_pause ? kSecond : 0});
+    else
+      acts_.push_back(Fail{m.id});
     drop(m);
   }
 
@@ -202,7 +228,8 @@
   std::string open(const Message& m) {
     Destination& d = destinations_[m.destination];
     Micros when = std::max(d.wait_until, m.not_before);
-    if (style_.breaker) when = std::max(when, d.open_until);
+    if (style_.breaker)
+      when = std::max(when, d.open_until);
     if (style_.bucket && d.listed > 0) {
       const double rate = d.listed / set_.senders;
       d.tokens =
@@ -211,28 +238,32 @@
       if (d.tokens < 1)
         when = std::max(when, now_ + static_cast<Micros>((1 - d.tokens) / rate * kSecond) + 1);
     }
-    if (style_.sees && when <= now_ && !truth_.takes(m.destination, now_)) when = now_ + set_.tick;
+    if (style_.sees && when <= now_ && !truth_.takes(m.destination, now_))
+      when = now_ + set_.tick;
     if (when > now_) {
       wake_ = std::min(wake_, when);
       return {};
     }
     std::string best;
     for (const std::string& e : d.ready)
-      if (best.empty() || d.out[e] < d.out[best]) best = e;
+      if (best.empty() || d.out[e] < d.out[best])
+        best = e;
     return best;
   }
   void release() {
     std::set<std::int64_t> closed;
     for (auto it = held_.begin(); it != held_.end() && out_ < set_.slots;) {
       Message& m = messages_.at((it++)->second);
-      if (closed.count(m.destination)) continue;
+      if (closed.count(m.destination))
+        continue;
       if (!maySend(m)) {
         finish(m, true);
         continue;
       }
       const std::string endpoint = open(m);
       if (endpoint.empty()) {
-        if (m.not_before <= now_) closed.insert(m.destination);
+        if (m.not_before <= now_)
+          closed.insert(m.destination);
         continue;
       }
       held_.erase({rank(m), m.id});
@@ -241,8 +272,10 @@
       ++d.out[endpoint];
       ++out_;
       d.tokens -= style_.bucket ? 1 : 0;
-      if (style_.breaker && d.failures >= kOpensAt) d.open_until = now_ + kOpen;  // one tries
-      if (style_.sees) truth_.taking(m.destination, now_);
+      if (style_.breaker && d.failures >= kOpensAt)
+        d.open_until = now_ + kOpen;  // one tries
+      if (style_.sees)
+        truth_.taking(m.destination, now_);
       m.tries.push_back({endpoint, now_, true, true});
       acts_.push_back(Send{m.id, endpoint, m.end_at - now_ - set_.tick});
     }
@@ -290,7 +323,8 @@
 
 const PolicySpec* policy(const std::string& name) {
   for (const PolicySpec& p : policies())
-    if (p.name == name) return &p;
+    if (p.name == name)
+      return &p;
   return nullptr;
 }
 
--- a/model/report.cpp
+++ b/model/report.cpp
@@ -30,11 +30,16 @@
 std::string escaped(const std::string& text) {
   std::string out;
   for (const char c : text) {
-    if (c == '&') out += "&amp;";
-    else if (c == '<') out += "&lt;";
-    else if (c == '>') out += "&gt;";
-    else if (c == '"') out += "&quot;";
-    else out += c;
+    if (c == '&')
+      out += "&amp;";
+    else if (c == '<')
+      out += "&lt;";
+    else if (c == '>')
+      out += "&gt;";
+    else if (c == '"')
+      out += "&quot;";
+    else
+      out += c;
   }
   return out;
 }
@@ -51,8 +56,10 @@
   std::stringstream text;
   text << in.rdbuf();
   const bool good = WIFEXITED(status) && WEXITSTATUS(status) == 0 && in;
-  for (const std::string& f : {plan, out, folder + "/plot.err"}) std::filesystem::remove(f);
-  if (!good) return {};
+  for (const std::string& f : {plan, out, folder + "/plot.err"})
+    std::filesystem::remove(f);
+  if (!good)
+    return {};
   std::string svg = text.str();
   const auto begin = svg.find("<svg");
   return begin == std::string::npos ? std::string() : svg.substr(begin);
@@ -62,14 +69,16 @@
 std::vector<double> series(const std::vector<const json*>& runs,
                            const std::function<double(const json&, std::size_t)>& value) {
   std::size_t n = 0;
-  for (const json* r : runs) n = std::max(n, (*r)["over_time"].size());
+  for (const json* r : runs)
+    n = std::max(n, (*r)["over_time"].size());
   std::vector<double> mean(n), smooth(n);
   for (const json* r : runs)
     for (std::size_t i = 0; i < (*r)["over_time"].size(); ++i)
       mean[i] += value(*r, i) / static_cast<double>(runs.size());
   for (std::size_t i = 0; i < n; ++i) {
     const std::size_t a = i < 2 ? 0 : i - 2, b = std::min(n, i + 3);
-    for (std::size_t k = a; k < b; ++k) smooth[i] += mean[k] / static_cast<double>(b - a);
+    for (std::size_t k = a; k < b; ++k)
+      smooth[i] += mean[k] / static_cast<double>(b - a);
   }
   return smooth;
 }
@@ -79,7 +88,8 @@
   s << '$' << name << " << EOD\n";
   for (std::size_t i = 0; !columns.empty() && i < columns[0].size(); ++i) {
     s << i;
-    for (const auto& c : columns) s << ' ' << (i < c.size() ? c[i] : 0);
+    for (const auto& c : columns)
+      s << ' ' << (i < c.size() ? c[i] : 0);
     s << '\n';
   }
   s << "EOD\n";
@@ -99,7 +109,8 @@
     const auto offered =
         series(runs, [](const json& r, std::size_t s) { return r["over_time"][s][0].get<double>(); });
     auto got = series(runs, [](const json& r, std::size_t s) { return r["over_time"][s][1].get<double>(); });
-    for (std::size_t s = 0; s < got.size(); ++s) got[s] = offered[s] > 0 ? got[s] / offered[s] : 1;
+    for (std::size_t s = 0; s < got.size(); ++s)
+      got[s] = offered[s] > 0 ? got[s] / offered[s] : 1;
     columns.push_back(std::move(got));
     lines += std::string(lines.empty() ? "plot " : ", ") + "$d using 1:" + std::to_string(i + 2) +
              " with lines lw 2 lc rgb '" + kColours[i % 11] + "' title \"" + v.name + "\"";
@@ -121,13 +132,16 @@
       const auto at = r["lost_over_time"].find(name);
       return at == r["lost_over_time"].end() || i >= at->size() ? 0.0 : (*at)[i].get<double>();
     });
-    if (std::none_of(s.begin(), s.end(), [](double x) { return x > 0; })) continue;
+    if (std::none_of(s.begin(), s.end(), [](double x) { return x > 0; }))
+      continue;
     if (!columns.empty())
-      for (std::size_t i = 0; i < s.size(); ++i) s[i] += columns.back()[i];
+      for (std::size_t i = 0; i < s.size(); ++i)
+        s[i] += columns.back()[i];
     columns.push_back(std::move(s));
     names.emplace_back(name);
   }
-  if (columns.empty()) return {};
+  if (columns.empty())
+    return {};
   std::string lines;
   for (std::size_t i = columns.size(); i-- > 0;)
     lines += std::string(lines.empty() ? "plot " : ", ") + "$d using 1:" + std::to_string(i + 2) +
@@ -150,14 +164,18 @@
       if (d["seen"] == true)
         out << std::showpos << fixed(d["median"]) << std::noshowpos << " [" << fixed(d["interval"][0]) << ", "
             << fixed(d["interval"][1]) << "]";
-      else out << "no difference seen";
+      else
+        out << "no difference seen";
     }
     out << "<td>";
-    if (r["broken"] == 0) out << "none";
-    for (const auto& [rule, n] : r["rules"].items()) out << escaped(rule) << " " << n << " ";
+    if (r["broken"] == 0)
+      out << "none";
+    for (const auto& [rule, n] : r["rules"].items())
+      out << escaped(rule) << " " << n << " ";
     out << "<td>";
     std::vector<std::pair<double, std::string>> causes;
-    for (const auto& [cause, lost] : r["lost"].items()) causes.emplace_back(-lost.get<double>(), cause);
+    for (const auto& [cause, lost] : r["lost"].items())
+      causes.emplace_back(-lost.get<double>(), cause);
     std::sort(causes.begin(), causes.end());
     for (std::size_t i = 0; i < std::min<std::size_t>(4, causes.size()); ++i)
       out << (i ? ", " : "") << causes[i].second << " " << fixed(-causes[i].first);
@@ -170,17 +188,20 @@
 void matrix(std::ostream& out, const json& summary, const Experiment& e) {
   out << "<h2>What each tuned value is worth</h2>\n<p>Median difference of worth from " << escaped(e.baseline)
       << " where one is seen; a dot where none is; R: it broke rules.</p>\n<table><tr><th>value";
-  for (const auto& [world, w] : summary["worlds"].items()) out << "<th>" << escaped(world);
+  for (const auto& [world, w] : summary["worlds"].items())
+    out << "<th>" << escaped(world);
   out << "</tr>\n";
   for (const Variant& v : e.variants) {
-    if (v.tune.empty()) continue;
+    if (v.tune.empty())
+      continue;
     out << "<tr><td>" << escaped(v.name);
     for (const auto& [world, w] : summary["worlds"].items()) {
       const json& r = w["variants"][v.name];
       out << "<td>";
       if (r["difference"]["seen"] == true)
         out << std::showpos << fixed(r["difference"]["median"]) << std::noshowpos;
-      else out << "&middot;";
+      else
+        out << "&middot;";
       if (r["broken"].get<std::uint64_t>() > w["variants"][e.baseline]["broken"].get<std::uint64_t>())
         out << " R";
     }
@@ -197,7 +218,8 @@
   std::ofstream csv(folder + "/worth.csv");
   csv << "world,variant,policy,seed,worth,offered,delivered,messages,in_time,late,undelivered,calls,refusals,"
          "handshakes,rules_broken";
-  for (std::size_t c = 0; c < kCauses; ++c) csv << ",lost_" << nameOf(static_cast<Cause>(c));
+  for (std::size_t c = 0; c < kCauses; ++c)
+    csv << ",lost_" << nameOf(static_cast<Cause>(c));
   csv << '\n';
   for (const json& r : runs) {
     by[r["world"]][r["variant"]].push_back(&r);
@@ -225,11 +247,13 @@
       << e.first_seed + static_cast<std::uint64_t>(e.seeds) - 1
       << ". Worth is the share of what was offered; a difference is the median of pairs of the same world "
          "and seed.</p>\n";
-  if (e.ablation) matrix(out, summary, e);
+  if (e.ablation)
+    matrix(out, summary, e);
   bool plots = true;
   for (const auto& [world, variants] : by) {
     out << "<h2>" << escaped(world) << "</h2>\n";
-    if (e.ablation) continue;
+    if (e.ablation)
+      continue;
     table(out, summary["worlds"][world]["variants"], e);
     if (summary["worlds"][world].contains("gap_closed"))
       out << "<p>Of the gap between the best baseline that keeps the rules and the oracle the module closes "
@@ -241,7 +265,8 @@
     if (!loss.empty())
       out << "<p class=\"note\">What " << escaped(e.baseline) << " lost, by cause:</p>\n" << loss << "\n";
   }
-  if (!plots) out << "<p class=\"note\">No plots: gnuplot (Debian's gnuplot-nox) is not there.</p>\n";
+  if (!plots)
+    out << "<p class=\"note\">No plots: gnuplot (Debian's gnuplot-nox) is not there.</p>\n";
   out << "</html>\n";
   return path;
 }
@@ -251,7 +276,8 @@
     out << world << '\n';
     for (const auto& [name, r] : w["variants"].items()) {
       // Of many variants those that differ.
-      if (w["variants"].size() > 12 && r.contains("difference") && r["difference"]["seen"] != true) continue;
+      if (w["variants"].size() > 12 && r.contains("difference") && r["difference"]["seen"] != true)
+        continue;
       out << "  " << std::left << std::setw(14) << name << fixed(r["worth"]) << "  worst "
           << fixed(r["least"]);
       if (r.contains("difference")) {
@@ -259,7 +285,8 @@
         out << "  " << std::showpos << fixed(d["median"]) << std::noshowpos << " [" << fixed(d["interval"][0])
             << ", " << fixed(d["interval"][1]) << "]" << (d["seen"] == true ? "" : " no difference seen");
       }
-      if (r["broken"] != 0) out << "  rules broken: " << r["rules"].dump();
+      if (r["broken"] != 0)
+        out << "  rules broken: " << r["rules"].dump();
       out << '\n';
     }
   }
--- a/model/tuned.cpp
+++ b/model/tuned.cpp
@@ -77,7 +77,8 @@
   static const std::vector<TunedValue> kAll = [] {
     std::vector<TunedValue> all;
     std::thread([&] {
-      for (const Place& p : kPlaces) all.push_back({p.name, p.get()});
+      for (const Place& p : kPlaces)
+        all.push_back({p.name, p.get()});
     }).join();
     return all;
   }();
@@ -90,7 +91,8 @@
     sender = std::make_unique<TunedSender>(s, seed);
   }
   void enforce() {
-    if (in_force == tuning) return;
+    if (in_force == tuning)
+      return;
     in_force = tuning;
     const std::vector<TunedValue>& own = tunedValues();
     for (std::size_t i = 0; i < own.size(); ++i) {
--- a/model/world.cpp
+++ b/model/world.cpp
@@ -34,7 +34,8 @@
 // The tables of a section, or one empty one that stands for the defaults.
 std::vector<const toml::table*> tablesOr(Table& t, const char* key, const toml::table& otherwise) {
   auto all = t.tables(key);
-  if (all.empty()) all.push_back(&otherwise);
+  if (all.empty())
+    all.push_back(&otherwise);
   return all;
 }
 
@@ -43,16 +44,20 @@
   Reader(const toml::table& file, Reading& out) : out_(out), w_(out.world), top_(file, "", out.mistakes) {}
 
   void read() {
-    if (top_.node("base")) top_.text("base", "");
+    if (top_.node("base"))
+      top_.text("base", "");
     w_.name = top_.node("name") ? top_.text("name", "") : w_.path;
     section("run", true, [this](Table& t) { readRun(t); });
     section("fleet", true, [this](Table& t) { readFleet(t); });
     section("traffic", true, [this](Table& t) { readTraffic(t); });
     section("network", false, [this](Table& t) { readNetwork(t); });
     section("rules", false, [this](Table& t) { readRules(t); });
-    for (const toml::table* k : tablesOr(top_, "kind", none_)) readKind(*k);
-    for (const toml::table* c : tablesOr(top_, "class", none_)) readClass(*c);
-    for (const toml::table* t : top_.tables("trouble")) readTrouble(*t);
+    for (const toml::table* k : tablesOr(top_, "kind", none_))
+      readKind(*k);
+    for (const toml::table* c : tablesOr(top_, "class", none_))
+      readClass(*c);
+    for (const toml::table* t : top_.tables("trouble"))
+      readTrouble(*t);
     top_.unknown("");
     w_.settings.zones = {"a"};
     w_.settings.list = ListMode::push;
@@ -66,13 +71,15 @@
     const toml::node* n = top_.node(key);
     if (n && !n->is_table())
       return top_.expected(key, "a table is expected, begun by [" + std::string(key) + "]");
-    if (!n && needed) top_.mistake("[" + std::string(key) + "] is expected");
+    if (!n && needed)
+      top_.mistake("[" + std::string(key) + "] is expected");
     Table t(n ? *n->as_table() : none_, key, out_.mistakes);
     read(t);
     t.unknown(" in " + std::string(key));
   }
   void needed(Table& t, const char* key, const char* what) {
-    if (!t.node(key)) t.expected(key, std::string("it must be there: ") + what);
+    if (!t.node(key))
+      t.expected(key, std::string("it must be there: ") + what);
   }
 
   void readRun(Table& t) {
@@ -159,7 +166,8 @@
     c.rule.effect = effect == "unsafe" ? Effect::unsafe : effect == "keyed" ? Effect::keyed : Effect::safe;
     c.rule.aim = t.span("aim", 4'000'000, 1000, 3'600'000'000);
     c.rule.deadline = t.span("deadline", 28'000'000, 1000, 3'600'000'000);
-    if (c.rule.deadline < c.rule.aim) t.expected("deadline", "it must not come before the aim");
+    if (c.rule.deadline < c.rule.aim)
+      t.expected("deadline", "it must not come before the aim");
     c.rule.worth = t.real("worth", 1, 0, 1e6);
     c.rule.late_worth = t.real("late_worth", 0.3, 0, 1);
     c.rule.memory = t.span("memory", 12'000'000, 0, 3'600'000'000);
@@ -174,16 +182,20 @@
     const std::string kind = t.word(
         "kind", {"refuse", "hang", "shut", "slow", "common_slow", "cut", "limit", "leave", "kill", "stop"});
     for (const auto& [k, name] : kTroubles)
-      if (kind == name) x.kind = k;
-    if (t.node("at")) x.at = t.span("at", 0, 0, static_cast<Micros>(24 * kHour));
-    if (x.at > w_.length) t.expected("at", "a moment before the end of [run] length is expected");
+      if (kind == name)
+        x.kind = k;
+    if (t.node("at"))
+      x.at = t.span("at", 0, 0, static_cast<Micros>(24 * kHour));
+    if (x.at > w_.length)
+      t.expected("at", "a moment before the end of [run] length is expected");
     x.length = spans(t, "length", x.length, 0, static_cast<Micros>(24 * kHour));
     x.part = range(t, "part", x.part, 0, 1);
     x.size = range(t, "size", x.size, 0.01, 1000);
     if (t.node("partners")) {
       x.partners = t.text("partners", "");
       std::vector<std::string> names;
-      for (const PartnerKind& k : w_.kinds) names.push_back(k.name);
+      for (const PartnerKind& k : w_.kinds)
+        names.push_back(k.name);
       if (std::find(names.begin(), names.end(), x.partners) == names.end()) {
         const std::string meant = nearest(x.partners, names);
         t.expected("partners", "the name of a [[kind]] is expected" +
@@ -204,8 +216,10 @@
 void fill(toml::table& file, const toml::table& base) {
   for (const auto& [key, value] : base) {
     toml::node* own = file.get(key.str());
-    if (!own) file.insert(key.str(), value);
-    else if (own->is_table() && value.is_table()) fill(*own->as_table(), *value.as_table());
+    if (!own)
+      file.insert(key.str(), value);
+    else if (own->is_table() && value.is_table())
+      fill(*own->as_table(), *value.as_table());
   }
 }
 
@@ -229,7 +243,8 @@
 
 const char* nameOf(TroubleKind kind) {
   for (const auto& [k, name] : kTroubles)
-    if (k == kind) return name;
+    if (k == kind)
+      return name;
   return "";
 }
 
--- a/rig/clients.cpp
+++ b/rig/clients.cpp
@@ -17,7 +17,8 @@
 class RespWire : public Wire {
   std::string request(const Message& m) const override {
     std::string fields = "c=" + m.cls + ",d=" + std::to_string(m.deadline_ms) + ",dest=" + m.to();
-    if (!m.key.empty()) fields += ",k=" + m.key;
+    if (!m.key.empty())
+      fields += ",k=" + m.key;
     std::string out = "*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n";
     for (const std::string* s : {&m.id, static_cast<const std::string*>(&fields), &m.body})
       out += "$" + std::to_string(s->size()) + "\r\n" + *s + "\r\n";
@@ -25,7 +26,8 @@
   }
   std::optional<Said> answer(std::string& in) const override {
     const auto end = in.find("\r\n");
-    if (end == std::string::npos) return std::nullopt;
+    if (end == std::string::npos)
+      return std::nullopt;
     const Said said = in[0] == '+'                     ? Said::accepted
                       : in.compare(0, 5, "-BUSY") == 0 ? Said::refused
                                                        : Said::failed;
@@ -39,15 +41,18 @@
     std::string out = "PUT /v1/messages/" + m.id + " HTTP/1.1\r\nHost: grademux\r\nGrademux-Class: " + m.cls +
                       "\r\nGrademux-Destination: " + m.to() +
                       "\r\nGrademux-Deadline-Ms: " + std::to_string(m.deadline_ms) + "\r\n";
-    if (!m.key.empty()) out += "Idempotency-Key: " + m.key + "\r\n";
+    if (!m.key.empty())
+      out += "Idempotency-Key: " + m.key + "\r\n";
     return out + "Content-Length: " + std::to_string(m.body.size()) + "\r\n\r\n" + m.body;
   }
   std::optional<Said> answer(std::string& in) const override {
     const auto end = in.find("\r\n\r\n");
-    if (end == std::string::npos) return std::nullopt;
+    if (end == std::string::npos)
+      return std::nullopt;
     const auto length = in.find("\r\nContent-Length: ");
     const std::size_t size = length < end ? std::strtoul(in.c_str() + length + 18, nullptr, 10) : 0;
-    if (in.size() < end + 4 + size) return std::nullopt;
+    if (in.size() < end + 4 + size)
+      return std::nullopt;
     const int status = std::atoi(in.c_str() + 9);
     in.erase(0, end + 4 + size);
     return status == 202 || status == 200   ? Said::accepted
@@ -58,8 +63,12 @@
 
 }  // namespace
 
-std::unique_ptr<Wire> respWire() { return std::make_unique<RespWire>(); }
-std::unique_ptr<Wire> httpWire() { return std::make_unique<HttpWire>(); }
+std::unique_ptr<Wire> respWire() {
+  return std::make_unique<RespWire>();
+}
+std::unique_ptr<Wire> httpWire() {
+  return std::make_unique<HttpWire>();
+}
 
 struct Clients::Connection : std::enable_shared_from_this<Connection> {
   explicit Connection(Clients& c) : clients(c), socket(c.io_), retry(c.io_) {}
@@ -79,11 +88,14 @@
     go();
   }
   void go() {
-    if (open) return write();
+    if (open)
+      return write();
     socket = tcp::socket(clients.io_);
     socket.async_connect(clients.door_, [self = shared_from_this()](error_code e) {
-      if (self->gone) return;
-      if (e) return self->again();
+      if (self->gone)
+        return;
+      if (e)
+        return self->again();
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
       self->open = true;
@@ -94,26 +106,33 @@
   }
   // Nobody is there: nothing was handed in, it is tried again for a while.
   void again() {
-    if (++tries > 500) return finish(clients.cuts_ ? Said::cut : Said::nothing);
+    if (++tries > 500)
+      return finish(clients.cuts_ ? Said::cut : Said::nothing);
     retry.expires_after(std::chrono::milliseconds(20));
     retry.async_wait([self = shared_from_this()](error_code e) {
-      if (!e && !self->gone) self->go();
+      if (!e && !self->gone)
+        self->go();
     });
   }
   void write() {
     asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (self->gone) return;
-      if (e) return self->broke();
+      if (self->gone)
+        return;
+      if (e)
+        return self->broke();
       self->read();
     });
   }
   void read() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (self->gone) return;
-      if (e) return self->broke();
+      if (self->gone)
+        return;
+      if (e)
+        return self->broke();
       self->in.append(self->piece, n);
       const auto said = self->clients.wire_->answer(self->in);
-      if (!said) return self->read();
+      if (!said)
+        return self->read();
       self->used = true;
       self->finish(*said);
     });
@@ -135,14 +154,16 @@
     done = nullptr;
     --clients.busy_;
     d(said);
-    if (!gone) clients.next(shared_from_this());
+    if (!gone)
+      clients.next(shared_from_this());
   }
 };
 
 Clients::Clients(asio::io_context& io, tcp::endpoint door, std::unique_ptr<Wire> wire,
                  std::size_t connections)
     : io_(io), door_(std::move(door)), wire_(std::move(wire)) {
-  for (std::size_t i = 0; i < connections; ++i) connections_.push_back(std::make_shared<Connection>(*this));
+  for (std::size_t i = 0; i < connections; ++i)
+    connections_.push_back(std::make_shared<Connection>(*this));
 }
 
 Clients::~Clients() {
@@ -156,11 +177,13 @@
 void Clients::submit(const Message& m, Done done) {
   queue_.emplace_back(wire_->request(m), std::move(done));
   for (const auto& c : connections_)
-    if (!c->done) return next(c);
+    if (!c->done)
+      return next(c);
 }
 
 void Clients::next(const std::shared_ptr<Connection>& c) {
-  if (queue_.empty() || c->done) return;
+  if (queue_.empty() || c->done)
+    return;
   auto [request, done] = std::move(queue_.front());
   queue_.pop_front();
   ++busy_;
--- a/rig/dns_stand_in.cpp
+++ b/rig/dns_stand_in.cpp
@@ -56,7 +56,8 @@
 
   void read() {
     asio::async_read(socket, asio::buffer(length), [self = shared_from_this()](error_code e, std::size_t) {
-      if (e) return self->end();
+      if (e)
+        return self->end();
       self->in.resize(static_cast<std::size_t>(self->length[0]) << 8 | self->length[1]);
       asio::async_read(self->socket, asio::buffer(self->in),
                        [self](error_code e2, std::size_t) { e2 ? self->end() : self->reply(); });
@@ -64,7 +65,8 @@
   }
   void reply() {
     const Bytes answer = server.answer(in.data(), in.size(), true);
-    if (answer.empty()) return end();
+    if (answer.empty())
+      return end();
     out.clear();
     put16(out, static_cast<unsigned>(answer.size()));
     out.insert(out.end(), answer.begin(), answer.end());
@@ -88,8 +90,10 @@
     tcp_.open(same.protocol());
     tcp_.set_option(tcp::acceptor::reuse_address(true));
     tcp_.bind(same, e);
-    if (!e) break;
-    if (i == kPorts) throw std::runtime_error("no port for a name server");
+    if (!e)
+      break;
+    if (i == kPorts)
+      throw std::runtime_error("no port for a name server");
   }
   tcp_.listen();
   receive();
@@ -109,11 +113,13 @@
 
 void DnsStandIn::receive() {
   udp_.async_receive_from(asio::buffer(in_), peer_, [this](error_code e, std::size_t size) {
-    if (e == asio::error::operation_aborted) return;
+    if (e == asio::error::operation_aborted)
+      return;
     if (!e) {
       const Bytes out = answer(in_.data(), size, false);
       error_code ignored;
-      if (!out.empty()) udp_.send_to(asio::buffer(out), peer_, 0, ignored);
+      if (!out.empty())
+        udp_.send_to(asio::buffer(out), peer_, 0, ignored);
     }
     receive();
   });
@@ -121,7 +127,8 @@
 
 void DnsStandIn::accept() {
   tcp_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted) return;
+    if (e == asio::error::operation_aborted)
+      return;
     if (!e) {
       const auto session = std::make_shared<TcpSession>(*this, std::move(s));
       sessions_.insert(session);
@@ -132,24 +139,31 @@
 }
 
 Bytes DnsStandIn::answer(const std::uint8_t* query, std::size_t size, bool over_tcp) {
-  if (size < kHeader + 5) return {};
+  if (size < kHeader + 5)
+    return {};
   std::string name;
   std::size_t at = kHeader;
   while (at < size && query[at] != 0) {
     const std::size_t label = query[at++];
-    if (label > 63 || at + label > size) return {};
-    if (!name.empty()) name += '.';
-    for (std::size_t i = 0; i < label; ++i) name += static_cast<char>(std::tolower(query[at + i]));
+    if (label > 63 || at + label > size)
+      return {};
+    if (!name.empty())
+      name += '.';
+    for (std::size_t i = 0; i < label; ++i)
+      name += static_cast<char>(std::tolower(query[at + i]));
     at += label;
   }
-  if (at + 5 > size) return {};
+  if (at + 5 > size)
+    return {};
   const int type = query[at + 1] << 8 | query[at + 2];
   const Bytes question(query + kHeader, query + at + 5);
-  if (over_tcp) ++over_tcp_;
+  if (over_tcp)
+    ++over_tcp_;
 
   const auto found = zone.find(name);
   DnsFault fault = found == zone.end() ? DnsFault::no_name : found->second.fault;
-  if (fault == DnsFault::silent || (fault == DnsFault::cut_off && over_tcp)) return {};
+  if (fault == DnsFault::silent || (fault == DnsFault::cut_off && over_tcp))
+    return {};
   std::vector<Record> records;
   if (found != zone.end() && fault != DnsFault::no_data) {
     const DnsZoneEntry& z = found->second;
@@ -166,18 +180,21 @@
     if (type == kTypeSrv)
       for (const DnsService& s : z.services) {
         Record r{type, {}};
-        for (const int v : {s.priority, s.weight, s.port}) put16(r.data, static_cast<unsigned>(v));
+        for (const int v : {s.priority, s.weight, s.port})
+          put16(r.data, static_cast<unsigned>(v));
         putName(r.data, s.target);
         records.push_back(std::move(r));
       }
   }
   const bool cut = (fault == DnsFault::truncated && !over_tcp) || fault == DnsFault::cut_off;
-  if (cut && records.size() > 1) records.resize(1);
+  if (cut && records.size() > 1)
+    records.resize(1);
   const unsigned code = fault == DnsFault::no_name   ? 3
                         : fault == DnsFault::failed  ? 2
                         : fault == DnsFault::refused ? 5
                                                      : 0;
-  if (code != 0) records.clear();
+  if (code != 0)
+    records.clear();
 
   if (const auto then = on_answer_.find(name); then != on_answer_.end() && fault == DnsFault::none) {
     const auto call = std::move(then->second);
@@ -200,7 +217,8 @@
     out.insert(out.end(), question.begin(), question.end());
   }
   if (fault == DnsFault::garbled) {
-    for (int i = 0; i < 40; ++i) out.push_back(static_cast<std::uint8_t>(0xff - 7 * i));
+    for (int i = 0; i < 40; ++i)
+      out.push_back(static_cast<std::uint8_t>(0xff - 7 * i));
     out[7] = 9;  // answers that are not there
     return out;
   }
--- a/rig/fleet.cpp
+++ b/rig/fleet.cpp
@@ -100,7 +100,8 @@
 
 Fleet::~Fleet() {
   stopLoad();
-  for (std::size_t i = 0; i < size(); ++i) worlds_[i]->child().signal(SIGKILL);
+  for (std::size_t i = 0; i < size(); ++i)
+    worlds_[i]->child().signal(SIGKILL);
   worlds_.clear();
   io_.stop();
   thread_.join();
@@ -117,10 +118,13 @@
   done.get_future().wait();
 }
 
-void Fleet::start(std::size_t i) { worlds_[i]->start(); }
+void Fleet::start(std::size_t i) {
+  worlds_[i]->start();
+}
 
 void Fleet::startAll() {
-  for (std::size_t i = 0; i < size(); ++i) start(i);
+  for (std::size_t i = 0; i < size(); ++i)
+    start(i);
 }
 
 void Fleet::beginLoad() {
@@ -128,30 +132,36 @@
   for (auto& w : worlds_) {
     w->expectCuts(true);  // whoever is sent away, or meets a dead process, comes again
     load_.emplace_back([this, world = w.get()] {
-      while (loading_) world->load(shape_.rate, 50'000, {By::resp});
+      while (loading_)
+        world->load(shape_.rate, 50'000, {By::resp});
     });
   }
 }
 
 void Fleet::stopLoad() {
   loading_ = false;
-  for (std::thread& t : load_) t.join();
+  for (std::thread& t : load_)
+    t.join();
   load_.clear();
 }
 
 void Fleet::cutStore(std::size_t i, Link::Way way) {
   onStore([&] {
-    for (auto& l : links_[i]) l->set(way);
+    for (auto& l : links_[i])
+      l->set(way);
   });
   auto& deaf = deaf_[i];
   if (way == Link::Way::whole) {
-    if (!deaf.empty() && deaf.back().to == 0) deaf.back().to = monotonicNow();
+    if (!deaf.empty() && deaf.back().to == 0)
+      deaf.back().to = monotonicNow();
   } else if (deaf.empty() || deaf.back().to != 0) {
     deaf.push_back({monotonicNow(), 0});
   }
 }
 
-void Fleet::stop(std::size_t i) { worlds_[i]->child().signal(SIGSTOP); }
+void Fleet::stop(std::size_t i) {
+  worlds_[i]->child().signal(SIGSTOP);
+}
 void Fleet::go(std::size_t i) {
   went_[i].push_back(monotonicNow());
   worlds_[i]->child().signal(SIGCONT);
@@ -164,15 +174,18 @@
 }
 void Fleet::trap(std::size_t who, int nth, bool before, std::function<void(std::size_t node)> then) {
   std::vector<std::string> asked;  // under which name each node is known to whoever is waited for
-  if (who == kCommand) asked = store_->addresses();
+  if (who == kCommand)
+    asked = store_->addresses();
   else
-    for (std::size_t n = 0; n < links_[who].size(); ++n) asked.push_back(links_[who][n]->address());
+    for (std::size_t n = 0; n < links_[who].size(); ++n)
+      asked.push_back(links_[who][n]->address());
   sprung_ = false;
   auto left = std::make_shared<int>(nth);
   onStore([&] {
     store_->on_request = [=](const Request& r, bool is_before) {
       const auto at = std::find(asked.begin(), asked.end(), r.field("Host"));
-      if (is_before != before || sprung_ || at == asked.end() || --*left > 0) return;
+      if (is_before != before || sprung_ || at == asked.end() || --*left > 0)
+        return;
       const auto n = static_cast<std::size_t>(at - asked.begin());
       then(who == kCommand ? n : (who + n) % asked.size());
       sprung_ = true;
@@ -185,7 +198,8 @@
 }
 
 void Fleet::killCommand() {
-  while (command_ <= 0) std::this_thread::yield();  // it asks before its start has come back
+  while (command_ <= 0)
+    std::this_thread::yield();  // it asks before its start has come back
   ::kill(command_, SIGKILL);
 }
 
@@ -200,20 +214,24 @@
 
 void Fleet::zone(const std::string& name, Trouble t, const std::vector<std::size_t>& senders) {
   for (std::size_t i = 0; i < size(); ++i) {
-    if (!senders.empty() && std::find(senders.begin(), senders.end(), i) == senders.end()) continue;
+    if (!senders.empty() && std::find(senders.begin(), senders.end(), i) == senders.end())
+      continue;
     World& w = *worlds_[i];
     const Micros from = monotonicNow();
     w.onStandIns([&] {
       for (std::size_t e = 0; e < w.endpoints(); ++e) {
-        if (w.zoneOf(e) != name) continue;
+        if (w.zoneOf(e) != name)
+          continue;
         Link& l = w.endpointLink(e);
         // What was held back is lost, not late.
-        if (t == Trouble::none) l.resetAll();
+        if (t == Trouble::none)
+          l.resetAll();
         l.set(t == Trouble::silent    ? Link::Way::cut
               : t == Trouble::refuses ? Link::Way::refused
                                       : Link::Way::whole);
         w.endpoint(e).behaviour.fail = t == Trouble::errors ? 1 : 0;
-        if (t == Trouble::none && senders.empty()) standings_[e]->returned = monotonicNow();
+        if (t == Trouble::none && senders.empty())
+          standings_[e]->returned = monotonicNow();
       }
     });
     w.ledger.cutOff(from);
@@ -222,7 +240,8 @@
 
 void Fleet::cold(const std::string& name) {
   for (std::size_t e = 0; e < worlds_[0]->endpoints(); ++e)
-    if (worlds_[0]->zoneOf(e) == name) standings_[e]->returned = monotonicNow();
+    if (worlds_[0]->zoneOf(e) == name)
+      standings_[e]->returned = monotonicNow();
 }
 
 double Fleet::bears() const {
@@ -244,7 +263,8 @@
   std::vector<std::pair<Micros, json>> all;
   for (const StoreStandIn::Change& c : store_->changes(std::string(kPrefix) + "/plan")) {
     json o = json::parse(c.value, nullptr, false);
-    if (o.is_object()) all.emplace_back(c.at, std::move(o));
+    if (o.is_object())
+      all.emplace_back(c.at, std::move(o));
   }
   return all;
 }
@@ -261,7 +281,9 @@
       std::count_if(all.begin(), all.end(), [&](const Called& c) { return c.zone == zone && c.at > since; }));
 }
 
-void Fleet::restart(std::size_t i, const std::string& program) { worlds_[i]->again(program); }
+void Fleet::restart(std::size_t i, const std::string& program) {
+  worlds_[i]->again(program);
+}
 
 void Fleet::setAim(double aim_ms) {
   for (auto& w : worlds_) {
@@ -277,7 +299,8 @@
 
 std::vector<std::string> Fleet::storeAt() const {
   std::vector<std::string> words = {"--prefix", kPrefix};
-  for (const std::string& a : store_->addresses()) words.insert(words.end(), {"--store", a});
+  for (const std::string& a : store_->addresses())
+    words.insert(words.end(), {"--store", a});
   return words;
 }
 
@@ -307,7 +330,8 @@
 Fleet::Said Fleet::insist(const std::vector<std::string>& words) {
   Said said;
   for (int tries = 0; tries < 10; ++tries)
-    if (said = word(words); said.text.find("not done: meanwhile") == std::string::npos) break;
+    if (said = word(words); said.text.find("not done: meanwhile") == std::string::npos)
+      break;
   return said;
 }
 
@@ -322,7 +346,8 @@
 
 bool Fleet::eventually(const std::function<bool()>& holds, Micros most) const {
   for (const Micros until = monotonicNow() + most; !holds();) {
-    if (monotonicNow() > until) return false;
+    if (monotonicNow() > until)
+      return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   return true;
@@ -331,7 +356,8 @@
 bool Fleet::allAt(std::int64_t plan) {
   for (std::size_t i = 0; i < size(); ++i) {
     const json r = report(i);
-    if (!r.is_object() || r["own"]["plan"] != plan) return false;
+    if (!r.is_object() || r["own"]["plan"] != plan)
+      return false;
   }
   return true;
 }
@@ -351,7 +377,8 @@
     p.at = at;
     p.number = o.value("number", std::int64_t{0});
     p.binds = p.at + o.value("binds_after_ms", std::int64_t{0}) * 1000;
-    if (!all.empty()) p.binds = std::max(p.binds, all.back().binds);
+    if (!all.empty())
+      p.binds = std::max(p.binds, all.back().binds);
     // Over one that was lenient it binds only those who have heard of it.
     const bool strict = o.value("strict", false);
     p.strict = strict && before;
@@ -374,14 +401,16 @@
   const auto stoodStill = [&](const Called& c) {
     const auto at =
         std::find_if(stops.begin(), stops.end(), [&](Micros s) { return c.at >= s && c.at < s + kSlack; });
-    if (at == stops.end()) return false;
+    if (at == stops.end())
+      return false;
     stops.erase(at);
     return true;
   };
   for (const Called& c : made) {
     unstamped += c.plan < 0;
     for (const Plan& p : all) {
-      if (!p.strict || c.plan >= p.number || c.at <= p.binds) continue;
+      if (!p.strict || c.plan >= p.number || c.at <= p.binds)
+        continue;
       worst = std::max(worst, c.at - p.binds);
       // What was begun before and arrives after is no call that starts after.
       c.at > p.binds + kSlack && !stoodStill(c) ? ++old : ++residue;
@@ -393,15 +422,18 @@
   World& w = *worlds_[i];
   for (const Stretch& s : deaf_[i])
     for (const Plan& p : all) {
-      if (!p.strict || p.at < s.from + kSlack) continue;
+      if (!p.strict || p.at < s.from + kSlack)
+        continue;
       const Micros to = s.to == 0 ? monotonicNow() : s.to;
       for (std::size_t m = 0; m < w.ledger.size(); ++m) {
         const Record& r = w.ledger.at(static_cast<std::int64_t>(m));
         const Micros at = r.answered;
-        if (r.said == rig::Said::accepted && at > p.binds + kSlack && at < to) ++taken;
+        if (r.said == rig::Said::accepted && at > p.binds + kSlack && at < to)
+          ++taken;
       }
       for (const Called& c : made)
-        if (c.at > p.binds + kSlack && c.at < to) ++old;
+        if (c.at > p.binds + kSlack && c.at < to)
+          ++old;
     }
   f["calls_under_old_version_after_bind"] = old;
   f["taken_on_by_shut_out"] = taken;
@@ -421,7 +453,8 @@
                trials = f.value("trials", std::int64_t{0});
   for (const Called& c : calls(i)) {
     const auto plan = zones_of.find(c.plan);
-    if (plan == zones_of.end() || !plan->second.contains(c.zone)) continue;
+    if (plan == zones_of.end() || !plan->second.contains(c.zone))
+      continue;
     const json& state = plan->second[c.zone];
     const bool trial = state["state"] == "back" && state["stage"] == 0;
     const bool carries =
@@ -459,7 +492,8 @@
           next != now.end() && next->second.state == was.state && next->second.stage == was.stage;
       if (next != now.end())
         next->second.failed = was.failed + (was.state == "back" && next->second.state == "out");
-      if (same) next->second.since = was.since;
+      if (same)
+        next->second.since = was.since;
       else if (by_sender && (next == now.end() || next->second.state == "back"))
         early += at - was.since < (was.state == "out" ? kPause << was.failed : kStage);
     }
@@ -497,12 +531,15 @@
         continue;
       }
       const std::string kind = r.value("kind", "");
-      if (kind == "segment") continue;
+      if (kind == "segment")
+        continue;
       gaps += r.value("seq", std::int64_t{0}) != sequence + 1;
       sequence = r.value("seq", std::int64_t{0});
       standings += kind == "standing";
-      if (kind == "version") plan_of[r["number"]] = r["own"]["plan"];
-      for (const json& v : r.value("versions", json::array())) plan_of[v["number"]] = v["own"]["plan"];
+      if (kind == "version")
+        plan_of[r["number"]] = r["own"]["plan"];
+      for (const json& v : r.value("versions", json::array()))
+        plan_of[v["number"]] = v["own"]["plan"];
     }
   }
   std::int64_t disagrees = 0;
@@ -524,9 +561,11 @@
   std::vector<std::future<bool>> all;
   for (auto& w : worlds_)
     all.push_back(std::async(std::launch::async, [&w] { return w->settle(40'000'000); }));
-  for (auto& s : all) settled = s.get() && settled;
+  for (auto& s : all)
+    settled = s.get() && settled;
   bool ended_well = true;
-  for (auto& w : worlds_) w->child().signal(SIGTERM);
+  for (auto& w : worlds_)
+    w->child().signal(SIGTERM);
   for (auto& w : worlds_) {
     const int status = w->child().wait();
     ended_well = ended_well && WIFEXITED(status) && WEXITSTATUS(status) == 0;
@@ -539,13 +578,15 @@
          {"submitted", "accepted", "refused", "cut", "delivered", "messages_lost", "double_ends",
           "unsafe_twice", "run_after_refusal", "answers_lost", "strangers", "calls_after_drain"})
       f[name] = f.value(name, std::int64_t{0}) + s.value(name, std::int64_t{0});
-    if (s.contains("two_ends")) f["two_ends"]["s" + std::to_string(i)] = s["two_ends"];
+    if (s.contains("two_ends"))
+      f["two_ends"]["s" + std::to_string(i)] = s["two_ends"];
     holdAgainst(i, f);
     heldTrail(i, calls(i), f);
     heldZones(i, f);
   }
   std::uint64_t pushed = 0, waits = 0;
-  for (const auto& s : standings_) pushed += s->fell_over, waits += s->waits_broken;
+  for (const auto& s : standings_)
+    pushed += s->fell_over, waits += s->waits_broken;
   f["early_stages"] = earlyStages();
   f["pushed_over"] = pushed;
   f["waits_broken"] = waits;
--- a/rig/fleet_audit.cpp
+++ b/rig/fleet_audit.cpp
@@ -28,7 +28,8 @@
     propose(true);
     wait(kSecond / 2);
     const Micros until = begin_ + options_.seconds * kSecond;
-    while (monotonicNow() < until) step();
+    while (monotonicNow() < until)
+      step();
     mend();
     const std::int64_t last = fleet_.planNumber();
     const bool together = fleet_.eventually([&] { return fleet_.allAt(fleet_.planNumber()); }, 60 * kSecond);
@@ -54,7 +55,8 @@
     FleetShape s;
     s.senders = o.senders;
     s.lease = static_cast<Micros>(o.lease_s * 1e6);
-    if (o.rate > 0) s.rate = o.rate;
+    if (o.rate > 0)
+      s.rate = o.rate;
     return s;
   }
   void say(const std::string& what) {
@@ -71,12 +73,14 @@
   void propose(bool first = false) {
     aim_ = 4000 + 10 * ++proposed_;
     fleet_.setAim(aim_);
-    for (const std::size_t i : broken_) fleet_.world(i).writeConfig(false);
+    for (const std::size_t i : broken_)
+      fleet_.world(i).writeConfig(false);
     std::vector<std::string> words = {"--settings", fleet_.settingsDigest(intact()), "--mode", "strict"};
     if (first)
       words.insert(words.end(), {"--lease", std::to_string(options_.lease_s), "--binds-after",
                                  std::to_string(options_.lease_s)});
-    else words.insert(words.end(), {"--binds-after", std::to_string(options_.lease_s)});
+    else
+      words.insert(words.end(), {"--binds-after", std::to_string(options_.lease_s)});
     words.insert(words.end(), {"--most-shut-out", "0.5"});
     const auto said = fleet_.propose(words);
     say("propose: " + std::to_string(said.status) + " " + said.text.substr(0, said.text.find('\n')));
@@ -91,7 +95,8 @@
   }
   std::size_t intact() const {
     for (std::size_t i = 0; i < fleet_.size(); ++i)
-      if (!broken_.count(i)) return i;
+      if (!broken_.count(i))
+        return i;
     return 0;
   }
 
@@ -111,7 +116,8 @@
         say(who + " is cut off from the store, way " + std::to_string(static_cast<int>(way)));
         fleet_.cutStore(i, way);
         deaf_.insert(i);
-        if (random_() % 3) propose();
+        if (random_() % 3)
+          propose();
         wait(span(0.2, 2.5));
         say(who + " is joined again");
         fleet_.cutStore(i, Link::Way::whole);
@@ -122,7 +128,8 @@
         say(who + " is stopped");
         fleet_.stop(i);
         stopped_.insert(i);
-        if (random_() % 3) propose();
+        if (random_() % 3)
+          propose();
         wait(span(0.2, 2.5));
         say(who + " goes on");
         fleet_.go(i);
@@ -203,6 +210,8 @@
 
 }  // namespace
 
-json fleetAudit(const Options& o) { return Audit(o).play(); }
+json fleetAudit(const Options& o) {
+  return Audit(o).play();
+}
 
 }  // namespace grademux::rig
--- a/rig/fleet_cost.cpp
+++ b/rig/fleet_cost.cpp
@@ -29,21 +29,25 @@
  public:
   OwnCore() {
     CPU_ZERO(&all_);
-    if (::sched_getaffinity(0, sizeof all_, &all_) != 0 || CPU_COUNT(&all_) < 3) return;
+    if (::sched_getaffinity(0, sizeof all_, &all_) != 0 || CPU_COUNT(&all_) < 3)
+      return;
     rest_ = all_;
-    for (core_ = CPU_SETSIZE - 1; !CPU_ISSET(core_, &all_);) --core_;
+    for (core_ = CPU_SETSIZE - 1; !CPU_ISSET(core_, &all_);)
+      --core_;
     CPU_CLR(core_, &rest_);
     ::sched_setaffinity(0, sizeof rest_, &rest_);  // threads that begin from now on, too
   }
   ~OwnCore() {
-    if (core_ >= 0) ::sched_setaffinity(0, sizeof all_, &all_);
+    if (core_ >= 0)
+      ::sched_setaffinity(0, sizeof all_, &all_);
   }
   OwnCore(const OwnCore&) = delete;
   OwnCore& operator=(const OwnCore&) = delete;
   bool held() const { return core_ >= 0; }
   // The process that `start` makes, and its threads, run there.
   void with(const std::function<void()>& start) const {
-    if (core_ < 0) return start();
+    if (core_ < 0)
+      return start();
     cpu_set_t one;
     CPU_ZERO(&one);
     CPU_SET(core_, &one);
@@ -94,7 +98,8 @@
 // the order statistics at n/2 -+ 0.98 root of n.
 json ratio(const std::vector<double>& a, const std::vector<double>& b) {
   std::vector<double> r;
-  for (std::size_t i = 0; i < a.size(); ++i) r.push_back(a[i] / b[i]);
+  for (std::size_t i = 0; i < a.size(); ++i)
+    r.push_back(a[i] / b[i]);
   std::sort(r.begin(), r.end());
   const double n = static_cast<double>(r.size()), off = 0.98 * std::sqrt(n);
   const auto low = static_cast<std::size_t>(std::max(0.0, std::floor(n / 2 - off)));
@@ -129,7 +134,8 @@
     all[i].name = fleet ? "fleet" : i == 0 ? "plain" : "plain again";
     all[i].world = std::make_unique<World>(o.sender, o.seed, shape);
     all[i].world->setDaemonText([&store, fleet]() -> std::string {  // without a fleet an empty one
-      if (!fleet) return "";
+      if (!fleet)
+        return "";
       return "[fleet]\nname = \"s0\"\nstore = [\"" + store.addresses()[0] + "\"]\nstamp = true\n";
     });
     core.with([&] { all[i].world->start(); });
@@ -140,13 +146,15 @@
     Child command;
     command.start({o.sender, "fleet", "plan", "propose", "--why", "rig", "--store", store.addresses()[0]}, {},
                   said.path() + "/said");
-    if (command.wait() != 0) throw std::runtime_error("no plan can be made");
+    if (command.wait() != 0)
+      throw std::runtime_error("no plan can be made");
   }
   std::mt19937_64 random(o.seed);
   std::vector<std::size_t> order = {0, 1, 2};
   for (int round = 0; round < rounds; ++round) {
     std::shuffle(order.begin(), order.end(), random);
-    for (const std::size_t i : order) all[i].slice(o.rate);
+    for (const std::size_t i : order)
+      all[i].slice(o.rate);
     std::cout << "round " << round << ":";
     for (const Busy& b : all)
       std::cout << ' ' << b.name << ' ' << static_cast<int>(b.per_second.back()) << "/s "
@@ -158,7 +166,8 @@
   for (Busy& b : all) {
     bool kept = false;
     const json summary = b.world->ledger.summary(kept);
-    if (!kept) std::cout << b.name << ' ' << summary.dump() << '\n' << b.world->log() << '\n';
+    if (!kept)
+      std::cout << b.name << ' ' << summary.dump() << '\n' << b.world->log() << '\n';
     const int status = b.world->stop();
     ended_well = ended_well && kept && WIFEXITED(status) && WEXITSTATUS(status) == 0;
     figures[b.name] = {{"deliveries", b.world->ledger.deliveries.load()},
@@ -185,7 +194,8 @@
   fleet.startAll();
   fleet.beginLoad();
   std::string where;
-  for (const std::string& word : fleet.storeAt()) where += " " + word;
+  for (const std::string& word : fleet.storeAt())
+    where += " " + word;
   std::cout << "the fleet is at" << where << '\n';
   for (std::size_t i = 0; i < fleet.size(); ++i)
     std::cout << "s" << i << ": configuration " << fleet.world(i).configFile() << ", folder "
--- a/rig/fleet_crowd.cpp
+++ b/rig/fleet_crowd.cpp
@@ -39,7 +39,8 @@
   void end() {
     work.reset();
     io.stop();
-    if (thread.joinable()) thread.join();
+    if (thread.joinable())
+      thread.join();
   }
   ~Loop() { end(); }
 };
@@ -60,7 +61,8 @@
   }
   ~Crowd() {
     senders_.on([&] {
-      for (One& one : all_) one.part->release("end");
+      for (One& one : all_)
+        one.part->release("end");
     });
     stores_.end();
     senders_.end();
@@ -89,7 +91,8 @@
       busiest = std::max(busiest, peak);
       plan_calls += store_.requests() - calls_before;
       plan_bytes += store_.bytes() - bytes_before;
-      if (each.empty()) return {{"senders", options_.senders}, {"plan", n}, {"holds", false}};
+      if (each.empty())
+        return {{"senders", options_.senders}, {"plan", n}, {"holds", false}};
       last.push_back(*std::max_element(each.begin(), each.end()));
       spans.insert(spans.end(), each.begin(), each.end());
       std::this_thread::sleep_for(std::chrono::seconds(1));
@@ -159,7 +162,8 @@
       });
     }
     senders_.on([&] {
-      for (One& one : all_) one.part->start(one.own, "start", {});
+      for (One& one : all_)
+        one.part->start(one.own, "start", {});
     });
   }
 
@@ -170,7 +174,8 @@
     std::uint64_t most = 0, before = store_.requests();
     Micros second = monotonicNow();
     for (std::size_t left = all_.size(); left > 0;) {
-      if (monotonicNow() - from > 60 * kSecond) return {{}, most};
+      if (monotonicNow() - from > 60 * kSecond)
+        return {{}, most};
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
       if (monotonicNow() - second >= kSecond) {
         most = std::max(most, store_.requests() - before);
@@ -178,9 +183,11 @@
         second = monotonicNow();
       }
       for (std::size_t i = 0; i < all_.size(); ++i) {
-        if (each[i] > 0) continue;
+        if (each[i] > 0)
+          continue;
         const json r = json::parse(store_.value("grademux/senders/" + all_[i].name), nullptr, false);
-        if (!r.is_object() || r["own"]["plan"] != plan) continue;
+        if (!r.is_object() || r["own"]["plan"] != plan)
+          continue;
         each[i] = std::max<Micros>(1, monotonicNow() - from);
         --left;
       }
@@ -199,6 +206,8 @@
 
 }  // namespace
 
-json fleetCrowd(const Options& o) { return Crowd(o).play(); }
+json fleetCrowd(const Options& o) {
+  return Crowd(o).play();
+}
 
 }  // namespace grademux::rig
--- a/rig/fleet_zone.cpp
+++ b/rig/fleet_zone.cpp
@@ -38,12 +38,14 @@
     const std::string lease = std::to_string(options_.lease_s);
     const auto said = fleet_.propose({"--settings", fleet_.settingsDigest(), "--mode", "lenient", "--lease",
                                       lease, "--binds-after", lease});
-    if (said.status != 0) throw std::runtime_error("no plan: " + said.text);
+    if (said.status != 0)
+      throw std::runtime_error("no plan: " + said.text);
     fleet_.eventually([&] { return fleet_.allAt(1); });
     fleet_.beginLoad();
     wait(6 * kSecond);  // senders know what is usual
     const Micros until = begin_ + options_.seconds * kSecond;
-    do failure();
+    do
+      failure();
     while (monotonicNow() < until);
     const bool together = fleet_.eventually([&] { return fleet_.allAt(fleet_.planNumber()); }, 60 * kSecond);
     json f = fleet_.finish();
@@ -66,8 +68,10 @@
     s.zones = regions ? 4 : o.zones;
     s.bears = regions ? 2.4 : 1.8;
     s.judge = how != How::one_by_one;
-    if (regions) s.regions = kRegions;
-    if (o.rate > 0) s.rate = o.rate;
+    if (regions)
+      s.regions = kRegions;
+    if (o.rate > 0)
+      s.rate = o.rate;
     return s;
   }
   void say(const std::string& what) {
@@ -85,8 +89,10 @@
     });
   }
   void word(const char* what, const Failure& f) {
-    if (how_ != How::told) return;
-    for (const std::string& z : f.zones) fleet_.insist({"fleet", "zone", what, z, "--why", "rig"});
+    if (how_ != How::told)
+      return;
+    for (const std::string& z : f.zones)
+      fleet_.insist({"fleet", "zone", what, z, "--why", "rig"});
   }
 
   void failure() {
@@ -94,7 +100,8 @@
     const auto zones = static_cast<std::size_t>(regions_ ? 4 : options_.zones);
     if (regions_)
       f.zones = random_() % 2 ? std::vector<std::string>{"a", "b"} : std::vector<std::string>{"c", "d"};
-    else f.zones = {std::string(1, static_cast<char>('a' + random_() % zones))};
+    else
+      f.zones = {std::string(1, static_cast<char>('a' + random_() % zones))};
     static constexpr Fleet::Trouble kTroubles[] = {Fleet::Trouble::silent, Fleet::Trouble::refuses,
                                                    Fleet::Trouble::errors};
     const auto trouble = random_() % 3;
@@ -102,26 +109,33 @@
     const auto meanwhile = random_() % 8, later = random_() % 8;
     const bool flaps = random_() % 4 == 0;
     std::string names;
-    for (const std::string& z : f.zones) names += z;
+    for (const std::string& z : f.zones)
+      names += z;
     say("zones " + names + " fail, way " + std::to_string(trouble) + (flaps ? ", and flap" : ""));
     f.from = monotonicNow();
-    for (const std::string& z : f.zones) fleet_.zone(z, kTroubles[trouble]);
+    for (const std::string& z : f.zones)
+      fleet_.zone(z, kTroubles[trouble]);
     word("leave", f);
     wait(first);
     fault(meanwhile);
     if (flaps) {
-      for (const std::string& z : f.zones) fleet_.zone(z, Fleet::Trouble::none);
+      for (const std::string& z : f.zones)
+        fleet_.zone(z, Fleet::Trouble::none);
       wait(kSecond);
-      for (const std::string& z : f.zones) fleet_.zone(z, kTroubles[trouble]);
+      for (const std::string& z : f.zones)
+        fleet_.zone(z, kTroubles[trouble]);
     }
-    while (monotonicNow() < f.from + lasts) wait(10'000);
+    while (monotonicNow() < f.from + lasts)
+      wait(10'000);
     say("zones " + names + " are well");
-    for (const std::string& z : f.zones) fleet_.zone(z, Fleet::Trouble::none);
+    for (const std::string& z : f.zones)
+      fleet_.zone(z, Fleet::Trouble::none);
     f.to = monotonicNow();
     word("return", f);
     wait(second);
     fault(later);
-    while (monotonicNow() < f.to + kBack) wait(10'000);
+    while (monotonicNow() < f.to + kBack)
+      wait(10'000);
     if (how_ != How::one_by_one && !fleet_.eventually([&] { return stands(f.zones, "in"); }, 40 * kSecond)) {
       say("zones " + names + " have NOT come back\n" + fleet_.word({"fleet", "zones"}).text);
       ++not_returned_;
@@ -140,9 +154,11 @@
       case 2: {  // 46% at once
         const std::size_t n = which == 1 ? 1 : std::max<std::size_t>(1, fleet_.size() * 46 / 100);
         say(std::to_string(n) + " senders from " + who + " on are killed and started");
-        for (std::size_t k = 0; k < n; ++k) fleet_.kill((i + k) % fleet_.size());
+        for (std::size_t k = 0; k < n; ++k)
+          fleet_.kill((i + k) % fleet_.size());
         wait(span / 2);
-        for (std::size_t k = 0; k < n; ++k) fleet_.restart((i + k) % fleet_.size());
+        for (std::size_t k = 0; k < n; ++k)
+          fleet_.restart((i + k) % fleet_.size());
         return;
       }
       case 3:
@@ -163,11 +179,13 @@
       case 6:
         say("the store is gone");
         fleet_.onStore([&] {
-          for (std::size_t n = 0; n < 3; ++n) fleet_.store().node(n, false);
+          for (std::size_t n = 0; n < 3; ++n)
+            fleet_.store().node(n, false);
         });
         wait(span);
         fleet_.onStore([&] {
-          for (std::size_t n = 0; n < 3; ++n) fleet_.store().node(n, true);
+          for (std::size_t n = 0; n < 3; ++n)
+            fleet_.store().node(n, true);
         });
         return;
       case 7:
@@ -195,15 +213,20 @@
             return p["zones"].contains(z) ? p["zones"][z]["state"] == state : state == std::string("in");
           });
         };
-        if (x.left == 0 && at >= x.from && at < x.to && all("out")) x.left = at;
-        if (x.left != 0 && x.back == 0 && at > x.to && all("in")) x.back = at;
+        if (x.left == 0 && at >= x.from && at < x.to && all("out"))
+          x.left = at;
+        if (x.left != 0 && x.back == 0 && at > x.to && all("in"))
+          x.back = at;
       }
       for (const Called& c : calls)
         if (c.at >= x.from && c.at < x.to && std::count(x.zones.begin(), x.zones.end(), c.zone))
           ++in_return, x.last_call = c.at;
-      if (x.left == 0) ++not_left;
-      else left.push_back(x.left - x.from), last.push_back(std::max(x.last_call, x.left) - x.from);
-      if (x.back != 0) back.push_back(x.back - x.to);
+      if (x.left == 0)
+        ++not_left;
+      else
+        left.push_back(x.left - x.from), last.push_back(std::max(x.last_call, x.left) - x.from);
+      if (x.back != 0)
+        back.push_back(x.back - x.to);
     }
     const auto worth = fleet_.worth();
     for (const auto& [at, p] : plans)
@@ -231,7 +254,8 @@
     for (std::size_t p = 0; p < plans.size(); ++p) {
       const Micros from = plans[p].first, to = p + 1 < plans.size() ? plans[p + 1].first : monotonicNow();
       for (const auto& [zone, s] : plans[p].second["zones"].items()) {
-        if (s["state"] != "back") continue;
+        if (s["state"] != "back")
+          continue;
         const bool trial = s["stage"] == 0;
         const double share = trial ? 4 : s["share"].get<double>() * fleet_.bears();
         const double most = share + options_.senders + 3 * std::sqrt(share);
@@ -239,7 +263,8 @@
         for (const Called& c : calls)  // what a sender sent before it had heard was another plan's
           if (c.at >= from && c.at < to && c.zone == zone && c.plan == plans[p].second["number"])
             ++seconds[{(c.at - from) / kSecond, trial ? 0 : c.endpoint}];
-        for (const auto& [second, n] : seconds) over += n > most;
+        for (const auto& [second, n] : seconds)
+          over += n > most;
       }
     }
     return over;
@@ -247,10 +272,12 @@
 
   // Plans under which zones of both regions were away.
   std::int64_t pairAway(const std::vector<std::pair<Micros, json>>& plans) const {
-    if (!regions_) return 0;
+    if (!regions_)
+      return 0;
     return std::count_if(plans.begin(), plans.end(), [](const auto& p) {
       bool north = false, south = false;
-      for (const auto& [zone, s] : p.second["zones"].items()) (zone < "c" ? north : south) = true;
+      for (const auto& [zone, s] : p.second["zones"].items())
+        (zone < "c" ? north : south) = true;
       return north && south;
     });
   }
@@ -269,7 +296,8 @@
 
 json fleetZone(const Options& o, bool regions) {
   json f = ZoneDay(o, regions, How::fleet).play();
-  if (!o.compare) return f;
+  if (!o.compare)
+    return f;
   const json alone = ZoneDay(o, regions, How::one_by_one).play();
   const json told = ZoneDay(o, regions, How::told).play();
   f["worth_one_by_one"] = alone["worth"];
--- a/rig/herd.cpp
+++ b/rig/herd.cpp
@@ -33,7 +33,8 @@
       worlds_.push_back(std::make_unique<World>(o.sender, o.seed + static_cast<std::uint64_t>(s), shape));
       World& w = *worlds_.back();
       w.setDaemonText([] { return std::string("[knowledge]\nkeep = true\ninterval = \"500 ms\"\n"); });
-      for (std::size_t i = 0; i < w.endpoints(); ++i) w.endpoint(i).shares(standings_[i / 2]);
+      for (std::size_t i = 0; i < w.endpoints(); ++i)
+        w.endpoint(i).shares(standings_[i / 2]);
     }
   }
 
@@ -69,12 +70,15 @@
   }
   // By the caller's thread: a child ends with the thread that started it.
   void start() {
-    for (auto& w : worlds_) w->start();
+    for (auto& w : worlds_)
+      w->start();
   }
   void each(const std::function<void(World&)>& f) {
     std::vector<std::future<void>> all;
-    for (auto& w : worlds_) all.push_back(std::async(std::launch::async, [&f, &w] { f(*w); }));
-    for (auto& f1 : all) f1.get();
+    for (auto& w : worlds_)
+      all.push_back(std::async(std::launch::async, [&f, &w] { f(*w); }));
+    for (auto& f1 : all)
+      f1.get();
   }
   void load(double part) {
     const double rate = options_.rate > 0 ? options_.rate : 40;
@@ -83,7 +87,8 @@
   void refuse(std::size_t destination, bool on) {
     each([=](World& w) {
       w.onStandIns([&] {
-        for (std::size_t e = 2 * destination; e < 2 * destination + 2; ++e) w.endpoint(e).refuse(on);
+        for (std::size_t e = 2 * destination; e < 2 * destination + 2; ++e)
+          w.endpoint(e).refuse(on);
       });
     });
   }
@@ -95,22 +100,27 @@
       done.push_back(std::async(std::launch::async, [this, i, &all] {
         all[i] = finished(*worlds_[i], [] { return json::object(); });
       }));
-    for (auto& f : done) f.get();
+    for (auto& f : done)
+      f.get();
     json f = {{"senders", options_.senders}};
     bool holds = true;
     for (const char* name : {"double_ends", "unsafe_twice", "calls_after_drain", "messages_lost",
                              "answers_lost", "delivered", "submitted"}) {
       std::int64_t sum = 0;
-      for (const json& one : all) sum += one.value(name, std::int64_t{0});
+      for (const json& one : all)
+        sum += one.value(name, std::int64_t{0});
       f[name] = sum;
     }
-    for (const json& one : all) holds = holds && one["holds"] == true;
+    for (const json& one : all)
+      holds = holds && one["holds"] == true;
     std::uint64_t fell = 0, waits = 0;
-    for (const auto& s : standings_) fell += s->fell_over, waits += s->waits_broken;
+    for (const auto& s : standings_)
+      fell += s->fell_over, waits += s->waits_broken;
     f["fell_over"] = fell;
     f["waits_broken"] = waits;
     f["holds"] = holds && fell == 0 && waits == 0;
-    if (f["holds"] != true) f["worlds"] = all;
+    if (f["holds"] != true)
+      f["worlds"] = all;
     return f;
   }
 
@@ -121,6 +131,8 @@
 
 }  // namespace
 
-json herd(const Options& o) { return Herd(o).play(); }
+json herd(const Options& o) {
+  return Herd(o).play();
+}
 
 }  // namespace grademux::rig
--- a/rig/http_stand_in.cpp
+++ b/rig/http_stand_in.cpp
@@ -15,7 +15,8 @@
 
 std::string Request::field(const std::string& name) const {
   const auto at = head.find("\r\n" + name + ": ");
-  if (at == std::string::npos) return "";
+  if (at == std::string::npos)
+    return "";
   const auto from = at + name.size() + 4;
   return head.substr(from, head.find("\r\n", from) - from);
 }
@@ -36,21 +37,27 @@
 
   void read() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open) return;
-      if (e) return self->close(false);
-      if (self->in.empty()) self->first_byte = monotonicNow();
+      if (!self->open)
+        return;
+      if (e)
+        return self->close(false);
+      if (self->in.empty())
+        self->first_byte = monotonicNow();
       self->in.append(self->piece, n);
-      if (!self->busy) self->next();
+      if (!self->busy)
+        self->next();
     });
   }
 
   void next() {
     const auto end = in.find("\r\n\r\n");
-    if (end == std::string::npos) return read();
+    if (end == std::string::npos)
+      return read();
     Request r;
     r.head = in.substr(0, end + 2);
     const std::size_t size = std::strtoul(r.field("Content-Length").c_str(), nullptr, 10);
-    if (in.size() < end + 4 + size) return read();
+    if (in.size() < end + 4 + size)
+      return read();
     r.body = in.substr(end + 4, size);
     in.erase(0, end + 4 + size);
     const auto space = r.head.find(' ');
@@ -70,19 +77,24 @@
     const bool close_after = r.close || r.reset, reset = r.reset;
     asio::async_write(socket, asio::buffer(out),
                       [self = shared_from_this(), close_after, reset](error_code e, std::size_t) {
-                        if (!self->open) return;
-                        if (e || close_after) return self->close(reset);
+                        if (!self->open)
+                          return;
+                        if (e || close_after)
+                          return self->close(reset);
                         self->busy = false;
-                        if (!self->in.empty()) self->next();
+                        if (!self->in.empty())
+                          self->next();
                       });
     return true;
   }
 
   void close(bool reset) {
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     error_code ignored;
-    if (reset) socket.set_option(asio::socket_base::linger(true, 0), ignored);
+    if (reset)
+      socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
     owner.connections_.erase(shared_from_this());
   }
@@ -99,7 +111,8 @@
 
 HttpStandIn::~HttpStandIn() {
   const auto all = connections_;
-  for (const auto& c : all) c->close(false);
+  for (const auto& c : all)
+    c->close(false);
 }
 
 void HttpStandIn::bind() {
@@ -121,7 +134,8 @@
 
 void HttpStandIn::accept() {
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e) return;
+    if (e)
+      return;
     error_code ignored;
     s.set_option(tcp::no_delay(true), ignored);
     const auto c = std::make_shared<Connection>(*this, std::move(s));
@@ -132,14 +146,17 @@
 }
 
 void HttpStandIn::refuse(bool on) {
-  if (on != listening_) return;
-  if (!on) return listen();
+  if (on != listening_)
+    return;
+  if (!on)
+    return listen();
   listening_ = false;
   error_code ignored;
   acceptor_.close(ignored);
   bind();  // without listening: refused, and the port stays its own
   const auto all = connections_;
-  for (const auto& c : all) c->close(true);
+  for (const auto& c : all)
+    c->close(true);
 }
 
 }  // namespace grademux::rig
--- a/rig/ledger.cpp
+++ b/rig/ledger.cpp
@@ -29,7 +29,8 @@
 
 std::int64_t Ledger::open(Effect effect, By by, Micros now) {
   const std::size_t i = size_;
-  if (i >= capacity_) return -1;
+  if (i >= capacity_)
+    return -1;
   records_[i].effect = effect;
   records_[i].by = by;
   records_[i].submitted = now;
@@ -44,7 +45,8 @@
 }
 
 Record* Ledger::find(const std::string& id) {
-  if (id.size() != 16) return nullptr;
+  if (id.size() != 16)
+    return nullptr;
   const std::uint64_t n = std::strtoull(id.c_str(), nullptr, 16);
   const std::size_t i = n & 0xffffffff;
   return n >> 32 == run_ && i < size_ ? &records_[i] : nullptr;
@@ -55,11 +57,13 @@
 void Ledger::answered(Record& r, Said said, Micros now) {
   r.answered = now;
   r.said = said;
-  if (said == Said::accepted) ++in_flight;
+  if (said == Said::accepted)
+    ++in_flight;
 }
 
 void Ledger::delivered(Record& r, Micros now) {
-  if (r.delivered++ > 0) return;
+  if (r.delivered++ > 0)
+    return;
   r.delivered_at = now;
   ++deliveries;
   if (r.notices == 0) {
@@ -74,7 +78,8 @@
     ++strangers;
     return;
   }
-  if (r->notices++ > 0) return;
+  if (r->notices++ > 0)
+    return;
   r->noticed_at = now;
   if (r->delivered == 0) {
     r->ended = now;
@@ -102,7 +107,8 @@
 void Ledger::died(Micros at) {
   shock(at);
   for (std::size_t i = 0; i < size_; ++i)
-    if (records_[i].ended == 0 || records_[i].ended > at - kUnheard) records_[i].doubt = true;
+    if (records_[i].ended == 0 || records_[i].ended > at - kUnheard)
+      records_[i].doubt = true;
 }
 
 void Ledger::cutOff(Micros at) {
@@ -121,13 +127,15 @@
 
 std::size_t Ledger::unanswered() const {
   std::size_t n = 0;
-  for (std::size_t i = 0; i < size_; ++i) n += records_[i].said == Said::nothing;
+  for (std::size_t i = 0; i < size_; ++i)
+    n += records_[i].said == Said::nothing;
   return n;
 }
 
 std::size_t Ledger::failedAnswers() const {
   std::size_t n = 0;
-  for (std::size_t i = 0; i < size_; ++i) n += records_[i].said == Said::failed;
+  for (std::size_t i = 0; i < size_; ++i)
+    n += records_[i].said == Said::failed;
   return n;
 }
 
@@ -176,13 +184,17 @@
               {"strangers", strangers.load()},
               {"misrouted", misrouted.load()},
               {"calls_after_drain", drained.load()}};
-  if (!two_ends.empty()) all["two_ends"] = std::move(two_ends);
+  if (!two_ends.empty())
+    all["two_ends"] = std::move(two_ends);
   return all;
 }
 
-double worthAsked(const Record& r) { return r.effect == Effect::unsafe ? 4 : 1; }
+double worthAsked(const Record& r) {
+  return r.effect == Effect::unsafe ? 4 : 1;
+}
 double worthGot(const Record& r) {
-  if (r.delivered == 0 || r.ended == 0) return 0;
+  if (r.delivered == 0 || r.ended == 0)
+    return 0;
   const double age = static_cast<double>(r.ended - r.submitted) / 1e6;
   return worthAsked(r) * (age <= 4 ? 1 : std::max(0.0, 1 - 0.7 * (age - 4) / 16));
 }
@@ -190,7 +202,8 @@
 json percentiles(std::vector<Micros> spans) {
   std::sort(spans.begin(), spans.end());
   auto at = [&](double share) {
-    if (spans.empty()) return 0.0;
+    if (spans.empty())
+      return 0.0;
     const auto i = static_cast<std::size_t>(std::ceil(share * static_cast<double>(spans.size())));
     return static_cast<double>(spans[std::min(spans.size() - 1, i > 0 ? i - 1 : 0)]) / 1000.0;
   };
@@ -215,7 +228,8 @@
   std::vector<Micros> spans;
   for (std::size_t i = 0; i < size_; ++i) {
     const Record& r = records_[i];
-    if (r.submitted >= from && r.delivered > 0 && r.ended != 0) spans.push_back(r.ended - r.submitted);
+    if (r.submitted >= from && r.delivered > 0 && r.ended != 0)
+      spans.push_back(r.ended - r.submitted);
   }
   return percentiles(std::move(spans));
 }
--- a/rig/link.cpp
+++ b/rig/link.cpp
@@ -20,7 +20,8 @@
     std::unique_ptr<asio::steady_timer> timer;
   };
   Pair(Link& l, tcp::socket c) : link(l), client(std::move(c)), server(l.io_) {
-    for (Direction& d : ways) d.timer = std::make_unique<asio::steady_timer>(l.io_);
+    for (Direction& d : ways)
+      d.timer = std::make_unique<asio::steady_timer>(l.io_);
   }
   Link& link;
   tcp::socket client, server;
@@ -29,8 +30,10 @@
 
   void begin() {
     server.async_connect(parseAddress(link.target_), [self = shared_from_this()](error_code e) {
-      if (!self->open) return;
-      if (e) return self->close(true);
+      if (!self->open)
+        return;
+      if (e)
+        return self->close(true);
       error_code ignored;
       self->server.set_option(tcp::no_delay(true), ignored);
       self->read(true);
@@ -44,7 +47,8 @@
     (there ? client : server)
         .async_read_some(asio::buffer(d.piece),
                          [self = shared_from_this(), there](error_code e, std::size_t n) {
-                           if (!self->open) return;
+                           if (!self->open)
+                             return;
                            Direction& d2 = self->way(there);
                            if (e) {
                              d2.ended = true;
@@ -55,62 +59,76 @@
                          });
   }
   void later(bool there) {
-    if (link.delay_ <= 0) return pass(there);
+    if (link.delay_ <= 0)
+      return pass(there);
     Direction& d = way(there);
     d.timer->expires_after(std::chrono::microseconds(link.delay_));
     d.timer->async_wait([self = shared_from_this(), there](error_code e) {
-      if (!e && self->open) self->pass(there);
+      if (!e && self->open)
+        self->pass(there);
     });
   }
   void pass(bool there) {
     Direction& d = way(there);
-    if (!open || d.writing || !link.passes(there)) return;
+    if (!open || d.writing || !link.passes(there))
+      return;
     if (d.held.empty()) {
-      if (d.ended) close(false);
+      if (d.ended)
+        close(false);
       return;
     }
     std::size_t n = d.held.size();
-    if (link.rate_ > 0) n = std::min<std::size_t>(n, std::max<std::size_t>(1, link.rate_ / 100));
+    if (link.rate_ > 0)
+      n = std::min<std::size_t>(n, std::max<std::size_t>(1, link.rate_ / 100));
     bool cut = false;
     if (!there && link.cut_after_ != SIZE_MAX) {
       n = std::min(n, link.cut_after_);
       link.cut_after_ -= n;
       cut = link.cut_after_ == 0;
     }
-    if (n == 0) return close(true);
+    if (n == 0)
+      return close(true);
     d.writing = true;
     const auto out = std::make_shared<std::string>(d.held.substr(0, n));
     d.held.erase(0, n);
     asio::async_write(there ? server : client, asio::buffer(*out),
                       [self = shared_from_this(), there, out, cut](error_code e, std::size_t) {
-                        if (!self->open) return;
+                        if (!self->open)
+                          return;
                         Direction& d2 = self->way(there);
                         d2.writing = false;
                         if (e || cut) {
-                          if (cut) self->link.cut_after_ = SIZE_MAX;
+                          if (cut)
+                            self->link.cut_after_ = SIZE_MAX;
                           return self->close(true);
                         }
-                        if (!d2.held.empty() || d2.ended) return self->again(there);
+                        if (!d2.held.empty() || d2.ended)
+                          return self->again(there);
                         self->read(there);
                       });
   }
   void again(bool there) {  // slowed: a hundredth of a second's worth at a time
     Direction& d = way(there);
-    if (link.rate_ == 0) return pass(there);
+    if (link.rate_ == 0)
+      return pass(there);
     d.timer->expires_after(std::chrono::milliseconds(10));
     d.timer->async_wait([self = shared_from_this(), there](error_code e) {
-      if (!e && self->open) self->pass(there);
+      if (!e && self->open)
+        self->pass(there);
     });
   }
   void close(bool reset) {
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     error_code ignored;
     for (tcp::socket* s : {&client, &server}) {
-      if (reset) s->set_option(asio::socket_base::linger(true, 0), ignored);
+      if (reset)
+        s->set_option(asio::socket_base::linger(true, 0), ignored);
       s->close(ignored);
     }
-    for (Direction& d : ways) d.timer->cancel();
+    for (Direction& d : ways)
+      d.timer->cancel();
     link.pairs_.erase(shared_from_this());
   }
 };
@@ -122,7 +140,9 @@
   accept();
 }
 
-Link::~Link() { resetAll(); }
+Link::~Link() {
+  resetAll();
+}
 
 void Link::bind() {
   acceptor_.open(address_.protocol());
@@ -131,11 +151,14 @@
   address_ = acceptor_.local_endpoint();
 }
 
-std::string Link::address() const { return "127.0.0.1:" + std::to_string(address_.port()); }
+std::string Link::address() const {
+  return "127.0.0.1:" + std::to_string(address_.port());
+}
 
 void Link::accept() {
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e) return;
+    if (e)
+      return;
     error_code ignored;
     s.set_option(tcp::no_delay(true), ignored);
     ++made_;
@@ -148,7 +171,8 @@
 
 void Link::resetAll() {
   const auto all = pairs_;
-  for (const auto& p : all) p->close(true);
+  for (const auto& p : all)
+    p->close(true);
 }
 
 void Link::set(Way way) {
@@ -165,7 +189,8 @@
   }
   const auto all = pairs_;
   for (const auto& p : all)
-    for (const bool there : {true, false}) p->pass(there);
+    for (const bool there : {true, false})
+      p->pass(there);
 }
 
 }  // namespace grademux::rig
--- a/rig/main.cpp
+++ b/rig/main.cpp
@@ -18,7 +18,8 @@
   o.self = self.string();
   o.sender = (self.parent_path() / "grademux_sender").string();
   std::string name, file, list;
-  for (const auto& [n, s] : scenarios()) list += "\n  " + n + ": " + s.second;
+  for (const auto& [n, s] : scenarios())
+    list += "\n  " + n + ": " + s.second;
   app.add_option("SCENARIO", name, "one of:" + list)->required();
   app.add_option("PART", o.part, "of the scenario fleet: audit, zone, region, cost, crowd, play")
       ->check(CLI::IsMember({"audit", "zone", "region", "cost", "crowd", "play"}));
@@ -43,14 +44,17 @@
   app.add_option("--sender", o.sender, "the program under test");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) { return app.exit(e) == 0 ? 0 : 2; }
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e) == 0 ? 0 : 2;
+  }
   o.seconds_given = seconds->count() > 0;
   if (o.senders > 16 && o.part != "crowd") {
     std::cerr << "--senders: 16 at most, but for `fleet crowd`\n";
     return 2;
   }
   try {
-    if (name == "relay") return relay();
+    if (name == "relay")
+      return relay();
     const auto found = scenarios().find(name);
     if (found == scenarios().end()) {
       std::cerr << "no such scenario: " << name << "; there are:" << list << '\n';
@@ -62,7 +66,8 @@
     figures["seconds"] = o.seconds;
     figures["seed"] = o.seed;
     const std::string line = figures.dump();
-    if (!file.empty()) std::ofstream(file) << line << '\n';
+    if (!file.empty())
+      std::ofstream(file) << line << '\n';
     std::cout << line << '\n';
     return figures["holds"] == true ? 0 : 1;
   } catch (const std::exception& e) {
--- a/rig/membership.cpp
+++ b/rig/membership.cpp
@@ -53,7 +53,8 @@
           const Micros begun = monotonicNow();
           asio::write(s, asio::buffer("*1\r\n$4\r\nPING\r\n", 14));
           in.consume(asio::read_until(s, in, "\r\n"));
-          if (!paused_) longest_ = std::max<Micros>(longest_, monotonicNow() - begun);
+          if (!paused_)
+            longest_ = std::max<Micros>(longest_, monotonicNow() - begun);
           std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
       } catch (const std::exception&) {  // killed, or its place was given to another
@@ -85,8 +86,10 @@
     const int partner = static_cast<int>(w_.random() % kPartners);
     Row& row = listed_[static_cast<std::size_t>(partner)];
     Row next = row;
-    if (row.first && row.second) (w_.random() % 2 ? next.first : next.second) = false;
-    else next = {true, true};
+    if (row.first && row.second)
+      (w_.random() % 2 ? next.first : next.second) = false;
+    else
+      next = {true, true};
     const Row before = row;
     row = next;
     ++changes;
@@ -137,7 +140,8 @@
         fs::remove(folder() + "/z3.toml");
         break;
       case 5:  // a burst
-        for (int i = 0; i < 500; ++i) put(folder() + "/p4.toml", fileOf(4));
+        for (int i = 0; i < 500; ++i)
+          put(folder() + "/p4.toml", fileOf(4));
         break;
       case 6:  // another partner claims an endpoint that it has no right to
         put(folder() + "/thief.toml",
@@ -214,8 +218,10 @@
     w_.onStandIns([&] {
       for (const int which : {0, 1}) {
         const bool was = which ? before.second : before.first, is = which ? next.second : next.first;
-        if (was && !is) endpoint(partner, which).drainedAt(now);
-        if (is) endpoint(partner, which).drainedAt(kNever);
+        if (was && !is)
+          endpoint(partner, which).drainedAt(now);
+        if (is)
+          endpoint(partner, which).drainedAt(kNever);
       }
     });
   }
@@ -245,7 +251,8 @@
         "\"]\ntimeout = \"150 ms\"\ntries = 1\nallow = [\"127.0.0.0/8\"]\nleast_ttl = \"200 ms\"\n"
         "least_retry = \"200 ms\"\nmost_retry = \"400 ms\"\n"
         "[[source]]\nkind = \"folder\"\npath = \"partners\"\nrescan = \"2 s\"\n";
-    for (int p = 0; p < kFirstOfFolder; ++p) text += fileOf(p);
+    for (int p = 0; p < kFirstOfFolder; ++p)
+      text += fileOf(p);
     text += head(kService) + "srv = \"_print._tcp.rig.test\"\n";
     const std::string address = endpoint(kAddresses, 0).address();
     text += head(kAddresses) + "dns = \"shop.rig.test" + address.substr(address.rfind(':')) + "\"\n";
@@ -263,20 +270,25 @@
   void writeVersion() {
     const std::string name = "v" + std::to_string(++version_), path = w_.folder() + "/" + name;
     fs::create_directories(path);
-    for (int p = kFirstOfFolder; p < kService; ++p) put(path + "/p" + std::to_string(p) + ".toml", fileOf(p));
+    for (int p = kFirstOfFolder; p < kService; ++p)
+      put(path + "/p" + std::to_string(p) + ".toml", fileOf(p));
     for (int i = 0; i < crowd_; ++i) {  // unchanged files are one file in every version
       const std::string file = "/crowd" + std::to_string(i) + ".toml";
-      if (version_ > 1) fs::create_hard_link(w_.folder() + "/v1" + file, path + file);
-      else put(path + file, crowdFile(i, false));
+      if (version_ > 1)
+        fs::create_hard_link(w_.folder() + "/v1" + file, path + file);
+      else
+        put(path + file, crowdFile(i, false));
     }
   }
 
   void changeFolder(int partner, Row before, Row next) {
     const std::string file = folder() + "/p" + std::to_string(partner) + ".toml";
     const bool anew = w_.random() % 3 == 0;
-    if (anew) writeVersion();
+    if (anew)
+      writeVersion();
     stopCalls(partner, before, next);
-    if (anew) return swap("v" + std::to_string(version_));  // the whole folder at once
+    if (anew)
+      return swap("v" + std::to_string(version_));  // the whole folder at once
     switch (w_.random() % 2) {
       case 0: {  // told to drain, not taken out
         if (before.first && before.second) {
@@ -310,29 +322,37 @@
         const std::string address = endpoint(kService, which).address();
         return std::atoi(address.c_str() + address.rfind(':') + 1);
       };
-      if (s.first) service.services.push_back({10, 0, portOf(0), "one.rig.test"});
-      if (s.second) service.services.push_back({10, 0, portOf(1), "one.rig.test"});
+      if (s.first)
+        service.services.push_back({10, 0, portOf(0), "one.rig.test"});
+      if (s.second)
+        service.services.push_back({10, 0, portOf(1), "one.rig.test"});
       first.v4 = {"127.0.0.1"};
-      if (a.first) shop.v4.push_back("127.0.0.2");
-      if (a.second) shop.v4.push_back("127.0.0.3");
+      if (a.first)
+        shop.v4.push_back("127.0.0.2");
+      if (a.second)
+        shop.v4.push_back("127.0.0.3");
       service.ttl = shop.ttl = 0;
       first.ttl = 1;
-      for (DnsZoneEntry* e : {&service, &shop, &first}) e->fault = fault;
+      for (DnsZoneEntry* e : {&service, &shop, &first})
+        e->fault = fault;
       dns_->set("_print._tcp.rig.test", service);
       dns_->set("shop.rig.test", shop);
       dns_->set("one.rig.test", first);
       const bool usable = fault == DnsFault::none;
       const Pending p = pending_;
-      if (p.partner < 0 || !usable) return;
+      if (p.partner < 0 || !usable)
+        return;
       const std::string asked = p.partner == kService ? "_print._tcp.rig.test" : "shop.rig.test";
       pending_.partner = -1;
       for (const int which : {0, 1})
-        if (which ? p.next.second : p.next.first) endpoint(p.partner, which).drainedAt(kNever);
+        if (which ? p.next.second : p.next.first)
+          endpoint(p.partner, which).drainedAt(kNever);
       dns_->onAnswer(asked, [this, p] {
         for (const int which : {0, 1}) {
           const bool was = which ? p.before.second : p.before.first,
                      is = which ? p.next.second : p.next.first;
-          if (was && !is) endpoint(p.partner, which).drainedAt(monotonicNow());
+          if (was && !is)
+            endpoint(p.partner, which).drainedAt(monotonicNow());
         }
       });
     });
@@ -364,8 +384,10 @@
     w.load(rate, kStep, kBoth);
     sources.change();
     w.load(rate, 2 * kStep, kBoth);
-    if (w.random() % 2) sources.fault();
-    if (monotonicNow() < next_kill) continue;
+    if (w.random() % 2)
+      sources.fault();
+    if (monotonicNow() < next_kill)
+      continue;
     next_kill += std::max<Micros>(2 * kSecond, o.seconds * kSecond / 4);
     longest = std::max(longest, pulse.longest());
     pulse.pause(true);
--- a/rig/play.cpp
+++ b/rig/play.cpp
@@ -27,17 +27,20 @@
 class Keys {
  public:
   Keys() : terminal_(::isatty(STDIN_FILENO) != 0) {
-    if (!terminal_ || ::tcgetattr(STDIN_FILENO, &before_) != 0) return;
+    if (!terminal_ || ::tcgetattr(STDIN_FILENO, &before_) != 0)
+      return;
     termios raw = before_;
     raw.c_lflag &= ~static_cast<tcflag_t>(ICANON | ECHO);
     changed_ = ::tcsetattr(STDIN_FILENO, TCSANOW, &raw) == 0;
   }
   ~Keys() {
-    if (changed_) ::tcsetattr(STDIN_FILENO, TCSANOW, &before_);
+    if (changed_)
+      ::tcsetattr(STDIN_FILENO, TCSANOW, &before_);
   }
   bool next(char& key) {
     pollfd p{STDIN_FILENO, POLLIN, 0};
-    if (over_ || ::poll(&p, 1, 0) <= 0) return false;
+    if (over_ || ::poll(&p, 1, 0) <= 0)
+      return false;
     over_ = ::read(STDIN_FILENO, &key, 1) != 1;
     return !over_;
   }
@@ -70,7 +73,8 @@
     }
     const auto* mode =
         std::find_if(std::begin(kModes), std::end(kModes), [&](const Mode& m) { return m.key == key; });
-    if (mode == std::end(kModes)) return;
+    if (mode == std::end(kModes))
+      return;
     const Mode* before = modes_[chosen_];
     modes_[chosen_] = mode;
     w_.onStandIns([&] {
@@ -134,7 +138,8 @@
       << "  curl " << http << "/v1/messages/1\n\nRESP2 door:\n  redis-cli -p " << w.respPort()
       << " MSG.PUT 0 2 c=status,d=20000,dest=bank hello\n  redis-cli -p " << w.respPort()
       << " MSG.WAIT 2 10000\n\nKeys: a partner's number, then";
-  for (const Mode& m : kModes) std::cout << "\n  " << m.key << "  " << m.name << ": " << m.what;
+  for (const Mode& m : kModes)
+    std::cout << "\n  " << m.key << "  " << m.name << ": " << m.what;
   std::cout << "\nCtrl-C ends it. " << (o.rate > 0 ? "" : "(--rate N: messages of its own, so many a second)")
             << "\n\n"
             << std::flush;
@@ -145,9 +150,11 @@
     const Micros until = monotonicNow() + (o.seconds_given ? o.seconds : kLongest) * kSecond;
     Micros next_line = 0;
     while (!interrupted && monotonicNow() < until) {
-      for (char key; keys.next(key);) stage.press(key);
+      for (char key; keys.next(key);)
+        stage.press(key);
       w.load(o.rate, kLook, {By::resp, By::http});
-      if (monotonicNow() < next_line) continue;
+      if (monotonicNow() < next_line)
+        continue;
       next_line = monotonicNow() + kSecond;
       std::cout << stage.line() << '\n' << std::flush;
     }
@@ -155,7 +162,8 @@
   std::signal(SIGINT, SIG_DFL);
   for (std::size_t i = 0; i < kNames.size(); ++i) {
     stage.press(static_cast<char>('0' + i));
-    if (!interrupted) stage.press('g');  // what is held has its end
+    if (!interrupted)
+      stage.press('g');  // what is held has its end
   }
   return finished(w, [&] { return json{{"rate", o.rate}, {"answers", doors(w)}}; });
 }
--- a/rig/restart.cpp
+++ b/rig/restart.cpp
@@ -28,7 +28,8 @@
       auto s = std::make_shared<Standing>();
       s->rate = kTakes;
       standings_.push_back(s);
-      for (int e = 0; e < 2; ++e) at(d, e).shares(s);
+      for (int e = 0; e < 2; ++e)
+        at(d, e).shares(s);
     }
   }
 
@@ -40,7 +41,8 @@
     until(5, rate);
     world_.onStandIns([&] {
       standings_[0]->shut_until = begun_ + span(10);  // tells callers so
-      for (int e = 0; e < 2; ++e) at(1, e).refuse(true);
+      for (int e = 0; e < 2; ++e)
+        at(1, e).refuse(true);
     });
     until(6.5, rate);
     Endpoint& leaving = at(2, 0);
@@ -52,7 +54,8 @@
     kill(rate);  // in mid-outage, in a told wait, during a drain
     until(9.5, rate);
     world_.onStandIns([&] {
-      for (int e = 0; e < 2; ++e) at(1, e).refuse(false);
+      for (int e = 0; e < 2; ++e)
+        at(1, e).refuse(false);
       standings_[1]->returned = monotonicNow();
       standings_[0]->returned = begun_ + span(10);
     });
@@ -91,7 +94,8 @@
   Micros span(double seconds) const { return static_cast<Micros>(seconds * 1e6 * options_.seconds / 30); }
   void until(double moment, double rate) {
     const Micros left = begun_ + span(moment) - monotonicNow();
-    if (left > 0) world_.load(rate, left, kBoth);
+    if (left > 0)
+      world_.load(rate, left, kBoth);
   }
 
   void kill(double rate) {
@@ -105,13 +109,16 @@
     world_.expectCuts(true);
     world_.child().signal(SIGTERM);
     const Micros patience = monotonicNow() + 10 * kSecond;
-    while (!world_.child().ended() && monotonicNow() < patience) world_.load(rate, kSecond / 50, kBoth);
-    if (!world_.child().ended()) throw std::runtime_error("the program does not end");
+    while (!world_.child().ended() && monotonicNow() < patience)
+      world_.load(rate, kSecond / 50, kBoth);
+    if (!world_.child().ended())
+      throw std::runtime_error("the program does not end");
     world_.ledger.died(monotonicNow());
     again(rate);
   }
   void again(double rate) {
-    if (spoil_ && knows_) spoil();
+    if (spoil_ && knows_)
+      spoil();
     world_.load(rate, kAway, kBoth);
     world_.start();
     started_.push_back(monotonicNow());
@@ -133,9 +140,11 @@
     std::vector<Micros> delivered;
     for (std::size_t i = 0; i < world_.ledger.size(); ++i) {
       const Record& r = world_.ledger.at(static_cast<std::int64_t>(i));
-      if (r.said != Said::accepted) continue;
+      if (r.said != Said::accepted)
+        continue;
       offered += worthAsked(r);
-      if (r.delivered == 0 || r.ended == 0) continue;
+      if (r.delivered == 0 || r.ended == 0)
+        continue;
       worth += worthGot(r);
       delivered.push_back(r.ended);
     }
@@ -156,7 +165,8 @@
     }
     std::uint64_t fell = 0, waits = 0;
     world_.onStandIns([&] {
-      for (const auto& s : standings_) fell += s->fell_over, waits += s->waits_broken;
+      for (const auto& s : standings_)
+        fell += s->fell_over, waits += s->waits_broken;
     });
     const std::string log = world_.log();
     json f = {{"worth", worth / std::max(1.0, offered)},
@@ -166,10 +176,12 @@
               {"first_ms", first},
               {"usual_ms", back},
               {"holds", fell == 0 && waits == 0}};
-    if (!knows_) return f;
+    if (!knows_)
+      return f;
     const auto count = [&](const std::string& word) {
       int n = 0;
-      for (std::size_t p = log.find(word); p != std::string::npos; p = log.find(word, p + 1)) ++n;
+      for (std::size_t p = log.find(word); p != std::string::npos; p = log.find(word, p + 1))
+        ++n;
       return n;
     };
     std::int64_t bytes = 0, longest = 0;
@@ -213,10 +225,12 @@
             {"usual_ms_with", with["usual_ms"]},
             {"usual_ms_without", other["usual_ms"]},
             {"holds", with["holds"] == true && other["holds"] == true}};
-  for (const char* name : {"fell_over", "waits_broken", "double_ends", "unsafe_twice"}) f[name] = sum(name);
+  for (const char* name : {"fell_over", "waits_broken", "double_ends", "unsafe_twice"})
+    f[name] = sum(name);
   f["late_drains"] = sum("calls_after_drain");
   f["lost"] = sum("messages_lost") + sum("answers_lost");
-  if (f["holds"] != true) f["halves"] = {{"with", with}, {"without", other}};
+  if (f["holds"] != true)
+    f["halves"] = {{"with", with}, {"without", other}};
   return f;
 }
 
--- a/rig/scenarios.cpp
+++ b/rig/scenarios.cpp
@@ -53,9 +53,12 @@
 namespace {
 
 json fleet(const Options& o) {
-  if (o.part == "cost") return fleetCost(o);
-  if (o.part == "crowd") return fleetCrowd(o);
-  if (o.part == "zone" || o.part == "region") return fleetZone(o, o.part == "region");
+  if (o.part == "cost")
+    return fleetCost(o);
+  if (o.part == "crowd")
+    return fleetCrowd(o);
+  if (o.part == "zone" || o.part == "region")
+    return fleetZone(o, o.part == "region");
   return o.part == "play" ? fleetPlay(o) : fleetAudit(o);
 }
 
@@ -114,7 +117,8 @@
     w.kill();
     w.ledger.died(killed);
     ++kills;
-    if (kills % 2 == 0) tearTail(w.journal(), 1 + w.random() % 40);  // less than a whole record
+    if (kills % 2 == 0)
+      tearTail(w.journal(), 1 + w.random() % 40);  // less than a whole record
     w.run(300'000);
     w.start();
     w.run(50'000);  // the last cuts come in
@@ -127,7 +131,8 @@
 json first(const Options& o) {
   World w(o.sender, o.seed, {});
   w.start();
-  for (const By by : kBoth) w.submit(by);
+  for (const By by : kBoth)
+    w.submit(by);
   return finished(w, [&] { return json{{"answers", doors(w)}, {"ends", w.ledger.endTimes()}}; });
 }
 
@@ -155,7 +160,8 @@
     const Measured m = saturated(relay, part);
     relay.settle(kSettle);
     figures["relay"] = shown(m);
-    if (half <= 0) half = m.per_second / 4;
+    if (half <= 0)
+      half = m.per_second / 4;
     const Micros from = monotonicNow();
     relay.load(half, part, {By::resp});
     relay.settle(kSettle);
--- a/rig/stand_ins.cpp
+++ b/rig/stand_ins.cpp
@@ -48,18 +48,23 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   Told& told = told_[sender];
   // What was under way when the wait was told is let through.
-  if (first_byte > told.at + kHeard && first_byte < told.until) ++waits_broken;
+  if (first_byte > told.at + kHeard && first_byte < told.until)
+    ++waits_broken;
   const auto wait = [&](const char* status, Micros until) {
-    if (now >= told.until) told.at = now;
+    if (now >= told.until)
+      told.at = now;
     told.until = std::max(told.until, until);
     return httpAnswer(status,
                       "Retry-After: " + std::to_string(static_cast<double>(until - now) / 1e6) + "\r\n");
   };
-  if (fallen_) return httpAnswer("503 Service Unavailable");
-  if (now < shut_until) return wait("503 Service Unavailable", shut_until);
+  if (fallen_)
+    return httpAnswer("503 Service Unavailable");
+  if (now < shut_until)
+    return wait("503 Service Unavailable", shut_until);
   // Cold, it falls over if it gets more than it can do for so long.
   calls_.push_back(now);
-  while (!calls_.empty() && calls_.front() <= now - fall_span) calls_.pop_front();
+  while (!calls_.empty() && calls_.front() <= now - fall_span)
+    calls_.pop_front();
   const double takes = rate * share(now - fall_span / 2) * static_cast<double>(fall_span) / 1e6;
   if (now - returned > fall_span &&
       now - returned<ramp&& static_cast<double>(calls_.size())> factor * takes) {
@@ -70,7 +75,8 @@
     span_at_ = now;
     taken_ = 0;
   }
-  if (++taken_ > rate * share(now)) return wait("429 Too Many Requests", span_at_ + 1'000'000);
+  if (++taken_ > rate * share(now))
+    return wait("429 Too Many Requests", span_at_ + 1'000'000);
   return "";
 }
 
@@ -82,19 +88,23 @@
 
 void Endpoint::call(Request r, HttpStandIn::Respond respond) {
   ++calls_;
-  if (on_call) on_call(r);
+  if (on_call)
+    on_call(r);
   const Micros now = monotonicNow();
-  if (r.first_byte > drained_at_ + kDrainGrace) ++ledger_.drained;
+  if (r.first_byte > drained_at_ + kDrainGrace)
+    ++ledger_.drained;
   Record* record = ledger_.find(r.field("X-Txn"));
   const bool known = record != nullptr;
-  if (!known && behaviour.open_to_all) record = &stranger_;
+  if (!known && behaviour.open_to_all)
+    record = &stranger_;
   if (!record) {
     ++ledger_.strangers;
     respond({httpAnswer("400 Bad Request"), false, false});
     return;
   }
   // The body names the destination that it was meant for.
-  if (known && r.body.substr(0, r.body.find(' ')) != std::to_string(destination_)) ++ledger_.misrouted;
+  if (known && r.body.substr(0, r.body.find(' ')) != std::to_string(destination_))
+    ++ledger_.misrouted;
   if (standing_) {
     const std::string instead = standing_->answerTo(&ledger_, r.first_byte, now);
     if (!instead.empty()) {
@@ -129,13 +139,15 @@
                                ? static_cast<Micros>(random_() % static_cast<std::uint64_t>(behaviour.spread))
                                : 0);
   std::string fields;
-  if (standing_) fields = standing_->pressure();
+  if (standing_)
+    fields = standing_->pressure();
   else if (behaviour.rate > 0)
     fields = "X-Pressure: x0=" + std::to_string(std::max(0.0, 1 - taken_ / behaviour.rate)) +
              ",x1=" + std::to_string(behaviour.rate) + "\r\n";
   auto finish = [this, draw, record, known, fields, due = now + span, respond = std::move(respond)] {
     // Held up by the machine, and it may be that the sender has given it up meanwhile.
-    if (monotonicNow() > due + kHeldUp) record->doubt = true;
+    if (monotonicNow() > due + kHeldUp)
+      record->doubt = true;
     if (draw < behaviour.fail) {
       record->doubt = true;
       respond({httpAnswer("500 Internal Server Error", fields), false, false});
@@ -143,15 +155,18 @@
       record->doubt = true;
       respond({"HTTP/1.1 2", false, true});
     } else if (respond({httpAnswer("200 OK", fields), false, false})) {
-      if (known) ledger_.delivered(*record, monotonicNow());
+      if (known)
+        ledger_.delivered(*record, monotonicNow());
     } else {
       record->doubt = true;  // nobody was there to hear it
     }
   };
-  if (span <= 0) return finish();
+  if (span <= 0)
+    return finish();
   const auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(span));
   timer->async_wait([timer, finish = std::move(finish)](const boost::system::error_code& e) {
-    if (!e) finish();
+    if (!e)
+      finish();
   });
 }
 
@@ -162,14 +177,18 @@
 
 void Discovery::tell(json endpoints, bool whole, OnWritten written) {
   ++index_;
-  if (whole) all_.clear();
+  if (whole)
+    all_.clear();
   for (const json& e : endpoints) {
     const std::string name = e["name"];
-    if (e["status"] == "Gone") all_.erase(name);
-    else all_[name] = e;
+    if (e["status"] == "Gone")
+      all_.erase(name);
+    else
+      all_[name] = e;
     changes_.emplace_back(index_, e);
   }
-  if (whole) whole_at_ = index_;  // watches from before get the whole list
+  if (whole)
+    whole_at_ = index_;  // watches from before get the whole list
   on_written_ = std::move(written);
   std::vector<Watch> watches;
   watches.swap(watches_);
@@ -184,7 +203,8 @@
     std::istringstream lines(r.body);
     for (std::string line; std::getline(lines, line);) {
       const json n = json::parse(line, nullptr, false);
-      if (n.is_object()) ledger_.notice(n.value("message", ""), monotonicNow());
+      if (n.is_object())
+        ledger_.notice(n.value("message", ""), monotonicNow());
     }
     respond({"HTTP/1.1 204 No Content\r\n\r\n", false, false});
     return;
@@ -192,14 +212,17 @@
   const auto at = r.target.find("from="), hold = r.target.find("hold_ms=");
   const std::int64_t from =
       at == std::string::npos ? -1 : std::strtoll(r.target.c_str() + at + 5, nullptr, 10);
-  if (from < index_ || hold == std::string::npos) return answer(from, respond);
+  if (from < index_ || hold == std::string::npos)
+    return answer(from, respond);
   const auto span = std::chrono::milliseconds(std::strtol(r.target.c_str() + hold + 8, nullptr, 10));
   const auto timer = std::make_shared<asio::steady_timer>(io_, span);
   watches_.push_back({from, respond, timer});
   timer->async_wait([this, timer](const boost::system::error_code& e) {
-    if (e) return;
+    if (e)
+      return;
     for (std::size_t i = 0; i < watches_.size(); ++i) {
-      if (watches_[i].hold != timer) continue;
+      if (watches_[i].hold != timer)
+        continue;
       const Watch w = watches_[i];
       watches_.erase(watches_.begin() + static_cast<std::ptrdiff_t>(i));
       return answer(w.from, w.respond);
@@ -211,10 +234,12 @@
   json list = json::array();
   const bool whole = from < whole_at_;
   if (whole)
-    for (const auto& [name, e] : all_) list.push_back(e);
+    for (const auto& [name, e] : all_)
+      list.push_back(e);
   else
     for (const auto& [index, e] : changes_)
-      if (index > from) list.push_back(e);
+      if (index > from)
+        list.push_back(e);
   const json body{{"index", index_}, {"snapshot", whole}, {"endpoints", std::move(list)}};
   const bool news = from < index_;
   if (respond({httpAnswer("200 OK", "", body.dump()), false, false}) && news && on_written_) {
--- a/rig/store_stand_in.cpp
+++ b/rig/store_stand_in.cpp
@@ -34,12 +34,15 @@
     at = target.find('&', from);
     const std::string one = target.substr(from, at == std::string::npos ? at : at - from);
     const auto equals = one.find('=');
-    if (one.substr(0, equals) == name) return equals == std::string::npos ? "" : one.substr(equals + 1);
+    if (one.substr(0, equals) == name)
+      return equals == std::string::npos ? "" : one.substr(equals + 1);
   }
   return otherwise;
 }
 
-bool has(const std::string& target, const std::string& name) { return parameter(target, name, "-") != "-"; }
+bool has(const std::string& target, const std::string& name) {
+  return parameter(target, name, "-") != "-";
+}
 
 Micros spanOf(const std::string& text) {  // "500ms", "10s"
   const double n = std::strtod(text.c_str(), nullptr);
@@ -58,15 +61,20 @@
 
 std::vector<std::string> StoreStandIn::addresses() const {
   std::vector<std::string> all;
-  for (const auto& n : nodes_) all.push_back(n->address());
+  for (const auto& n : nodes_)
+    all.push_back(n->address());
   return all;
 }
 
-void StoreStandIn::node(std::size_t n, bool up) { nodes_[n]->refuse(!up); }
+void StoreStandIn::node(std::size_t n, bool up) {
+  nodes_[n]->refuse(!up);
+}
 
 void StoreStandIn::lag(std::size_t n, bool on) {
-  if (on) lagging_[n] = state_;
-  else lagging_.erase(n);
+  if (on)
+    lagging_[n] = state_;
+  else
+    lagging_.erase(n);
 }
 
 void StoreStandIn::forget() {
@@ -89,7 +97,8 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<Change> all;
   for (const Change& c : changes_)
-    if (c.key == key) all.push_back(c);
+    if (c.key == key)
+      all.push_back(c);
   return all;
 }
 
@@ -120,10 +129,13 @@
 void StoreStandIn::ask(std::size_t node, Request r, HttpStandIn::Respond respond) {
   ++requests_;
   bytes_ += r.head.size() + r.body.size();
-  if (on_request) on_request(r, true);
+  if (on_request)
+    on_request(r, true);
   const std::string bytes = carryOut(node, r, respond);
-  if (on_request) on_request(r, false);
-  if (bytes.empty()) return;  // held back
+  if (on_request)
+    on_request(r, false);
+  if (bytes.empty())
+    return;  // held back
   reply(respond, bytes);
 }
 
@@ -135,7 +147,8 @@
   }
   const auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(late_));
   timer->async_wait([timer, respond, bytes](const boost::system::error_code& e) {
-    if (!e) respond({bytes, false, false});
+    if (!e)
+      respond({bytes, false, false});
   });
 }
 
@@ -156,10 +169,12 @@
       const auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(wait));
       waiting_.push_back({key, below, after, respond, timer});
       timer->async_wait([this, timer](const boost::system::error_code& e) {
-        if (e) return;
+        if (e)
+          return;
         const auto at =
             std::find_if(waiting_.begin(), waiting_.end(), [&](const Waiting& w) { return w.hold == timer; });
-        if (at == waiting_.end()) return;
+        if (at == waiting_.end())
+          return;
         const Waiting w = *at;
         waiting_.erase(at);
         reply(w.respond, read(state_, w.key, w.below));
@@ -180,7 +195,8 @@
       set(key, r.body, session);
     } else if (has(r.target, "cas")) {
       const std::int64_t changed = std::atoll(parameter(r.target, "cas").c_str());
-      if (changed != (at == state_.keys.end() ? 0 : at->second.changed)) return yes(false);
+      if (changed != (at == state_.keys.end() ? 0 : at->second.changed))
+        return yes(false);
       set(key, r.body, at == state_.keys.end() ? "" : at->second.session);
     } else {
       set(key, r.body, at == state_.keys.end() ? "" : at->second.session);
@@ -189,7 +205,8 @@
     return yes(true);
   }
   if (r.method == "PUT" && path == "/v1/session/create") {
-    if (full_) return answer("500 Internal Server Error", "no room for a session");
+    if (full_)
+      return answer("500 Internal Server Error", "no room for a session");
     const json o = json::parse(r.body, nullptr, false);
     char id[40];
     std::snprintf(id, sizeof id, "%08llx-0000-4000-8000-000000000000",
@@ -203,7 +220,8 @@
   }
   if (r.method == "PUT" && under("/v1/session/renew/")) {
     const auto s = state_.sessions.find(rest("/v1/session/renew/"));
-    if (s == state_.sessions.end()) return answer("404 Not Found", "Session id not found");
+    if (s == state_.sessions.end())
+      return answer("404 Not Found", "Session id not found");
     s->second.until = monotonicNow() + s->second.ttl;
     return answer("200 OK", json::array({{{"ID", s->first}}}).dump());
   }
@@ -218,7 +236,8 @@
 void StoreStandIn::set(const std::string& key, const std::string& value, const std::string& session) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Key& k = state_.keys[key];
-  if (k.created == 0) k.created = state_.index + 1;
+  if (k.created == 0)
+    k.created = state_.index + 1;
   k.changed = ++state_.index;
   k.value = value;
   k.session = session;
@@ -229,7 +248,8 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   state_.sessions.erase(session);
   for (auto& [key, k] : state_.keys) {
-    if (k.session != session) continue;
+    if (k.session != session)
+      continue;
     k.session.clear();
     k.changed = ++state_.index;
   }
@@ -239,13 +259,18 @@
 void StoreStandIn::dropSessions(bool all) {
   std::vector<std::string> over;
   for (const auto& [id, s] : state_.sessions)
-    if (all || monotonicNow() > s.until) over.push_back(id);
-  for (const std::string& id : over) release(id);
-  if (!over.empty()) wake();
-  if (all) return;
+    if (all || monotonicNow() > s.until)
+      over.push_back(id);
+  for (const std::string& id : over)
+    release(id);
+  if (!over.empty())
+    wake();
+  if (all)
+    return;
   sweeper_.expires_after(std::chrono::milliseconds(100));
   sweeper_.async_wait([this](const boost::system::error_code& e) {
-    if (!e) dropSessions(false);
+    if (!e)
+      dropSessions(false);
   });
 }
 
@@ -264,14 +289,16 @@
 std::string StoreStandIn::read(const State& s, const std::string& key, bool below) const {
   json all = json::array();
   for (auto at = s.keys.lower_bound(key); at != s.keys.end(); ++at) {
-    if (below ? at->first.compare(0, key.size(), key) != 0 : at->first != key) break;
+    if (below ? at->first.compare(0, key.size(), key) != 0 : at->first != key)
+      break;
     json e = {{"Key", at->first},
               {"Value", base64(at->second.value)},
               {"CreateIndex", at->second.created},
               {"ModifyIndex", at->second.changed},
               {"LockIndex", 0},
               {"Flags", 0}};
-    if (!at->second.session.empty()) e["Session"] = at->second.session;
+    if (!at->second.session.empty())
+      e["Session"] = at->second.session;
     all.push_back(std::move(e));
   }
   const std::int64_t index = indexOf(s, key, below);
--- a/rig/world.cpp
+++ b/rig/world.cpp
@@ -33,8 +33,12 @@
 constexpr std::size_t kBody = 200;  // bytes
 constexpr int kStart = 30;          // seconds until its doors are open
 
-int portOf(const std::string& address) { return std::atoi(address.c_str() + address.rfind(':') + 1); }
-tcp::endpoint at(int port) { return {asio::ip::address_v4::loopback(), static_cast<unsigned short>(port)}; }
+int portOf(const std::string& address) {
+  return std::atoi(address.c_str() + address.rfind(':') + 1);
+}
+tcp::endpoint at(int port) {
+  return {asio::ip::address_v4::loopback(), static_cast<unsigned short>(port)};
+}
 
 }  // namespace
 
@@ -64,9 +68,11 @@
       }
       all.push_back(endpoints_.back()->listed());
     }
-  if (shape_.links) discovery_link_ = std::make_unique<Link>(stand_in_io_, discovery_->address());
+  if (shape_.links)
+    discovery_link_ = std::make_unique<Link>(stand_in_io_, discovery_->address());
   discovery_->tell(std::move(all), true);
-  if (shape_.passed) listening_ = std::make_unique<Listening>();
+  if (shape_.passed)
+    listening_ = std::make_unique<Listening>();
   resp_port_ = listening_ ? listening_->port()
                           : ownPort();  // after the endpoints have theirs, or one of many might take it
   http_port_ = ownPort();
@@ -86,7 +92,8 @@
 
 json World::config() const {
   json classes = json::array(), known = json::array(), zones = json::array();
-  for (int z = 0; z < shape_.zones; ++z) zones.push_back(std::string(1, static_cast<char>('a' + z)));
+  for (int z = 0; z < shape_.zones; ++z)
+    zones.push_back(std::string(1, static_cast<char>('a' + z)));
   for (const Class& c : kClasses)
     classes.push_back({{"Name", c.name},
                        {"AimMs", shape_.aim_ms},
@@ -96,7 +103,8 @@
                        {"LateWorth", 0.3},
                        {"MemorySpanMs", 30000.0},
                        {"Worth", c.kind == Effect::unsafe ? 4.0 : 1.0}});
-  for (const auto& e : endpoints_) known.push_back(e->listed());
+  for (const auto& e : endpoints_)
+    known.push_back(e->listed());
   return {{"name", "n0"},
           {"listen", "127.0.0.1:" + std::to_string(resp_port_)},
           {"discovery", discovery_link_ ? discovery_link_->address() : discovery_->address()},
@@ -158,24 +166,29 @@
     writeDaemonFile();
     return {program, "run", "--daemon", daemonFile()};
   }
-  if (!shape_.http && !daemon_text_) return {program};
+  if (!shape_.http && !daemon_text_)
+    return {program};
   std::ofstream file(daemonFile());
-  if (shape_.http) file << "[[door]]\nkind = \"http\"\nlisten = \"127.0.0.1:" << http_port_ << "\"\n";
+  if (shape_.http)
+    file << "[[door]]\nkind = \"http\"\nlisten = \"127.0.0.1:" << http_port_ << "\"\n";
   file << (daemon_text_ ? daemon_text_() : "");
   return {program, "--daemon", daemonFile()};
 }
 
 void World::writeConfig(bool whole) const {
   std::string text = config().dump();
-  if (!whole) text.resize(text.size() / 2);
+  if (!whole)
+    text.resize(text.size() / 2);
   std::ofstream(configFile() + ".new") << text;
   std::filesystem::rename(configFile() + ".new", configFile());
 }
 
 std::vector<std::string> World::variables() const {
-  if (shape_.alone) return {};
+  if (shape_.alone)
+    return {};
   std::vector<std::string> all = {"GW_CONFIG=" + configFile(), "GW_STATE=" + state()};
-  if (listening_) all.push_back("GW_PASSED_SOCKET=" + std::to_string(Child::kPassed));
+  if (listening_)
+    all.push_back("GW_PASSED_SOCKET=" + std::to_string(Child::kPassed));
   return all;
 }
 
@@ -200,7 +213,9 @@
   }
 }
 
-void World::again(const std::string& program) { launch(child_, program.empty() ? program_ : program); }
+void World::again(const std::string& program) {
+  launch(child_, program.empty() ? program_ : program);
+}
 
 std::unique_ptr<Child> World::beside() {
   auto old = std::make_unique<Child>(child_.release());
@@ -209,20 +224,26 @@
 }
 
 void World::start() {
-  if (!shape_.alone) writeConfig();
-  if (!shape_.passed) return startWith(command(program_));
+  if (!shape_.alone)
+    writeConfig();
+  if (!shape_.passed)
+    return startWith(command(program_));
   again();
-  if (!resp_) resp_ = std::make_unique<Clients>(client_io_, at(resp_port_), respWire(), shape_.connections);
+  if (!resp_)
+    resp_ = std::make_unique<Clients>(client_io_, at(resp_port_), respWire(), shape_.connections);
   lookAtJournal();
 }
 
 void World::startWith(const std::vector<std::string>& command) {
-  if (!shape_.alone) writeConfig();
+  if (!shape_.alone)
+    writeConfig();
   child_.start(command, variables(), folder_.path() + "/log");
   if (!child_.waitForPort(resp_port_, kStart) || (shape_.http && !child_.waitForPort(http_port_, kStart)))
     throw std::runtime_error("the program does not open its doors: " + log());
-  if (!resp_) resp_ = std::make_unique<Clients>(client_io_, at(resp_port_), respWire(), shape_.connections);
-  if (!http_) http_ = std::make_unique<Clients>(client_io_, at(http_port_), httpWire(), shape_.connections);
+  if (!resp_)
+    resp_ = std::make_unique<Clients>(client_io_, at(resp_port_), respWire(), shape_.connections);
+  if (!http_)
+    http_ = std::make_unique<Clients>(client_io_, at(http_port_), httpWire(), shape_.connections);
   lookAtJournal();
 }
 
@@ -251,7 +272,8 @@
   }
   look_.expires_after(std::chrono::milliseconds(10));
   look_.async_wait([this](const boost::system::error_code& stopped) {
-    if (!stopped) lookAtJournal();
+    if (!stopped)
+      lookAtJournal();
   });
 }
 
@@ -267,9 +289,11 @@
 bool World::submit(By by) {
   int draw = static_cast<int>(random() % 100);
   const Class* c = kClasses;
-  while (draw >= c->share) draw -= (c++)->share;
+  while (draw >= c->share)
+    draw -= (c++)->share;
   const std::int64_t index = ledger.open(c->kind, by, monotonicNow());
-  if (index < 0) return false;
+  if (index < 0)
+    return false;
   Message m;
   m.id = ledger.id(index);
   m.cls = c->name;
@@ -277,7 +301,8 @@
   if (shape_.alone)
     m.partner = shape_.names.empty() ? "p" + std::to_string(m.destination)
                                      : shape_.names[static_cast<std::size_t>(m.destination)];
-  if (c->kind == Effect::keyed) m.key = "k" + m.id;
+  if (c->kind == Effect::keyed)
+    m.key = "k" + m.id;
   m.body = std::to_string(m.destination) + " ";
   m.body.resize(kBody, 'x');
   clients(by).submit(m,
@@ -285,17 +310,21 @@
   return true;
 }
 
-void World::run(Micros span) { client_io_.run_for(std::chrono::microseconds(span)); }
+void World::run(Micros span) {
+  client_io_.run_for(std::chrono::microseconds(span));
+}
 
 void World::load(double rate, Micros span, const std::vector<By>& doors) {
   const Micros until = monotonicNow() + span;
   std::exponential_distribution<> gap(rate);
-  if (rate <= 0) return run(span);
+  if (rate <= 0)
+    return run(span);
   double due = static_cast<double>(monotonicNow());
   std::size_t door = 0;
   for (Micros now = monotonicNow(); now < until; now = monotonicNow()) {
     for (; due <= static_cast<double>(now); due += gap(random) * 1e6)
-      if (!submit(doors[door++ % doors.size()])) return;
+      if (!submit(doors[door++ % doors.size()]))
+        return;
     run(kGrain);
   }
 }
@@ -306,7 +335,8 @@
   while (monotonicNow() < until) {
     const auto waiting = static_cast<std::int64_t>(busy());
     for (std::int64_t n = std::max<std::int64_t>(0, ledger.in_flight) + waiting; n < window; ++n)
-      if (!submit(doors[door++ % doors.size()])) return;
+      if (!submit(doors[door++ % doors.size()]))
+        return;
     client_io_.run_one_for(std::chrono::microseconds(kGrain));
     client_io_.poll();
   }
@@ -329,8 +359,10 @@
   for (const std::string& id : ledger.open()) {
     asio::write(s, asio::buffer("*2\r\n$7\r\nMSG.GET\r\n$16\r\n" + id + "\r\n"), e);
     const std::string head = line();
-    if (e) return;
-    if (head == "*-1") continue;  // lost: the ledger will say so
+    if (e)
+      return;
+    if (head == "*-1")
+      continue;  // lost: the ledger will say so
     std::vector<std::string> words;
     for (int i = std::atoi(head.c_str() + 1); i > 0 && !e; --i) {
       const std::string next = line();
@@ -345,7 +377,8 @@
   const Micros until = monotonicNow() + most;
   while (monotonicNow() < until) {
     run(shape_.alone ? 200'000 : 20'000);
-    if (shape_.alone) lookForEnds();
+    if (shape_.alone)
+      lookForEnds();
     if (busy() == 0 && ledger.unended() == 0) {
       run(200'000);  // what would come twice has time to
       return true;
--- a/rig/world.h
+++ b/rig/world.h
@@ -80,7 +80,8 @@
   // At both doors: connections that end are the process's death, and no answer is owed.
   void expectCuts(bool on) {
     resp_->expectCuts(on);
-    if (http_) http_->expectCuts(on);
+    if (http_)
+      http_->expectCuts(on);
   }
   std::size_t busy() const { return resp_->busy() + (http_ ? http_->busy() : 0); }
   // Open loop: so many a second at random moments, the doors in turn, for so long.
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -9,21 +9,26 @@
 Admission::Admission(boost::asio::io_context& io, Intake& core, Micros patience, Micros pause)
     : core_(core), patience_(patience), pause_(pause), timer_(io) {}
 
-void Admission::add(std::unique_ptr<AdmissionStep> step) { steps_.push_back(std::move(step)); }
+void Admission::add(std::unique_ptr<AdmissionStep> step) {
+  steps_.push_back(std::move(step));
+}
 
 void Admission::submit(Submission s, Reply reply) {
-  if (steps_.empty()) return core_.submit(std::move(s), std::move(reply));
+  if (steps_.empty())
+    return core_.submit(std::move(s), std::move(reply));
   const std::uint64_t ticket = ++next_ticket_;
   waiting_[ticket] = {std::make_shared<Submission>(std::move(s)), std::move(reply), 0,
                       monotonicNow() + patience_};
   go(ticket);
-  if (draining_) drain();
+  if (draining_)
+    drain();
   arm();
 }
 
 void Admission::go(std::uint64_t ticket) {
   auto it = waiting_.find(ticket);
-  if (it == waiting_.end()) return;
+  if (it == waiting_.end())
+    return;
   Pending& p = it->second;
   if (p.step == steps_.size()) {
     Pending done = std::move(p);
@@ -45,7 +50,8 @@
 
 void Admission::judged(std::uint64_t ticket, std::size_t step, const Verdict& v) {
   auto it = waiting_.find(ticket);
-  if (it == waiting_.end() || it->second.step != step) return;  // answered already
+  if (it == waiting_.end() || it->second.step != step)
+    return;  // answered already
   if (v.kind == Verdict::Kind::pass) {
     ++it->second.step;
     return go(ticket);
@@ -57,7 +63,8 @@
 
 void Admission::refuse(std::uint64_t ticket) {
   auto it = waiting_.find(ticket);
-  if (it == waiting_.end()) return;
+  if (it == waiting_.end())
+    return;
   log::write(log::Event::admission_step_late, {{"step", steps_[it->second.step]->name()}});
   judged(ticket, it->second.step, Verdict::refuse(pause_));
 }
@@ -69,15 +76,18 @@
 }
 
 void Admission::arm() {
-  if (armed_ || waiting_.empty()) return;
+  if (armed_ || waiting_.empty())
+    return;
   armed_ = true;
   timer_.expires_after(
       std::chrono::microseconds(std::max<Micros>(0, waiting_.begin()->second.until - monotonicNow())));
   timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e) return;
+    if (e)
+      return;
     armed_ = false;
     const Micros now = monotonicNow();
-    while (!waiting_.empty() && waiting_.begin()->second.until <= now) refuse(waiting_.begin()->first);
+    while (!waiting_.empty() && waiting_.begin()->second.until <= now)
+      refuse(waiting_.begin()->first);
     arm();
   });
 }
--- a/src/audit/command.cpp
+++ b/src/audit/command.cpp
@@ -18,8 +18,10 @@
 std::string whatOf(const json& r) {
   std::string all = r.value("kind", std::string("?"));
   for (const auto& [key, value] : r.items()) {
-    if (key == "kind" || key == "at" || key == "seq" || key == "ahead") continue;
-    if (value.is_string() && value.get<std::string>().empty()) continue;
+    if (key == "kind" || key == "at" || key == "seq" || key == "ahead")
+      continue;
+    if (value.is_string() && value.get<std::string>().empty())
+      continue;
     all += " " + key + "=" + (value.is_string() ? value.get<std::string>() : value.dump());
   }
   return all;
@@ -36,7 +38,8 @@
 
 // How far the order of two senders' records can be trusted, said once.
 void tellClocks(const Question& q, std::size_t unpaired, Micros widest) {
-  if (q.as_json) return;
+  if (q.as_json)
+    return;
   if (unpaired > 0)
     std::cout
         << unpaired
@@ -58,13 +61,16 @@
   const std::string kind = e.record.value("kind", std::string());
   s.any = true;
   s.sender = e.sender;
-  if (kind == "start") s.running = true;
-  if (kind == "end") s.running = false;
+  if (kind == "start")
+    s.running = true;
+  if (kind == "end")
+    s.running = false;
   if (kind == "standing") {
     s.standing = e.record.value("standing", std::string("?"));
     s.since = e.common();
   }
-  if (e.record.contains("own")) s.own = e.record["own"];
+  if (e.record.contains("own"))
+    s.own = e.record["own"];
 }
 
 int ofMessage(const Question& q) {
@@ -77,7 +83,8 @@
       std::cerr << "grademux: " << e.what() << '\n';
       continue;
     }
-    if (!w.known) continue;
+    if (!w.known)
+      continue;
     found = true;
     const auto version = [&](std::uint32_t n) {
       const auto at = w.versions.find(n);
@@ -121,7 +128,8 @@
     tell(q, {{"sender", sender}, {"folder", folder}, {"message", q.message}, {"end", nullptr}},
          sender + ": open, " + std::to_string(w.attempts.size()) + " attempts");
   }
-  if (!found) std::cerr << "grademux: no journal here knows " << q.message << '\n';
+  if (!found)
+    std::cerr << "grademux: no journal here knows " << q.message << '\n';
   return found ? 0 : 1;
 }
 
@@ -131,7 +139,8 @@
   if (q.at) {
     const Summary::Acted* then = nullptr;
     for (const Summary::Acted& a : s.past)
-      if (a.from <= *q.at) then = &a;
+      if (a.from <= *q.at)
+        then = &a;
     const bool known = then && (s.live || *q.at <= s.at);
     tell(q,
          {{"sender", s.sender},
@@ -180,20 +189,26 @@
 std::optional<Micros> readTime(const std::string& text) {
   char* end = nullptr;
   const double seconds = std::strtod(text.c_str(), &end);
-  if (end && *end == 0 && end != text.c_str() && seconds >= 0) return static_cast<Micros>(seconds * 1e6);
+  if (end && *end == 0 && end != text.c_str() && seconds >= 0)
+    return static_cast<Micros>(seconds * 1e6);
   std::tm t{};
   const char* rest = ::strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &t);
-  if (!rest) return std::nullopt;
+  if (!rest)
+    return std::nullopt;
   double part = 0;
-  if (*rest == '.') part = std::strtod(rest, &end), rest = end;
-  if (std::string(rest) != "Z") return std::nullopt;
+  if (*rest == '.')
+    part = std::strtod(rest, &end), rest = end;
+  if (std::string(rest) != "Z")
+    return std::nullopt;
   return static_cast<Micros>(::timegm(&t)) * 1'000'000 + static_cast<Micros>(part * 1e6);
 }
 
 int audit(const Question& q) {
-  if (!q.message.empty()) return ofMessage(q);
+  if (!q.message.empty())
+    return ofMessage(q);
   std::vector<std::string> trails;
-  for (const std::string& f : q.folders) trails.push_back(f + "/trail");
+  for (const std::string& f : q.folders)
+    trails.push_back(f + "/trail");
   std::vector<Seen> seen(trails.size());
   std::vector<bool> paired(trails.size());
   Micros least = 0, most = 0;
@@ -209,14 +224,17 @@
           any_clock = true;
         }
         Seen& s = seen[n];
-        if (q.at && e.common() > *q.at) return;
+        if (q.at && e.common() > *q.at)
+          return;
         hear(s, e);
-        if (q.at || q.gaps || !wanted(e.sender)) return;
+        if (q.at || q.gaps || !wanted(e.sender))
+          return;
         if (q.plan) {
           const json& own = e.record.contains("own") ? e.record["own"] : json::object();
           const bool of =
               e.record.value("kind", "") == "taken over" && own.value("plan", std::int64_t{-1}) == *q.plan;
-          if (!of) return;
+          if (!of)
+            return;
         }
         tell(q, {{"sender", e.sender}, {"at", e.at}, {"common", e.common()}, {"record", e.record}},
              utcText(e.common(), true) + "  " + e.sender + "  " + whatOf(e.record));
@@ -224,16 +242,19 @@
       [&](std::size_t n, const Gap& g) {
         const std::string sender = seen[n].sender.empty() ? q.folders[n] : seen[n].sender;
         if (q.at) {
-          if (g.from <= *q.at && (g.to == 0 || *q.at <= g.to)) seen[n].gaps.push_back(g);
+          if (g.from <= *q.at && (g.to == 0 || *q.at <= g.to))
+            seen[n].gaps.push_back(g);
           return;
         }
-        if (!wanted(sender)) return;
+        if (!wanted(sender))
+          return;
         bad = true;
         tellGap(q, sender, g);
       });
   for (const Summary& s : q.summaries) {
     const auto same = [&](const Seen& here) { return here.sender == s.sender; };
-    if (wanted(s.sender) && std::none_of(seen.begin(), seen.end(), same)) bad = !ofSummary(q, s) || bad;
+    if (wanted(s.sender) && std::none_of(seen.begin(), seen.end(), same))
+      bad = !ofSummary(q, s) || bad;
   }
   std::size_t unpaired = 0;
   for (std::size_t n = 0; n < trails.size(); ++n) {
@@ -242,7 +263,8 @@
       std::cerr << "grademux: no trail in " << q.folders[n] << '\n';
       bad = true;
     }
-    if (!q.at || !wanted(seen[n].sender)) continue;
+    if (!q.at || !wanted(seen[n].sender))
+      continue;
     const Seen& s = seen[n];
     for (const Gap& g : s.gaps) {
       tellGap(q, s.sender.empty() ? q.folders[n] : s.sender, g);
--- a/src/audit/reader.cpp
+++ b/src/audit/reader.cpp
@@ -24,7 +24,8 @@
 
 std::uint64_t checkOf(std::uint64_t before, const char* payload, std::size_t size) {
   std::string chained;
-  for (int i = 0; i < 8; ++i) chained.push_back(static_cast<char>(before >> (8 * i) & 0xff));
+  for (int i = 0; i < 8; ++i)
+    chained.push_back(static_cast<char>(before >> (8 * i) & 0xff));
   chained.append(payload, size);
   return XXH3_64bits(chained.data(), chained.size());
 }
@@ -52,8 +53,10 @@
       : folder_(std::move(folder)), expected_(std::move(expected)), segments_(segmentsIn(folder_)) {}
 
   bool next(Item& item) {
-    while (ready_.empty() && !over_) step();
-    if (ready_.empty()) return false;
+    while (ready_.empty() && !over_)
+      step();
+    if (ready_.empty())
+      return false;
     item = std::move(ready_.front());
     ready_.pop();
     return true;
@@ -71,19 +74,23 @@
   void step() {
     if (!in_ && !nextSegment()) {
       over_ = true;
-      if (!doubt_.empty()) gap(0, doubt_);
+      if (!doubt_.empty())
+        gap(0, doubt_);
       return;
     }
     fill();
     if (buffer_.size() - at_ < kHeader) {
-      if (buffer_.size() > at_) doubt_ = "a torn end in " + name_;
+      if (buffer_.size() > at_)
+        doubt_ = "a torn end in " + name_;
       in_.reset();
       return;
     }
     const std::uint64_t size = littleAt(buffer_, at_ + kMarkSize, 4);
     const bool marked = buffer_.compare(at_, kMarkSize, kMark, kMarkSize) == 0 && size <= kLargest;
-    if (marked) fill(kHeader + size);
-    if (!marked || buffer_.size() - at_ < kHeader + size) return damaged();
+    if (marked)
+      fill(kHeader + size);
+    if (!marked || buffer_.size() - at_ < kHeader + size)
+      return damaged();
     const std::uint64_t check = littleAt(buffer_, at_ + kMarkSize + 4, 8);
     const char* payload = buffer_.data() + at_ + kHeader;
     const std::uint64_t before = check_;
@@ -108,8 +115,10 @@
     std::size_t found = buffer_.find(mark, at_ + 1);
     while (found == std::string::npos && fill(buffer_.size() - at_ + kPiece))
       found = buffer_.find(mark, at_ + 1);
-    if (found == std::string::npos) in_.reset();
-    else at_ = found;
+    if (found == std::string::npos)
+      in_.reset();
+    else
+      at_ = found;
   }
 
   void take(json record) {
@@ -118,13 +127,18 @@
     const std::string kind = textIn(record, "kind");
     if (kind == "segment") {
       const std::string whose = textIn(record, "sender");
-      if (reading_.sender.empty()) reading_.sender = whose;
-      if (!expected_.empty() && whose != expected_) doubt_ = name_ + " is of " + whose;
-      else if (whose != reading_.sender) doubt_ = name_ + " is of " + whose + ", not of " + reading_.sender;
+      if (reading_.sender.empty())
+        reading_.sender = whose;
+      if (!expected_.empty() && whose != expected_)
+        doubt_ = name_ + " is of " + whose;
+      else if (whose != reading_.sender)
+        doubt_ = name_ + " is of " + whose + ", not of " + reading_.sender;
       if (begun_ && sequence > sequence_ && doubt_.empty())
         doubt_ = std::to_string(sequence - sequence_) + " records are missing before " + name_;
-      if (!begun_ && sequence > 0) doubt_ = "what came before " + name_ + " is gone";
-      if (!doubt_.empty()) gap(at, doubt_);
+      if (!begun_ && sequence > 0)
+        doubt_ = "what came before " + name_ + " is gone";
+      if (!doubt_.empty())
+        gap(at, doubt_);
       doubt_.clear();
       begun_ = true;
       sequence_ = std::max(sequence_, sequence);
@@ -133,7 +147,8 @@
     if (doubt_.empty() && begun_ && sequence != sequence_ + 1)
       doubt_ =
           "records " + std::to_string(sequence_ + 1) + " to " + std::to_string(sequence - 1) + " are missing";
-    if (!doubt_.empty()) gap(at, doubt_);
+    if (!doubt_.empty())
+      gap(at, doubt_);
     doubt_.clear();
     if (kind == "missing")
       gap(at, std::to_string(wholeIn(record, "records")) + " records could not be written");
@@ -143,7 +158,8 @@
       ahead_ = wholeIn(record, "ahead");
       paired_ = true;
     }
-    if (reading_.records++ == 0) reading_.first = at;
+    if (reading_.records++ == 0)
+      reading_.first = at;
     reading_.last = at;
     Item i;
     i.entry = {reading_.sender, sequence, at, ahead_, paired_, std::move(record)};
@@ -151,7 +167,8 @@
   }
 
   bool nextSegment() {
-    if (next_ >= segments_.size()) return false;
+    if (next_ >= segments_.size())
+      return false;
     const std::int64_t number = segments_[next_];
     if (next_ > 0 && number != segments_[next_ - 1] + 1 && doubt_.empty())
       doubt_ = segmentName(segments_[next_ - 1] + 1) + " is missing";
@@ -165,7 +182,8 @@
   }
 
   bool fill(std::size_t wanted = kHeader) {
-    if (buffer_.size() - at_ >= wanted || !in_) return buffer_.size() - at_ >= wanted;
+    if (buffer_.size() - at_ >= wanted || !in_)
+      return buffer_.size() - at_ >= wanted;
     buffer_.erase(0, at_);
     at_ = 0;
     while (buffer_.size() < wanted) {
@@ -173,7 +191,8 @@
       buffer_.resize(had + kPiece);
       in_->read(buffer_.data() + had, kPiece);
       buffer_.resize(had + static_cast<std::size_t>(in_->gcount()));
-      if (buffer_.size() == had) return false;
+      if (buffer_.size() == had)
+        return false;
     }
     return true;
   }
@@ -197,7 +216,8 @@
                   const std::function<void(const Entry&)>& entry,
                   const std::function<void(const Gap&)>& gap) {
   Source source(folder, expected);
-  for (Source::Item i; source.next(i);) i.is_gap ? gap(i.gap) : entry(i.entry);
+  for (Source::Item i; source.next(i);)
+    i.is_gap ? gap(i.gap) : entry(i.entry);
   return source.reading();
 }
 
@@ -214,7 +234,8 @@
   std::priority_queue<Next, std::vector<Next>, std::greater<>> line;
   const auto advance = [&](std::size_t n) {
     Head& h = heads[n];
-    if (!h.source->next(h.item)) return;
+    if (!h.source->next(h.item))
+      return;
     // A gap comes where it ends, and nothing of a trail before what stands before it there.
     const Micros at = h.item.is_gap ? h.at : h.item.entry.common();
     h.at = std::max(h.at, at);
--- a/src/audit/trail.cpp
+++ b/src/audit/trail.cpp
@@ -22,7 +22,8 @@
 constexpr int kSegments = 8;  // that the budget is cut into
 
 void little(std::string& out, std::uint64_t n, int bytes) {
-  for (int i = 0; i < bytes; ++i) out.push_back(static_cast<char>(n >> (8 * i) & 0xff));
+  for (int i = 0; i < bytes; ++i)
+    out.push_back(static_cast<char>(n >> (8 * i) & 0xff));
 }
 
 }  // namespace
@@ -38,10 +39,12 @@
   std::error_code e;
   for (fs::directory_iterator at(folder, e), end; !e && at != end; at.increment(e)) {
     const std::string name = at->path().filename().string();
-    if (name.compare(0, 6, "trail-") != 0) continue;
+    if (name.compare(0, 6, "trail-") != 0)
+      continue;
     std::int64_t n = 0;
     const auto [rest, wrong] = std::from_chars(name.data() + 6, name.data() + name.size(), n);
-    if (wrong == std::errc() && rest == name.data() + name.size()) all.push_back(n);
+    if (wrong == std::errc() && rest == name.data() + name.size())
+      all.push_back(n);
   }
   std::sort(all.begin(), all.end());
   return all;
@@ -64,7 +67,8 @@
 }
 
 Trail::~Trail() {
-  if (fd_ >= 0) ::close(fd_);
+  if (fd_ >= 0)
+    ::close(fd_);
 }
 
 // Guards against a folder copied from another sender, whose records would then stand as this one's.
@@ -78,10 +82,12 @@
     const std::string name = folder_ + "-of-" + whose;
     for (int n = 1; n < 1000; ++n) {
       aside_ = name + (n > 1 ? "-" + std::to_string(n) : "");
-      if (!fs::exists(aside_, e)) break;
+      if (!fs::exists(aside_, e))
+        break;
     }
     fs::rename(folder_, aside_, e);
-    if (!e) last = 0;
+    if (!e)
+      last = 0;
   }
   fs::create_directories(folder_, e);
   const auto segments = segmentsIn(folder_);
@@ -92,13 +98,15 @@
 // The chain begins anew in each segment, from its number: one that is taken away is missed by its number, and
 // by the sequence of the records.
 bool Trail::open(Micros now) {
-  if (fd_ >= 0) ::close(fd_);
+  if (fd_ >= 0)
+    ::close(fd_);
   ++segment_;
   const std::string path = folder_ + "/" + segmentName(segment_);
   fd_ = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC, 0644);
   size_ = 0;
   check_ = static_cast<std::uint64_t>(segment_);
-  if (fd_ < 0) return false;
+  if (fd_ < 0)
+    return false;
   if (put({{"kind", "segment"}, {"sender", sender_}, {"segment", segment_}, {"at", now}, {"seq", sequence_}}))
     return true;
   ::close(fd_);
@@ -112,15 +120,18 @@
   auto all = segmentsIn(folder_);
   std::error_code e;
   std::uint64_t sum = 0;
-  for (const std::int64_t n : all) sum += fs::file_size(folder_ + "/" + segmentName(n), e);
+  for (const std::int64_t n : all)
+    sum += fs::file_size(folder_ + "/" + segmentName(n), e);
   for (const std::int64_t n : all) {
-    if (n == segment_) break;
+    if (n == segment_)
+      break;
     const std::string path = folder_ + "/" + segmentName(n);
     const auto written = fs::last_write_time(path, e);
     const auto age =
         std::chrono::duration_cast<std::chrono::microseconds>(fs::file_time_type::clock::now() - written)
             .count();
-    if (sum + budget_.bytes / kSegments <= budget_.bytes && (e || age <= budget_.age)) break;
+    if (sum + budget_.bytes / kSegments <= budget_.bytes && (e || age <= budget_.age))
+      break;
     sum -= std::min<std::uint64_t>(sum, fs::file_size(path, e));
     fs::remove(path, e);
   }
@@ -144,11 +155,13 @@
 
 bool Trail::write(json record, Micros now) {
   const auto lost = [&] {
-    if (missing_++ == 0) missing_since_ = now;
+    if (missing_++ == 0)
+      missing_since_ = now;
     return false;
   };
   if (fd_ < 0 || size_ >= budget_.bytes / kSegments) {
-    if (!open(now)) return lost();
+    if (!open(now))
+      return lost();
     prune();
   }
   if (missing_ > 0) {
@@ -163,7 +176,8 @@
   }
   record["at"] = now;
   record["seq"] = sequence_ + 1;
-  if (!put(record)) return lost();
+  if (!put(record))
+    return lost();
   ++sequence_;
   return true;
 }
