--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -30,9 +30,11 @@
 template <std::size_t N>
 bool quantity(const std::string& s, const Unit (&units)[N], double& out) {
   const std::size_t digits = s.find_first_not_of("0123456789.");
-  if (digits == 0 || digits == std::string::npos || digits > 15) return false;
+  if (digits == 0 || digits == std::string::npos || digits > 15)
+    return false;
   const std::string number = s.substr(0, digits);
-  if (number.find('.') != number.rfind('.') || number == ".") return false;
+  if (number.find('.') != number.rfind('.') || number == ".")
+    return false;
   const std::size_t at = s.find_first_not_of(' ', digits);
   for (const Unit& u : units)
     if (at != std::string::npos && s.substr(at) == u.name) {
@@ -60,7 +62,8 @@
   std::size_t least = SIZE_MAX;
   for (const std::string& name : names) {
     std::vector<std::size_t> row(name.size() + 1);
-    for (std::size_t j = 0; j <= name.size(); ++j) row[j] = j;
+    for (std::size_t j = 0; j <= name.size(); ++j)
+      row[j] = j;
     for (std::size_t i = 1; i <= word.size(); ++i) {
       std::size_t diagonal = row[0];
       row[0] = i;
@@ -97,15 +100,18 @@
 template <class Value>
 Value Table::inForce(const char* key, Value value, const std::string& shown) {
   const toml::node* n = table_.get(key);
-  if (effective_) effective_->push_back({named(key), shown, n ? n->source().begin.line : 0});
+  if (effective_)
+    effective_->push_back({named(key), shown, n ? n->source().begin.line : 0});
   return value;
 }
 
 std::int64_t Table::whole(const char* key, std::int64_t otherwise, std::int64_t least, std::int64_t most) {
   const toml::node* n = node(key);
-  if (!n) return inForce(key, otherwise, std::to_string(otherwise));
+  if (!n)
+    return inForce(key, otherwise, std::to_string(otherwise));
   const auto v = n->is_integer() ? n->value<std::int64_t>() : std::nullopt;
-  if (v && *v >= least && *v <= most) return inForce(key, *v, std::to_string(*v));
+  if (v && *v >= least && *v <= most)
+    return inForce(key, *v, std::to_string(*v));
   expected(key,
            "a whole number from " + std::to_string(least) + " to " + std::to_string(most) + " is expected");
   return otherwise;
@@ -117,9 +123,11 @@
     out << x;
     return out.str();
   };
-  if (!n) return inForce(key, otherwise, shownReal(otherwise));
+  if (!n)
+    return inForce(key, otherwise, shownReal(otherwise));
   const auto v = n->is_number() ? n->value<double>() : std::nullopt;
-  if (v && *v >= least && *v <= most) return inForce(key, *v, shownReal(*v));
+  if (v && *v >= least && *v <= most)
+    return inForce(key, *v, shownReal(*v));
   std::ostringstream range;
   range << "a number from " << least << " to " << most << " is expected";
   expected(key, range.str());
@@ -128,26 +136,31 @@
 bool Table::truth(const char* key, bool otherwise) {
   const toml::node* n = node(key);
   const bool v = n && n->is_boolean() ? *n->value<bool>() : otherwise;
-  if (!n || n->is_boolean()) return inForce(key, v, v ? "true" : "false");
+  if (!n || n->is_boolean())
+    return inForce(key, v, v ? "true" : "false");
   expected(key, "true or false is expected");
   return otherwise;
 }
 std::string Table::text(const char* key, const std::string& otherwise) {
   const toml::node* n = node(key);
-  if (!n && !otherwise.empty()) return inForce(key, otherwise, "\"" + otherwise + "\"");
+  if (!n && !otherwise.empty())
+    return inForce(key, otherwise, "\"" + otherwise + "\"");
   const auto v = n && n->is_string() ? n->value<std::string>() : std::nullopt;
-  if (v && !v->empty()) return inForce(key, *v, "\"" + *v + "\"");
+  if (v && !v->empty())
+    return inForce(key, *v, "\"" + *v + "\"");
   expected(key, "a text is expected");
   return otherwise;
 }
 std::string Table::word(const char* key, std::initializer_list<const char*> words, const char* otherwise) {
   const toml::node* n = node(key);
-  if (!n && otherwise) return inForce(key, std::string(otherwise), "\"" + std::string(otherwise) + "\"");
+  if (!n && otherwise)
+    return inForce(key, std::string(otherwise), "\"" + std::string(otherwise) + "\"");
   const auto v = n && n->is_string() ? n->value<std::string>() : std::nullopt;
   std::string all;
   std::vector<std::string> names;
   for (const char* w : words) {
-    if (v && *v == w) return inForce(key, *v, "\"" + *v + "\"");
+    if (v && *v == w)
+      return inForce(key, *v, "\"" + *v + "\"");
     all += (all.empty() ? "\"" : " or \"") + std::string(w) + "\"";
     names.emplace_back(w);
   }
@@ -158,19 +171,23 @@
 std::vector<std::string> Table::texts(const char* key) {
   std::vector<std::string> all;
   const toml::node* n = node(key);
-  if (!n) return all;
+  if (!n)
+    return all;
   const toml::array* list = n->as_array();
   if (!list || (!list->empty() && !list->is_homogeneous(toml::node_type::string)))
     expected(key, "a list of texts is expected");
   else
-    for (const toml::node& i : *list) all.push_back(*i.value<std::string>());
+    for (const toml::node& i : *list)
+      all.push_back(*i.value<std::string>());
   std::string shownList;
-  for (const std::string& s : all) shownList += (shownList.empty() ? "\"" : ", \"") + s + "\"";
+  for (const std::string& s : all)
+    shownList += (shownList.empty() ? "\"" : ", \"") + s + "\"";
   return inForce(key, all, "[" + shownList + "]");
 }
 Micros Table::span(const char* key, Micros otherwise, Micros least, Micros most) {
   const toml::node* n = node(key);
-  if (!n) return inForce(key, otherwise, shown(static_cast<double>(otherwise), kTimes));
+  if (!n)
+    return inForce(key, otherwise, shown(static_cast<double>(otherwise), kTimes));
   const auto v = n->is_string() ? n->value<std::string>() : std::nullopt;
   double us = 0;
   if (v && quantity(*v, kTimes, us) && us >= static_cast<double>(least) && us <= static_cast<double>(most))
@@ -196,7 +213,8 @@
   const auto read = [&](const toml::node& n, Micros& x) {
     const auto v = n.is_string() ? n.value<std::string>() : std::nullopt;
     double us = 0;
-    if (!v || !quantity(*v, kTimes, us)) return false;
+    if (!v || !quantity(*v, kTimes, us))
+      return false;
     x = std::llround(us);
     return x >= least && x <= most;
   };
@@ -209,7 +227,8 @@
 std::pair<Value, Value> Table::pair(const char* key, std::pair<Value, Value> otherwise, const Read& read,
                                     const std::string& what) {
   const toml::node* n = node(key);
-  if (!n) return otherwise;
+  if (!n)
+    return otherwise;
   std::pair<Value, Value> v;
   const toml::array* both = n->as_array();
   const bool good = both ? both->size() == 2 && read((*both)[0], v.first) && read((*both)[1], v.second) &&
@@ -219,12 +238,14 @@
     expected(key, what);
     return otherwise;
   }
-  if (!both) v.second = v.first;
+  if (!both)
+    v.second = v.first;
   return v;
 }
 std::int64_t Table::size(const char* key, std::int64_t otherwise, std::int64_t least, std::int64_t most) {
   const toml::node* n = node(key);
-  if (!n) return inForce(key, otherwise, shown(static_cast<double>(otherwise), kSizes));
+  if (!n)
+    return inForce(key, otherwise, shown(static_cast<double>(otherwise), kSizes));
   const auto v = n->is_string() ? n->value<std::string>() : std::nullopt;
   double bytes = 0;
   if (v && quantity(*v, kSizes, bytes) && bytes >= static_cast<double>(least) &&
@@ -240,9 +261,12 @@
   const toml::node* n = node(key);
   const auto v = n && n->is_string() ? n->value<std::string>() : std::nullopt;
   try {
-    if (v) out = parseAddress(*v);
-  } catch (const std::invalid_argument&) {}
-  if (v && out.port() != 0) return inForce(key, true, "\"" + *v + "\"");
+    if (v)
+      out = parseAddress(*v);
+  } catch (const std::invalid_argument&) {
+  }
+  if (v && out.port() != 0)
+    return inForce(key, true, "\"" + *v + "\"");
   expected(key, "an address and a port from 1 to 65535 are expected, as \"127.0.0.1:8080\"");
   return false;
 }
@@ -250,21 +274,25 @@
 std::vector<const toml::table*> Table::tables(const char* key) {
   std::vector<const toml::table*> all;
   const toml::node* n = node(key);
-  if (!n) return all;
+  if (!n)
+    return all;
   const toml::array* list = n->as_array();
   if (!list || !list->is_homogeneous(toml::node_type::table))
     expected(key, "tables are expected, each begun by [[" + std::string(key) + "]]");
   else
-    for (const toml::node& t : *list) all.push_back(t.as_table());
+    for (const toml::node& t : *list)
+      all.push_back(t.as_table());
   return all;
 }
 
 void Table::unknown(const std::string& where) {
   std::string all;
-  for (const std::string& k : known_) all += (all.empty() ? "" : ", ") + k;
+  for (const std::string& k : known_)
+    all += (all.empty() ? "" : ", ") + k;
   for (const auto& [key, value] : table_) {
     const std::string name(key.str());
-    if (known_.count(name)) continue;
+    if (known_.count(name))
+      continue;
     const std::string meant = nearest(name, {known_.begin(), known_.end()});
     mistake(key.source(), "unknown key " + name + where + ": one of " + all + " is expected" +
                               (meant.empty() ? "" : "; " + meant + " may be meant"));
--- a/src/core/journal.cpp
+++ b/src/core/journal.cpp
@@ -60,7 +60,8 @@
   Writer& number(std::int64_t v) {
     const auto u = static_cast<std::uint64_t>(v);
     char bytes[8];
-    for (int i = 0; i < 8; ++i) bytes[i] = static_cast<char>(u >> (8 * i) & 0xff);
+    for (int i = 0; i < 8; ++i)
+      bytes[i] = static_cast<char>(u >> (8 * i) & 0xff);
     out_.append(bytes, sizeof bytes);
     return *this;
   }
@@ -87,7 +88,8 @@
  public:
   explicit Reader(const std::string& in) : in_(in) {}
   std::int64_t number() {
-    if (in_.size() - at_ < 8) throw std::runtime_error("short record");
+    if (in_.size() - at_ < 8)
+      throw std::runtime_error("short record");
     std::uint64_t u = 0;
     for (int i = 0; i < 8; ++i)
       u |= static_cast<std::uint64_t>(static_cast<unsigned char>(in_[at_++])) << (8 * i);
@@ -98,9 +100,11 @@
     Past p;
     std::int64_t how = number();
     const bool versioned = how >= kVersioned;
-    if (versioned) how -= kVersioned;
+    if (versioned)
+      how -= kVersioned;
     p.by_fnv = how < kByXxh3;
-    if (!p.by_fnv) how -= kByXxh3;
+    if (!p.by_fnv)
+      how -= kByXxh3;
     if (how < 0 || how > static_cast<std::int64_t>(Ending::withdrawn))
       throw std::runtime_error("unknown end");
     p.end.how = static_cast<Ending>(how);
@@ -108,12 +112,14 @@
     p.end.pause = number();
     p.digest = static_cast<std::uint64_t>(number());
     p.until = number();
-    if (versioned) p.version = static_cast<std::uint32_t>(number());
+    if (versioned)
+      p.version = static_cast<std::uint32_t>(number());
     return p;
   }
   std::string text() {
     const auto n = static_cast<std::uint64_t>(number());
-    if (n > in_.size() - at_) throw std::runtime_error("short record");
+    if (n > in_.size() - at_)
+      throw std::runtime_error("short record");
     std::string s = in_.substr(at_, n);
     at_ += n;
     return s;
@@ -129,7 +135,8 @@
   const std::uint32_t words[2] = {static_cast<std::uint32_t>(payload.size()),
                                   crcOf(payload.data(), payload.size())};
   for (std::uint32_t w : words)
-    for (int i = 0; i < 4; ++i) out.push_back(static_cast<char>(w >> (8 * i) & 0xff));
+    for (int i = 0; i < 4; ++i)
+      out.push_back(static_cast<char>(w >> (8 * i) & 0xff));
   out += payload;
 }
 
@@ -141,7 +148,9 @@
   return w;
 }
 
-std::string epochPayload(std::int64_t epoch) { return Writer(kEpoch).number(epoch).out(); }
+std::string epochPayload(std::int64_t epoch) {
+  return Writer(kEpoch).number(epoch).out();
+}
 std::int64_t bitsOf(double v) {
   std::int64_t bits;
   static_assert(sizeof bits == sizeof v);
@@ -170,12 +179,15 @@
       .number(c.max_attempts)
       .out();
 }
-std::uint64_t sizeOfRules(const MessageClass& c) { return kHeader + 1 + 12 * 8 + c.name.size(); }
+std::uint64_t sizeOfRules(const MessageClass& c) {
+  return kHeader + 1 + 12 * 8 + c.name.size();
+}
 
 template <class E>
 E readEnum(Reader& r, E last) {
   const std::int64_t v = r.number();
-  if (v < 0 || v > static_cast<std::int64_t>(last)) throw std::runtime_error("unknown rule");
+  if (v < 0 || v > static_cast<std::int64_t>(last))
+    throw std::runtime_error("unknown rule");
   return static_cast<E>(v);
 }
 
@@ -192,7 +204,8 @@
   c.memory = r.number();
   c.ordered = r.number() != 0;
   c.max_attempts = static_cast<int>(r.number());
-  if (c.aim <= 0 || c.deadline < c.aim || c.max_attempts < 1) throw std::runtime_error("unusable rules");
+  if (c.aim <= 0 || c.deadline < c.aim || c.max_attempts < 1)
+    throw std::runtime_error("unusable rules");
   return c;
 }
 
@@ -227,7 +240,9 @@
 std::string versionPayload(std::uint32_t number, const std::string& text) {
   return Writer(kVersion).number(number).text(text).out();
 }
-std::uint64_t sizeOfVersion(const std::string& text) { return kHeader + 1 + 2 * 8 + text.size(); }
+std::uint64_t sizeOfVersion(const std::string& text) {
+  return kHeader + 1 + 2 * 8 + text.size();
+}
 std::string neverRanPayload(const std::string& id, std::size_t attempt) {
   return Writer(kNeverRan).text(id).number(static_cast<std::int64_t>(attempt)).out();
 }
@@ -256,7 +271,8 @@
   };
   for (const auto& [name, entry] : entries) {
     part += Writer(kListed).text(name).text(entry).out().substr(1);
-    if (part.size() >= kBatch) record(before);
+    if (part.size() >= kBatch)
+      record(before);
   }
   record(index);
 }
@@ -287,32 +303,42 @@
     : path_(folder + "/journal"), fresh_path_(folder + "/journal.new"), disk_(disk_bytes) {
   ::unlink(fresh_path_.c_str());  // a compaction that was cut short: the old file still holds all
   fd_ = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_APPEND, 0644);
-  if (fd_ < 0) fault("journal: " + path_);
+  if (fd_ < 0)
+    fault("journal: " + path_);
   std::string data;
-  if (!readAll(fd_, data)) fault("journal: read");
+  if (!readAll(fd_, data))
+    fault("journal: read");
   replay(data);
-  for (const auto& [id, e] : entries_) recovered_.entries.push_back(e);
+  for (const auto& [id, e] : entries_)
+    recovered_.entries.push_back(e);
   std::sort(recovered_.entries.begin(), recovered_.entries.end(),
             [](const Entry& a, const Entry& b) { return a.order < b.order; });
-  for (const auto& [name, entry] : list_) recovered_.list.push_back(entry);
+  for (const auto& [name, entry] : list_)
+    recovered_.list.push_back(entry);
   recovered_.list_index = list_index_;
-  for (const auto& [key, a] : ailments_) recovered_.ailments.push_back(a);
+  for (const auto& [key, a] : ailments_)
+    recovered_.ailments.push_back(a);
   ++epoch_;
-  if (recovered_.damaged > 0 && compact()) return;
+  if (recovered_.damaged > 0 && compact())
+    return;
   frame(buffer_, epochPayload(epoch_));
   flush();  // where there is no room for it there is none for messages either
 }
 
-Journal::~Journal() { release(); }
+Journal::~Journal() {
+  release();
+}
 
 Journal::Witness Journal::look(const std::string& folder, const std::string& id) {
   const std::string path = folder + "/journal";
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
-  if (fd < 0) fault("journal: " + path);
+  if (fd < 0)
+    fault("journal: " + path);
   std::string data;
   const bool read = readAll(fd, data);
   ::close(fd);
-  if (!read) fault("journal: " + path);
+  if (!read)
+    fault("journal: " + path);
   Journal j;  // without a file: it writes nothing
   j.replay(data);
   Witness w;
@@ -330,7 +356,8 @@
 }
 
 void Journal::release() {
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   flush();
   struct stat s {};
   left_inode_ = ::fstat(fd_, &s) == 0 ? s.st_ino : 0;
@@ -339,13 +366,16 @@
 }
 
 bool Journal::retake() {
-  if (fd_ >= 0) return true;
+  if (fd_ >= 0)
+    return true;
   const int fd = ::open(path_.c_str(), O_RDWR | O_CLOEXEC | O_APPEND);
   struct stat s {};
   const bool same = fd >= 0 && ::fstat(fd, &s) == 0 && s.st_ino == left_inode_ &&
                     static_cast<std::uint64_t>(s.st_size) == size_;
-  if (same) fd_ = fd;
-  else if (fd >= 0) ::close(fd);
+  if (same)
+    fd_ = fd;
+  else if (fd >= 0)
+    ::close(fd);
   return same;
 }
 
@@ -360,11 +390,14 @@
       const std::uint32_t size = wordAt(data, at + kMarkSize), crc = wordAt(data, at + kMarkSize + 4);
       if (size >= 1 && size <= kLargest && size <= data.size() - at - kHeader &&
           crcOf(data.data() + at + kHeader, size) == crc) {
-        if (gap) doubt();
+        if (gap)
+          doubt();
         gap = false;
         try {
           apply(data.substr(at + kHeader, size));
-        } catch (const std::runtime_error&) { ++recovered_.damaged; }
+        } catch (const std::runtime_error&) {
+          ++recovered_.damaged;
+        }
         at += kHeader + size;
         sound_end = at;
         continue;
@@ -372,13 +405,15 @@
     }
     gap = true;
     const std::size_t next = data.find(mark, at + 1);
-    if (next == std::string::npos) break;
+    if (next == std::string::npos)
+      break;
     at = next;
   }
   size_ = sound_end;
   if (sound_end < data.size()) {
     recovered_.torn = true;
-    if (fd_ >= 0 && ::ftruncate(fd_, static_cast<off_t>(sound_end)) != 0) fault("journal: cut the torn tail");
+    if (fd_ >= 0 && ::ftruncate(fd_, static_cast<off_t>(sound_end)) != 0)
+      fault("journal: cut the torn tail");
   }
 }
 
@@ -391,13 +426,15 @@
                // where it begins anew
   list_begun_ = false;
   for (auto& [id, e] : entries_)
-    if (!e.ended) e.attempts.push_back({"", e.attempts.empty() ? 0 : e.attempts.back().sent, false});
+    if (!e.ended)
+      e.attempts.push_back({"", e.attempts.empty() ? 0 : e.attempts.back().sent, false});
 }
 
 void Journal::apply(const std::string& payload) {
   Reader r(payload);
   const char type = payload[0];
-  if (type == kList || type == kListed) return applyList(payload);
+  if (type == kList || type == kListed)
+    return applyList(payload);
   if (type == kPast) {
     while (r.more()) {
       const std::string over = r.text();
@@ -432,8 +469,10 @@
       a.wait_until = r.number();
       a.noted = r.number();
     }
-    if (!a.down && a.cold_since < 0 && a.wait_until == 0) ailments_.erase({a.destination, a.endpoint});
-    else ailments_[{a.destination, a.endpoint}] = a;
+    if (!a.down && a.cold_since < 0 && a.wait_until == 0)
+      ailments_.erase({a.destination, a.endpoint});
+    else
+      ailments_[{a.destination, a.endpoint}] = a;
     return;
   }
   if (type == kAccepted) {
@@ -447,7 +486,8 @@
     e.message.give_up_at = r.number();
     e.message.repeat = r.number() != 0;
     if (const std::int64_t rules = r.more() ? r.number() : 0; rules != 0) {  // versions before 0.5 kept none
-      if (rules_.count(rules) == 0) keepRules(rules, strictest(e.message.message_class));
+      if (rules_.count(rules) == 0)
+        keepRules(rules, strictest(e.message.message_class));
       e.message.rules = rules_.at(rules);
     }
     e.order = ++next_order_;
@@ -462,22 +502,26 @@
     return remember(id, p);
   }
   auto it = entries_.find(id);
-  if (it == entries_.end()) return;
+  if (it == entries_.end())
+    return;
   Entry& e = it->second;
   if (type == kAttempted) {
     JournaledAttempt a;
     a.endpoint = r.text();
     a.sent = r.number();
-    if (r.more()) a.version = static_cast<std::uint32_t>(r.number());
+    if (r.more())
+      a.version = static_cast<std::uint32_t>(r.number());
     e.attempts.push_back(a);
   } else if (type == kNeverRan) {
     const auto n = static_cast<std::size_t>(r.number());
-    if (n < e.attempts.size()) e.attempts[n].never_ran = true;
+    if (n < e.attempts.size())
+      e.attempts[n].never_ran = true;
   } else if (type == kOwed) {
     e.ended = true;
     e.notice.handed_back = r.number() != 0;
     e.notice.retry_in_ms = r.number();
-    if (r.more()) e.notice.at = r.number();  // earlier versions kept no time
+    if (r.more())
+      e.notice.at = r.number();  // earlier versions kept no time
   } else if (type == kOver) {
     eraseEntry(id);
   } else {
@@ -487,7 +531,8 @@
 
 void Journal::eraseEntry(const std::string& id) {
   const auto it = entries_.find(id);
-  if (it == entries_.end()) return;
+  if (it == entries_.end())
+    return;
   entry_bytes_ -= sizeOf(it->second.message) + kSeeThrough;
   entries_.erase(it);
 }
@@ -507,14 +552,16 @@
   const auto has_room = [&] {
     return fits(live) && (fits(size_ + buffer_.size() + more) || (compact() && fits(size_ + more)));
   };
-  if (!has_room() && (!claim() || !has_room())) return false;
+  if (!has_room() && (!claim() || !has_room()))
+    return false;
   reserved_ = more;
   return true;
 }
 
 // What stands beside the journal gives way: what was taken on goes first.
 bool Journal::claim() {
-  if (beside_ == 0 || !give_way_ || !give_way_()) return false;
+  if (beside_ == 0 || !give_way_ || !give_way_())
+    return false;
   beside_ = 0;
   return true;
 }
@@ -528,11 +575,15 @@
   apply(payload);
 }
 
-void Journal::accepted(const TakenOn& m) { append(acceptedPayload(m, numberOf(m.rules))); }
+void Journal::accepted(const TakenOn& m) {
+  append(acceptedPayload(m, numberOf(m.rules)));
+}
 std::int64_t Journal::numberOf(const ClassVersion& rules) {
-  if (!rules) return 0;
+  if (!rules)
+    return 0;
   const auto known = rules_at_.find(rules.get());
-  if (known != rules_at_.end()) return known->second;
+  if (known != rules_at_.end())
+    return known->second;
   const std::int64_t number = next_rules_ + 1;
   frame(buffer_, rulesPayload(number, *rules));
   keepRules(number, rules);
@@ -540,28 +591,39 @@
 }
 void Journal::keepRules(std::int64_t number, ClassVersion rules) {
   next_rules_ = std::max(next_rules_, number);
-  if (!rules_.emplace(number, rules).second) return;
+  if (!rules_.emplace(number, rules).second)
+    return;
   rules_bytes_ += sizeOfRules(*rules);
   rules_at_[rules.get()] = number;
 }
-void Journal::attempted(const std::string& id, const JournaledAttempt& a) { append(attemptedPayload(id, a)); }
-void Journal::neverRan(const std::string& id, std::size_t attempt) { append(neverRanPayload(id, attempt)); }
-void Journal::noticeOwed(const std::string& id, const Notice& n) { append(owedPayload(id, n)); }
+void Journal::attempted(const std::string& id, const JournaledAttempt& a) {
+  append(attemptedPayload(id, a));
+}
+void Journal::neverRan(const std::string& id, std::size_t attempt) {
+  append(neverRanPayload(id, attempt));
+}
+void Journal::noticeOwed(const std::string& id, const Notice& n) {
+  append(owedPayload(id, n));
+}
 void Journal::over(const std::string& id, const Past& past) {
   const auto it = entries_.find(id);
-  if (it == entries_.end()) return;
+  if (it == entries_.end())
+    return;
   Past kept = past;
-  if (!it->second.attempts.empty()) kept.version = it->second.attempts.back().version;
+  if (!it->second.attempts.empty())
+    kept.version = it->second.attempts.back().version;
   append(endedPayload(id, kept));
 }
 std::uint32_t Journal::versionOf(const std::string& text) {
-  if (!versions_.empty() && versions_.rbegin()->second == text) return versions_.rbegin()->first;
+  if (!versions_.empty() && versions_.rbegin()->second == text)
+    return versions_.rbegin()->first;
   const std::uint32_t number = versions_.empty() ? 1 : versions_.rbegin()->first + 1;
   append(versionPayload(number, text));
   return number;
 }
 void Journal::drop(const std::string& id) {
-  if (entries_.count(id)) append(Writer(kOver).text(id).out());
+  if (entries_.count(id))
+    append(Writer(kOver).text(id).out());
 }
 
 void Journal::remember(const std::string& id, const Past& past) {
@@ -594,7 +656,8 @@
     list_bytes_ -= sizeOfListed(name, known->second);
     list_.erase(known);
   }
-  if (entry.empty()) return;
+  if (entry.empty())
+    return;
   list_bytes_ += sizeOfListed(name, entry);
   list_[name] = std::move(entry);
 }
@@ -612,7 +675,8 @@
       dropList();
       list_begun_ = true;
     }
-    if (!list_begun_) return;
+    if (!list_begun_)
+      return;
     while (r.more()) {
       const std::string name = r.text();
       setEntry(name, r.text());
@@ -622,25 +686,32 @@
   }
   dropList();
   const json list = json::parse(r.text(), nullptr, false);
-  if (!list.is_object()) return;
+  if (!list.is_object())
+    return;
   list_begun_ = true;
   list_index_ = integer(list, "index");
-  for (const json& e : array(list, "endpoints")) setEntry(text(e, "name"), e.dump());
+  for (const json& e : array(list, "endpoints"))
+    setEntry(text(e, "name"), e.dump());
 }
 
 bool Journal::listed(const std::vector<std::pair<std::string, std::string>>& changes, std::int64_t index,
                      bool whole) {
-  if (whole) list_fits_ = true;
-  if (!list_fits_) return true;
+  if (whole)
+    list_fits_ = true;
+  if (!list_fits_)
+    return true;
   eachListRecord(changes, whole ? -1 : list_index_, index, whole,
                  [this](const std::string& r) { append(r); });
-  if (list_bytes_ <= disk_ / 4) return true;
+  if (list_bytes_ <= disk_ / 4)
+    return true;
   list_fits_ = false;
   append(Writer(kListed).number(-1).number(1).out());
   return false;
 }
 
-void Journal::ailing(const Ailment& a) { append(ailingPayload(a)); }
+void Journal::ailing(const Ailment& a) {
+  append(ailingPayload(a));
+}
 void Journal::forgetAilments(Micros before) {
   for (auto it = ailments_.begin(); it != ailments_.end();)
     it = std::max({it->second.cold_since, it->second.wait_until, it->second.noted}) < before
@@ -651,16 +722,20 @@
 // Old and new file are there together for a moment, so compaction comes while both still fit the budget.
 bool Journal::flush() {
   reserved_ = 0;
-  if (fd_ < 0) return false;
-  if (buffer_.empty()) return true;
+  if (fd_ < 0)
+    return false;
+  if (buffer_.empty())
+    return true;
   const std::uint64_t after = size_ + buffer_.size();
   const std::uint64_t live = liveBytes();
   const bool must = blocks(after) + blocks(live) + kLeastWaste > room();
   if (must || (after > 2 * live && after - live > 4 * kLeastWaste)) {
-    if (compact()) return true;
+    if (compact())
+      return true;
   }
   if ((blocks(after) > room() && (!claim() || blocks(after) > room())) || !writeAll(fd_, buffer_)) {
-    if (::ftruncate(fd_, static_cast<off_t>(size_)) != 0) return false;
+    if (::ftruncate(fd_, static_cast<off_t>(size_)) != 0)
+      return false;
     return false;
   }
   size_ = after;
@@ -670,9 +745,11 @@
 
 // Writes anew what is open, then renames: a kill at any moment leaves the old file or the new one, whole.
 bool Journal::compact() {
-  if (fd_ < 0) return false;
+  if (fd_ < 0)
+    return false;
   std::vector<const Entry*> order;
-  for (const auto& [id, e] : entries_) order.push_back(&e);
+  for (const auto& [id, e] : entries_)
+    order.push_back(&e);
   std::sort(order.begin(), order.end(), [](const Entry* a, const Entry* b) { return a->order < b->order; });
   std::string data;
   const std::uint64_t live = liveBytes();
@@ -680,46 +757,58 @@
   frame(data, epochPayload(epoch_));
   if (list_index_ >= 0)
     eachListRecord(list_, list_index_, list_index_, true, [&](const std::string& r) { frame(data, r); });
-  for (const auto& [key, a] : ailments_) frame(data, ailingPayload(a));
+  for (const auto& [key, a] : ailments_)
+    frame(data, ailingPayload(a));
   Writer ends(kPast);
   for (const auto& [id, past] : past_) {
     ends.text(id).past(past);
-    if (ends.out().size() < kBatch) continue;
+    if (ends.out().size() < kBatch)
+      continue;
     frame(data, ends.out());
     ends = Writer(kPast);
   }
-  if (ends.out().size() > 1) frame(data, ends.out());
+  if (ends.out().size() > 1)
+    frame(data, ends.out());
   // Rules that no message has any more are left out, and forgotten.
   std::set<std::uint32_t> versions;
-  if (!versions_.empty()) versions.insert(versions_.rbegin()->first);  // no number comes twice
-  for (const auto& [id, past] : past_) versions.insert(past.version);
+  if (!versions_.empty())
+    versions.insert(versions_.rbegin()->first);  // no number comes twice
+  for (const auto& [id, past] : past_)
+    versions.insert(past.version);
   for (const Entry* e : order)
-    for (const JournaledAttempt& a : e->attempts) versions.insert(a.version);
+    for (const JournaledAttempt& a : e->attempts)
+      versions.insert(a.version);
   std::map<std::uint32_t, std::string> kept_versions;
   std::uint64_t kept_bytes = 0;
   for (const auto& [number, text] : versions_) {
-    if (!versions.count(number)) continue;
+    if (!versions.count(number))
+      continue;
     frame(data, versionPayload(number, text));
     kept_versions.emplace(number, text);
     kept_bytes += sizeOfVersion(text);
   }
   std::set<std::int64_t> used;
   for (const Entry* e : order)
-    if (e->message.rules) used.insert(rules_at_.at(e->message.rules.get()));
-  for (const std::int64_t number : used) frame(data, rulesPayload(number, *rules_.at(number)));
+    if (e->message.rules)
+      used.insert(rules_at_.at(e->message.rules.get()));
+  for (const std::int64_t number : used)
+    frame(data, rulesPayload(number, *rules_.at(number)));
   for (const Entry* e : order) {
     frame(data, acceptedPayload(e->message, numberOf(e->message.rules)));
     for (std::size_t i = 0; i < e->attempts.size(); ++i) {
       frame(data, attemptedPayload(e->message.id, e->attempts[i]));
-      if (e->attempts[i].never_ran) frame(data, neverRanPayload(e->message.id, i));
+      if (e->attempts[i].never_ran)
+        frame(data, neverRanPayload(e->message.id, i));
     }
-    if (e->ended) frame(data, owedPayload(e->message.id, e->notice));
+    if (e->ended)
+      frame(data, owedPayload(e->message.id, e->notice));
   }
   if (blocks(size_) + blocks(data.size()) > room() &&
       (!claim() || blocks(size_) + blocks(data.size()) > room()))
     return false;
   const int fd = ::open(fresh_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC | O_APPEND, 0644);
-  if (fd < 0) return false;
+  if (fd < 0)
+    return false;
   if (!writeAll(fd, data) || ::rename(fresh_path_.c_str(), path_.c_str()) != 0) {
     ::close(fd);
     ::unlink(fresh_path_.c_str());
--- a/src/core/message.cpp
+++ b/src/core/message.cpp
@@ -8,7 +8,8 @@
 
 std::uint64_t fnv1a(const void* data, std::size_t size, std::uint64_t from) {
   const auto* p = static_cast<const unsigned char*>(data);
-  for (std::size_t i = 0; i < size; ++i) from = (from ^ p[i]) * 1099511628211ull;
+  for (std::size_t i = 0; i < size; ++i)
+    from = (from ^ p[i]) * 1099511628211ull;
   return from;
 }
 
@@ -18,7 +19,8 @@
 void eachPiece(const TakenOn& m, const Add& add) {
   const auto number = [&add](std::uint64_t v) {
     unsigned char bytes[8];
-    for (int i = 0; i < 8; ++i) bytes[i] = static_cast<unsigned char>(v >> (8 * i));
+    for (int i = 0; i < 8; ++i)
+      bytes[i] = static_cast<unsigned char>(v >> (8 * i));
     add(bytes, sizeof bytes);
   };
   for (const std::string* s : {&m.message_class, &m.order_key, &m.idempotency_key, &m.body}) {
@@ -44,7 +46,8 @@
 
 bool usableToken(const std::string& s) {
   for (const char c : s)
-    if (c <= ' ' || c > '~') return false;
+    if (c <= ' ' || c > '~')
+      return false;
   return s.size() <= kLongestToken;
 }
 
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -30,7 +30,8 @@
   s.late = oneOf<LateRule>(text(d, "Late", "line"), {{"line", LateRule::line}, {"halves", LateRule::halves}},
                            "Late");
   if (!absent(d, "ZoneFee"))
-    for (const json& z : array(d, "ZoneFee")) s.zone_fee.push_back(z.is_number() ? z.get<double>() : 0);
+    for (const json& z : array(d, "ZoneFee"))
+      s.zone_fee.push_back(z.is_number() ? z.get<double>() : 0);
   if (!absent(o, "Kinds"))
     for (const json& k : array(o, "Kinds"))
       s.kinds.push_back({k.is_string() ? k.get<std::string>() : "", false, 1});
@@ -69,13 +70,16 @@
   for (const json& c : array(o, "Categories")) {
     try {
       s.classes.push_back(readClass(c));
-    } catch (const BadInput& e) { bad("Categories[" + std::to_string(s.classes.size()) + "]: " + e.what()); }
+    } catch (const BadInput& e) {
+      bad("Categories[" + std::to_string(s.classes.size()) + "]: " + e.what());
+    }
   }
   if (!absent(o, "Tenants"))
     for (const json& t : array(o, "Tenants"))
       s.tenants.push_back({text(t, "Name"), number(t, "QuotaRps", 0), number(t, "Share", 0)});
   if (!absent(o, "Azs"))
-    for (const json& z : array(o, "Azs")) s.zones.push_back(z.is_string() ? z.get<std::string>() : "");
+    for (const json& z : array(o, "Azs"))
+      s.zones.push_back(z.is_string() ? z.get<std::string>() : "");
   s.weights = oneOf<WeightKind>(text(o, "WeightKind", "silent"),
                                 {{"silent", WeightKind::none},
                                  {"nominal", WeightKind::nominal},
--- a/src/core/worker.h
+++ b/src/core/worker.h
@@ -17,14 +17,16 @@
 
   explicit Worker(boost::asio::io_context& io) : io_(io) {}
   ~Worker() {
-    if (pool_) pool_->join();
+    if (pool_)
+      pool_->join();
   }
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
   // On the loop; jobs run one after another.
   void run(Job job) {
-    if (!pool_) pool_ = std::make_unique<boost::asio::thread_pool>(1);
+    if (!pool_)
+      pool_ = std::make_unique<boost::asio::thread_pool>(1);
     boost::asio::post(*pool_, [&io = io_, job = std::move(job)] { boost::asio::post(io, job()); });
   }
 
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -20,9 +20,11 @@
 }
 
 std::uint64_t seedOf(const json& o) {
-  if (absent(o, "seed")) return 0;
+  if (absent(o, "seed"))
+    return 0;
   const json& s = field(o, "seed");
-  if (s.is_number_unsigned()) return s.get<std::uint64_t>();
+  if (s.is_number_unsigned())
+    return s.get<std::uint64_t>();
   const std::string hex = text(o, "seed");
   if (hex.empty() || hex.size() > 16 || hex.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
     bad("not a hexadecimal number: seed");
@@ -31,18 +33,21 @@
 
 json readFile(const std::string& path) {
   std::ifstream file(path);
-  if (!file) bad("can't be read: " + path);
+  if (!file)
+    bad("can't be read: " + path);
   std::stringstream all;
   all << file.rdbuf();
   json o = json::parse(all.str(), nullptr, false);
-  if (!o.is_object()) bad("not a JSON object: " + path);
+  if (!o.is_object())
+    bad("not a JSON object: " + path);
   return o;
 }
 
 // The platform holds the listening socket over processes that replace one another.
 int passedSocket() {
   const std::string number = variable("GW_PASSED_SOCKET", "");
-  if (number.empty()) return -1;
+  if (number.empty())
+    return -1;
   if (number.size() > 6 || number.find_first_not_of("0123456789") != std::string::npos)
     bad("GW_PASSED_SOCKET: the number of a descriptor is expected, not " + number);
   return std::stoi(number);
@@ -62,7 +67,8 @@
 
 Config readConfig() {
   const std::string path = variable("GW_CONFIG", "");
-  if (path.empty()) bad("GW_CONFIG is not set");
+  if (path.empty())
+    bad("GW_CONFIG is not set");
   const json o = readFile(path);
   Config c;
   c.path = path;
@@ -70,22 +76,27 @@
   c.listen = variable("GW_LISTEN", text(o, "listen", ""));
   // The file is replaced while the program runs, the environment can't be: it holds at the next start, too.
   c.discovery = text(o, "discovery", "");
-  if (c.discovery.empty()) c.discovery = variable("GW_DISCOVERY", "");
+  if (c.discovery.empty())
+    c.discovery = variable("GW_DISCOVERY", "");
   c.mgmt = variable("GW_MGMT", text(o, "mgmt", ""));
   parseAddress(c.listen);
   parseAddress(c.discovery);
-  if (!c.mgmt.empty()) parseAddress(c.mgmt);
+  if (!c.mgmt.empty())
+    parseAddress(c.mgmt);
   c.passed = passedSocket();
   c.state = variable("GW_STATE", "");
-  if (c.state.empty()) bad("GW_STATE is not set");
+  if (c.state.empty())
+    bad("GW_STATE is not set");
   c.seed = seedOf(o);
   const json& limits = optionalObject(o, "limits");
   c.disk_bytes = static_cast<std::uint64_t>(std::max(0.0, number(limits, "disk_mb", 3)) * 1e6);
   c.sockets = static_cast<std::int64_t>(number(limits, "sockets", 1024));
-  if (!absent(o, "known")) c.known = object(o, "known");
+  if (!absent(o, "known"))
+    c.known = object(o, "known");
   c.settings = readSettings(object(o, "settings"));
   validate(c.settings);
-  if (c.sockets - spareSockets(c) - c.settings.slots < 8) bad("limits.sockets is too small");
+  if (c.sockets - spareSockets(c) - c.settings.slots < 8)
+    bad("limits.sockets is too small");
   c.file = o;
   return c;
 }
@@ -93,18 +104,24 @@
 namespace {
 
 // Optional by the platform's page: a class may have them or not.
-bool mayLack(const std::string& key) { return key == "AimStretch" || key == "KeepOrder"; }
+bool mayLack(const std::string& key) {
+  return key == "AimStretch" || key == "KeepOrder";
+}
 
 std::string missing(const json& old, const json& fresh, const std::string& path) {
   for (const auto& [key, value] : old.items()) {
     const std::string named = path.empty() ? key : path + "." + key;
     const auto there = fresh.find(key);
-    if (there == fresh.end() && !mayLack(key)) return named;
-    if (there == fresh.end() || key == "Categories") continue;
+    if (there == fresh.end() && !mayLack(key))
+      return named;
+    if (there == fresh.end() || key == "Categories")
+      continue;
     if (value.is_object()) {
-      if (!there->is_object()) return named;
+      if (!there->is_object())
+        return named;
       const std::string deeper = missing(value, *there, named);
-      if (!deeper.empty()) return deeper;
+      if (!deeper.empty())
+        return deeper;
     }
   }
   return "";
@@ -116,7 +133,8 @@
   const json& had = object(old.file, "settings");
   const json& has = object(fresh.file, "settings");
   const std::string other = missing(had, has, "");
-  if (!other.empty()) return other;
+  if (!other.empty())
+    return other;
   // Of a class is expected what every class has that is in force.
   const json& classes = array(had, "Categories");
   json common = classes.at(0);
@@ -126,7 +144,8 @@
   const json& now = array(has, "Categories");
   for (std::size_t i = 0; i < now.size(); ++i) {
     const std::string lacks = missing(common, now[i], "Categories[" + std::to_string(i) + "]");
-    if (!lacks.empty()) return lacks;
+    if (!lacks.empty())
+      return lacks;
   }
   return "";
 }
@@ -141,8 +160,10 @@
 
 void keepUntilRestart(const Config& old, Config& fresh) {
   for (const char* name : kAtStart) {
-    if (old.file.contains(name)) fresh.file[name] = old.file[name];
-    else fresh.file.erase(name);
+    if (old.file.contains(name))
+      fresh.file[name] = old.file[name];
+    else
+      fresh.file.erase(name);
   }
   fresh.name = old.name;
   fresh.listen = old.listen;
--- a/src/daemon/daemon_file.cpp
+++ b/src/daemon/daemon_file.cpp
@@ -39,7 +39,8 @@
     seconds("idle_s", spec.limits.idle, 1, 3600);
   }
   door.unknown(kind == "resp" ? " in a door of kind resp" : " in a door");
-  if (!placed) return;
+  if (!placed)
+    return;
   for (const DoorSpec& other : file.doors)
     if (sameAddress(other.listen, spec.listen))
       return door.mistake(t.get("listen")->source(),
@@ -57,7 +58,8 @@
     return otherwise;
   };
   l.json = t.word("form", {"text", "json"}, "text") == "json";
-  if (t.node("file")) l.file = placed(t.text("file", ""), file.path);
+  if (t.node("file"))
+    l.file = placed(t.text("file", ""), file.path);
   l.level = level(t, "level", l.level);
   l.rate = t.real("rate", l.rate, 0, 1e6);
   l.burst = t.real("burst", l.burst, 1, 1e6);
@@ -70,7 +72,8 @@
       for (const log::EventSpec& e : log::kEvents)
         known.insert(std::string(e.name).substr(0, std::string(e.name).find('.')));
       for (const std::string& part : known)
-        if (p.node(part.c_str())) l.parts[part] = level(p, part.c_str(), l.level);
+        if (p.node(part.c_str()))
+          l.parts[part] = level(p, part.c_str(), l.level);
       p.unknown(" in log.parts");
     }
   }
@@ -81,7 +84,8 @@
 void readKnowledge(Table& top, bool alone, DaemonFile& file, std::vector<Mistake>& mistakes) {
   static const toml::table none;
   const toml::node* n = top.node("knowledge");
-  if (n && !n->is_table()) return top.expected("knowledge", "a table is expected, begun by [knowledge]");
+  if (n && !n->is_table())
+    return top.expected("knowledge", "a table is expected, begun by [knowledge]");
   Table t(n ? *n->as_table() : none, "knowledge", mistakes, &file.effective);
   knowledge::KeeperSpec& k = file.knowledge;
   k.keep = t.truth("keep", alone);
@@ -93,13 +97,16 @@
 
 void readOperators(Table& top, DaemonFile& file, std::vector<Mistake>& mistakes) {
   const toml::node* n = top.node("operators");
-  if (!n) return;
-  if (!n->is_table()) return top.expected("operators", "a table is expected, begun by [operators]");
+  if (!n)
+    return;
+  if (!n->is_table())
+    return top.expected("operators", "a table is expected, begun by [operators]");
   Table t(*n->as_table(), "operators", mistakes, &file.effective);
   tcp::endpoint listen;
   const bool placed = t.listen("listen", listen);
   t.unknown(" in operators");
-  if (!placed) return;
+  if (!placed)
+    return;
   for (const DoorSpec& door : file.doors)
     if (sameAddress(door.listen, listen))
       return t.expected("listen", "an address of its own is expected, a door listens there");
@@ -108,17 +115,21 @@
 
 void readFleet(Table& top, DaemonFile& file, std::vector<Mistake>& mistakes) {
   const toml::node* n = top.node("fleet");
-  if (!n) return;
-  if (!n->is_table()) return top.expected("fleet", "a table is expected, begun by [fleet]");
+  if (!n)
+    return;
+  if (!n->is_table())
+    return top.expected("fleet", "a table is expected, begun by [fleet]");
   Table t(*n->as_table(), "fleet", mistakes, &file.effective);
   fleet::Spec f;
   f.name = t.text("name", "");
   if (f.name.find_first_of("/ \t\n") != std::string::npos)
     t.expected("name", "a name without spaces and slashes is expected");
   f.store = t.texts("store");
-  if (f.store.empty()) t.expected("store", "addresses of the store are expected, as [\"127.0.0.1:8500\"]");
+  if (f.store.empty())
+    t.expected("store", "addresses of the store are expected, as [\"127.0.0.1:8500\"]");
   for (const std::string& a : f.store)
-    if (!isEndpointAddress(a)) t.expected("store", "an address and a port are expected, not \"" + a + "\"");
+    if (!isEndpointAddress(a))
+      t.expected("store", "an address and a port are expected, not \"" + a + "\"");
   f.prefix = t.text("prefix", f.prefix);
   // By the store's specification: 10 s to a day.
   f.session = t.span("session", f.session, 10'000'000, 24LL * 3600 * 1'000'000);
@@ -137,23 +148,28 @@
   const auto tables = top.tables("region");
   std::set<std::string> names;
   for (const toml::table* r : tables)
-    if (const auto name = (*r)["name"].value<std::string>()) names.insert(*name);
+    if (const auto name = (*r)["name"].value<std::string>())
+      names.insert(*name);
   std::set<std::string> read;
   for (const toml::table* r : tables) {
     Table t(*r, "region", mistakes, &file.effective);
     const std::string name = t.text("name", "");
-    if (!read.insert(name).second) t.expected("name", "another region has this name");
+    if (!read.insert(name).second)
+      t.expected("name", "another region has this name");
     const auto zones = t.texts("zones");
-    if (zones.empty()) t.expected("zones", "names of zones are expected, as [\"a\", \"b\"]");
+    if (zones.empty())
+      t.expected("zones", "names of zones are expected, as [\"a\", \"b\"]");
     for (const std::string& z : zones) {
       const auto other = file.regions.of.emplace(z, name);
-      if (!other.second) t.expected("zones", z + " is a zone of " + other.first->second);
+      if (!other.second)
+        t.expected("zones", z + " is a zone of " + other.first->second);
     }
     if (t.node("stand_by")) {
       const std::string other = t.text("stand_by", "");
       if (other == name || !names.count(other))
         t.expected("stand_by", "the name of another [[region]] is expected");
-      else file.regions.stand_by[name] = other;
+      else
+        file.regions.stand_by[name] = other;
     }
     t.unknown(" in a region");
   }
@@ -166,13 +182,15 @@
                                              "log.file",    "fleet.name",       "fleet.store"};
   std::string all;
   for (const Effective& e : effective)
-    if (!kOwn.count(e.key)) all += e.key + " = " + e.value + "\n";
+    if (!kOwn.count(e.key))
+      all += e.key + " = " + e.value + "\n";
   return all;
 }
 
 std::int64_t DaemonFile::connections() const {
   std::int64_t sum = 0;
-  for (const DoorSpec& d : doors) sum += static_cast<std::int64_t>(d.limits.connections);
+  for (const DoorSpec& d : doors)
+    sum += static_cast<std::int64_t>(d.limits.connections);
   return sum;
 }
 
@@ -182,16 +200,20 @@
   try {
     const toml::table root = toml::parse(text, path);
     Table top(root, "", mistakes);
-    for (const toml::table* d : top.tables("door")) readDoor(*d, file, mistakes);
+    for (const toml::table* d : top.tables("door"))
+      readDoor(*d, file, mistakes);
     if (const toml::node* n = top.node("log")) {
-      if (n->is_table()) readLog(*n->as_table(), file, mistakes);
-      else top.expected("log", "a table is expected, begun by [log]");
+      if (n->is_table())
+        readLog(*n->as_table(), file, mistakes);
+      else
+        top.expected("log", "a table is expected, begun by [log]");
     }
     readRegions(top, file, mistakes);
     Site site;
     site.sources.defaults.regions = file.regions;
     if (readSite(top, path, site, mistakes, &file.effective)) {
-      if (file.doors.empty()) top.mistake("a program that stands alone needs a [[door]]");
+      if (file.doors.empty())
+        top.mistake("a program that stands alone needs a [[door]]");
       file.site = std::move(site);
     }
     readKnowledge(top, file.site.has_value(), file, mistakes);
@@ -211,7 +233,8 @@
 DaemonFile readDaemonFile(const std::string& path, std::vector<Mistake>& mistakes) {
   std::ifstream in(path, std::ios::binary);
   std::stringstream all;
-  if (in) all << in.rdbuf();
+  if (in)
+    all << in.rdbuf();
   if (!in || in.bad()) {
     mistakes.push_back({0, 0, "a file that can be read is expected"});
     return {};
--- a/src/daemon/doors.cpp
+++ b/src/daemon/doors.cpp
@@ -18,27 +18,33 @@
          a.request_bytes == b.request_bytes && a.longest_wait == b.longest_wait && a.idle == b.idle;
 }
 
-RespDoor::Limits respLimits(const DoorSpec& s) { return {s.limits.connections, s.limits.connections}; }
+RespDoor::Limits respLimits(const DoorSpec& s) {
+  return {s.limits.connections, s.limits.connections};
+}
 
 }  // namespace
 
 std::unique_ptr<Door> Doors::make(const DoorSpec& s) {
-  if (s.kind == DoorKind::resp) return std::make_unique<RespDoor>(io_, s.listen, respLimits(s));
+  if (s.kind == DoorKind::resp)
+    return std::make_unique<RespDoor>(io_, s.listen, respLimits(s));
   return std::make_unique<HttpDoor>(io_, s.listen, s.limits);
 }
 
 void Doors::bind(const std::vector<DoorSpec>& specs) {
-  for (const DoorSpec& s : specs) doors_.push_back({s, make(s)});
+  for (const DoorSpec& s : specs)
+    doors_.push_back({s, make(s)});
 }
 
 void Doors::start(Intake& core, const operate::State& state) {
   core_ = &core;
   state_ = &state;
-  for (const Entry& d : doors_) d.door->start(core, state);
+  for (const Entry& d : doors_)
+    d.door->start(core, state);
 }
 
 void Doors::change(const std::vector<DoorSpec>& specs) {
-  if (state_->stopping()) return;
+  if (state_->stopping())
+    return;
   auto at = [](const std::vector<Entry>& all, const DoorSpec& s) {
     return std::find_if(all.begin(), all.end(), [&](const Entry& e) {
       return e.door && e.spec.kind == s.kind && e.spec.listen == s.listen;
@@ -54,15 +60,20 @@
     next.push_back(std::move(e));
   }
   for (Entry& e : next) {
-    if (e.door) continue;
+    if (e.door)
+      continue;
     const auto old = at(doors_, e.spec);
     e.door = std::move(doors_[static_cast<std::size_t>(old - doors_.begin())].door);
-    if (same(old->spec.limits, e.spec.limits)) continue;
-    if (auto* http = dynamic_cast<HttpDoor*>(e.door.get())) http->setLimits(e.spec.limits);
-    if (auto* resp = dynamic_cast<RespDoor*>(e.door.get())) resp->setLimits(respLimits(e.spec));
+    if (same(old->spec.limits, e.spec.limits))
+      continue;
+    if (auto* http = dynamic_cast<HttpDoor*>(e.door.get()))
+      http->setLimits(e.spec.limits);
+    if (auto* resp = dynamic_cast<RespDoor*>(e.door.get()))
+      resp->setLimits(respLimits(e.spec));
   }
   for (Entry& e : doors_) {
-    if (!e.door) continue;
+    if (!e.door)
+      continue;
     e.door->drain(Leaving::removed);
     leaving_.emplace_back(monotonicNow() + kLeave, std::move(e.door));
   }
@@ -71,11 +82,13 @@
 }
 
 void Doors::reap() {
-  if (reaping_ || leaving_.empty()) return;
+  if (reaping_ || leaving_.empty())
+    return;
   reaping_ = true;
   timer_.expires_after(std::chrono::microseconds(kLook));
   timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e) return;
+    if (e)
+      return;
     reaping_ = false;
     const Micros now = monotonicNow();
     leaving_.erase(
@@ -88,7 +101,8 @@
 
 void Doors::drain(Leaving how) {
   for (const Entry& d : doors_)
-    if (d.door) d.door->drain(how);
+    if (d.door)
+      d.door->drain(how);
 }
 
 void Doors::giveUp() {
@@ -101,7 +115,8 @@
 
 void Doors::retake() {
   for (Entry& e : doors_) {
-    if (e.door) continue;
+    if (e.door)
+      continue;
     e.door = make(e.spec);
     e.door->start(*core_, *state_);
   }
@@ -110,8 +125,10 @@
 std::size_t Doors::open() const {
   std::size_t sum = 0;
   for (const Entry& d : doors_)
-    if (d.door) sum += d.door->open();
-  for (const auto& [until, door] : leaving_) sum += door->open();
+    if (d.door)
+      sum += d.door->open();
+  for (const auto& [until, door] : leaving_)
+    sum += door->open();
   return sum;
 }
 
--- a/src/daemon/fleet_part.cpp
+++ b/src/daemon/fleet_part.cpp
@@ -10,7 +10,8 @@
   fleet::Own own;
   own.program = programVersion();
   own.settings = fleet::digestOf(replay::headLine(config.settings, 0));
-  if (!daemon.path.empty()) own.daemon = fleet::digestOf(daemon.shared());
+  if (!daemon.path.empty())
+    own.daemon = fleet::digestOf(daemon.shared());
   return own;
 }
 
@@ -70,7 +71,8 @@
 }
 
 bool FleetPart::differs(const std::optional<fleet::Spec>& a, const std::optional<fleet::Spec>& b) {
-  if (!a || !b) return a.has_value() != b.has_value();
+  if (!a || !b)
+    return a.has_value() != b.has_value();
   return a->name != b->name || a->store != b->store || a->prefix != b->prefix || a->session != b->session ||
          a->stamp != b->stamp || a->judge_zones != b->judge_zones || a->zone_pause != b->zone_pause ||
          a->trail.bytes != b->trail.bytes || a->trail.age != b->trail.age;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -33,10 +33,13 @@
   for (const FolderSpec& f : sources.folders) {
     bool unsettled = false;
     FolderNews news = FolderReader(f, sources.defaults).look(false, unsettled);
-    if (!news.unreadable.empty()) told(f.path + ": " + news.unreadable);
+    if (!news.unreadable.empty())
+      told(f.path + ": " + news.unreadable);
     for (UnitChange& c : news.changes) {
-      for (const Mistake& m : c.mistakes) told(m.in(c.unit));
-      if (c.mistakes.empty()) table.declare(c.unit, std::move(c.partners));
+      for (const Mistake& m : c.mistakes)
+        told(m.in(c.unit));
+      if (c.mistakes.empty())
+        table.declare(c.unit, std::move(c.partners));
     }
   }
   for (const PartnerTable::Conflict& c : table.take().conflicts)
@@ -49,13 +52,16 @@
 int check(const std::string& path, bool effective) {
   std::vector<Mistake> mistakes;
   const DaemonFile file = readDaemonFile(path, mistakes);
-  for (const Mistake& m : mistakes) std::cout << m.in(path) << '\n';
+  for (const Mistake& m : mistakes)
+    std::cout << m.in(path) << '\n';
   PartnerTable table;
   const bool good = !file.site || checkSources(file.site->sources, table);
-  if (!mistakes.empty() || !good) return kUnusable;
+  if (!mistakes.empty() || !good)
+    return kUnusable;
   if (effective) {
     std::size_t widest = 0;
-    for (const Effective& e : file.effective) widest = std::max(widest, e.key.size() + e.value.size() + 3);
+    for (const Effective& e : file.effective)
+      widest = std::max(widest, e.key.size() + e.value.size() + 3);
     for (const Effective& e : file.effective) {
       const std::string line = e.key + " = " + e.value;
       std::cout << line << std::string(widest - line.size() + 2, ' ') << "# "
@@ -94,7 +100,8 @@
 
 // Names begin with no digit, so that a number is one.
 int forget(const std::string& folder, const std::string& which) {
-  if (which.empty()) return knowledge::forget(folder, std::nullopt);
+  if (which.empty())
+    return knowledge::forget(folder, std::nullopt);
   std::int64_t number = 0;
   const auto end = which.data() + which.size();
   const auto [rest, error] = std::from_chars(which.data(), end, number);
@@ -111,8 +118,10 @@
     if (!path.empty()) {
       std::vector<Mistake> mistakes;
       daemon = readDaemonFile(path, mistakes);
-      for (const Mistake& m : mistakes) std::cerr << m.in(path) << '\n';
-      if (!mistakes.empty()) return kUnusable;
+      for (const Mistake& m : mistakes)
+        std::cerr << m.in(path) << '\n';
+      if (!mistakes.empty())
+        return kUnusable;
       log::configure(daemon.log);
     }
     const bool platform = std::getenv("GW_CONFIG") && *std::getenv("GW_CONFIG");
@@ -182,7 +191,8 @@
     plan->require_subcommand(1);
     out = why(on(top, "shut-out", "a sender takes on nothing and calls nobody until it is readmitted"));
     in = why(on(top, "readmit", "takes that back"));
-    for (CLI::App* a : {out, in}) a->add_option("NAME", name, "the sender")->required();
+    for (CLI::App* a : {out, in})
+      a->add_option("NAME", name, "the sender")->required();
     zones = on(top, "zones", "how the fleet stands to its zones, and who sees what there");
     zones->add_flag("--json", as_json, "as one JSON object");
     CLI::App* zone = top->add_subcommand("zone", "leaves a zone as one fleet, and comes back");
@@ -230,7 +240,8 @@
         }
         return audit::audit(question);
       }
-      if (digest->parsed()) return digests();
+      if (digest->parsed())
+        return digests();
       const auto word =
           std::find_if(zone_words.begin(), zone_words.end(), [](const auto& w) { return w.first->parsed(); });
       const auto asked = {status, show, propose, bind, halt, revert, out, in, zones};
@@ -238,17 +249,26 @@
           std::none_of(asked.begin(), asked.end(), [](CLI::App* a) { return a->parsed(); }))
         return std::nullopt;
       place();
-      if (!strictness.empty()) change.strict = strictness == "strict";
-      if (lease_s > 0) change.lease = static_cast<Micros>(lease_s * 1e6);
-      if (propose->count("--binds-after") > 0) change.binds_after = static_cast<Micros>(binds_s * 1e6);
+      if (!strictness.empty())
+        change.strict = strictness == "strict";
+      if (lease_s > 0)
+        change.lease = static_cast<Micros>(lease_s * 1e6);
+      if (propose->count("--binds-after") > 0)
+        change.binds_after = static_cast<Micros>(binds_s * 1e6);
       if (word != zone_words.end())
         return fleet::zone(where, change, name, at_once ? fleet::ZoneWord::at_once : word->second, region);
-      if (zones->parsed()) return fleet::zones(where, as_json);
-      if (status->parsed()) return fleet::status(where, as_json);
-      if (show->parsed()) return fleet::showPlan(where, as_json);
-      if (propose->parsed()) return fleet::propose(where, change);
-      if (bind->parsed()) return fleet::bind(where, change);
-      if (out->parsed() || in->parsed()) return fleet::shutOut(where, change, name, out->parsed());
+      if (zones->parsed())
+        return fleet::zones(where, as_json);
+      if (status->parsed())
+        return fleet::status(where, as_json);
+      if (show->parsed())
+        return fleet::showPlan(where, as_json);
+      if (propose->parsed())
+        return fleet::propose(where, change);
+      if (bind->parsed())
+        return fleet::bind(where, change);
+      if (out->parsed() || in->parsed())
+        return fleet::shutOut(where, change, name, out->parsed());
       return fleet::revert(where, change, halt->parsed());
     } catch (const std::exception& e) {
       std::cerr << "grademux: " << e.what() << '\n';
@@ -261,7 +281,8 @@
     std::vector<audit::Summary> all;
     for (const fleet::Report& r : fleet::reports(where)) {
       all.push_back({r.name, r.standing, r.why, shown(r.own), r.at, r.live, {}});
-      for (const fleet::Acted& a : r.past) all.back().past.push_back({a.from, a.plan, a.may});
+      for (const fleet::Acted& a : r.past)
+        all.back().past.push_back({a.from, a.plan, a.may});
     }
     return all;
   }
@@ -284,26 +305,35 @@
     if (!daemon.empty()) {
       std::vector<Mistake> mistakes;
       file = readDaemonFile(daemon, mistakes);
-      if (!mistakes.empty()) throw std::runtime_error(mistakes[0].in(daemon));
+      if (!mistakes.empty())
+        throw std::runtime_error(mistakes[0].in(daemon));
     }
     Config of;
-    if (!config.empty()) of.settings = readSettingsOf(config);
-    else if (file.site) of.settings = file.site->settings;
+    if (!config.empty())
+      of.settings = readSettingsOf(config);
+    else if (file.site)
+      of.settings = file.site->settings;
     const fleet::Own own = ownOf(of, file);
-    if (!config.empty() || file.site) std::cout << "settings " << own.settings << '\n';
-    if (!daemon.empty()) std::cout << "daemon-file " << own.daemon << '\n';
+    if (!config.empty() || file.site)
+      std::cout << "settings " << own.settings << '\n';
+    if (!daemon.empty())
+      std::cout << "daemon-file " << own.daemon << '\n';
     return 0;
   }
   void place() {
     if (!daemon.empty()) {
       std::vector<Mistake> mistakes;
       const DaemonFile file = readDaemonFile(daemon, mistakes);
-      if (!mistakes.empty()) throw std::runtime_error(mistakes[0].in(daemon));
-      if (!file.fleet) throw std::runtime_error(daemon + " has no [fleet]");
-      if (where.store.empty()) where.store = file.fleet->store;
+      if (!mistakes.empty())
+        throw std::runtime_error(mistakes[0].in(daemon));
+      if (!file.fleet)
+        throw std::runtime_error(daemon + " has no [fleet]");
+      if (where.store.empty())
+        where.store = file.fleet->store;
       where.prefix = file.fleet->prefix;
     }
-    if (where.store.empty()) throw std::runtime_error("--daemon FILE or --store HOST:PORT is expected");
+    if (where.store.empty())
+      throw std::runtime_error("--daemon FILE or --store HOST:PORT is expected");
   }
 };
 
@@ -345,11 +375,17 @@
   app.require_subcommand(0, 1);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) { return app.exit(e) == 0 ? 0 : kUnusable; }
-  if (const auto done = fleet_commands.run()) return *done;
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e) == 0 ? 0 : kUnusable;
+  }
+  if (const auto done = fleet_commands.run())
+    return *done;
   recording.most_bytes = most_mb << 20;
-  if (inits->parsed()) return init(folder);
-  if (shows->parsed()) return knowledge::show(state, as_json);
-  if (forgets->parsed()) return forget(state, which);
+  if (inits->parsed())
+    return init(folder);
+  if (shows->parsed())
+    return knowledge::show(state, as_json);
+  if (forgets->parsed())
+    return forget(state, which);
   return checks->parsed() ? check(file, effective) : run(daemon, recording);
 }
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -52,7 +52,9 @@
 
 // Descriptors: the calls out, then a fifth of the rest for idle connections, all else for clients; the doors
 // of the daemon file have theirs out of these.
-std::int64_t leftOf(const Config& c) { return c.sockets - spareSockets(c) - c.settings.slots; }
+std::int64_t leftOf(const Config& c) {
+  return c.sockets - spareSockets(c) - c.settings.slots;
+}
 std::int64_t clientsBeside(const Config& c, const DaemonFile& d, std::int64_t least) {
   const std::int64_t most = leftOf(c) - leftOf(c) / 5;
   if (d.connections() > most - least)
@@ -105,7 +107,8 @@
         worker_(io),
         lock_(config_.state),
         doors_(io) {
-    if (alone()) clientsBeside(config_, daemon_, 0);
+    if (alone())
+      clientsBeside(config_, daemon_, 0);
     else
       clients_ = std::make_unique<RespDoor>(io, parseAddress(config_.listen), clientLimits(config_, daemon_),
                                             config_.passed);
@@ -146,7 +149,8 @@
   // A process that dies lets go of its folder in a moment; who is to be replaced listens, where the platform
   // holds the clients' socket over processes. Anybody else has it by mistake.
   bool ownsFolder() {
-    if (lock_.take() || config_.passed >= 0) return lock_.held();
+    if (lock_.take() || config_.passed >= 0)
+      return lock_.held();
     for (const Micros until = monotonicNow() + kDying; !lock_.take();) {
       if (monotonicNow() >= until)
         throw std::runtime_error(config_.state + ": another process of a sender has this folder");
@@ -174,7 +178,8 @@
     calls_ = std::make_unique<handover::InheritedCalls>(
         *transport_, [this](Outcome o) { host_->outcome(std::move(o)); },
         [this](const handover::Message& m) {
-          if (taker_) taker_->say(m);
+          if (taker_)
+            taker_->say(m);
         });
     host_ = std::make_unique<Host>(io_, config_.settings, config_.seed, *journal_, *calls_, *notices_);
     admission_ = std::make_unique<Admission>(io_, *host_, kPatience, config_.settings.max_pause);
@@ -213,9 +218,11 @@
       host_->bind(&fleet_->right());
       transport_->setGuard([this](const std::string& endpoint) { return fleet_->right().still(endpoint); });
     }
-    if (given) calls_->inherit(given->out);
+    if (given)
+      calls_->inherit(given->out);
     host_->recover(config_.known, keeper_->read(), calls_->inherited());
-    if (given && given->standby) state_.inheritStandby();
+    if (given && given->standby)
+      state_.inheritStandby();
     if (taker_) {
       taker_->taken();
       log::write(log::Event::handover_taken, {{"epoch", journal_->epoch()},
@@ -224,13 +231,17 @@
     }
     keeper_->start();
     membership_->start(host_->version());
-    if (clients_) clients_->start(*admission_, state_);
+    if (clients_)
+      clients_->start(*admission_, state_);
     doors_.start(*admission_, state_);
     state_.ready();
-    if (fleet_) fleet_->start(taker_ ? "handover" : "start", journal_->versions());
-    if (config_.passed >= 0) giver_ = std::make_unique<handover::Giver>(io_, lock_.fd(), owner());
+    if (fleet_)
+      fleet_->start(taker_ ? "handover" : "start", journal_->versions());
+    if (config_.passed >= 0)
+      giver_ = std::make_unique<handover::Giver>(io_, lock_.fd(), owner());
     tellReady();
-    if (reload_due_) reload();
+    if (reload_due_)
+      reload();
   }
 
   // ---- the fleet's plan
@@ -248,7 +259,8 @@
   // Reads again what the plan asks for and this sender lacks; what can't be used is told to the fleet.
   void catchUp(bool list) {
     reload();
-    if (list && watcher_) watcher_->start(-1);
+    if (list && watcher_)
+      watcher_->start(-1);
   }
 
   // ---- replaced by another process
@@ -257,13 +269,15 @@
     return {
         [this] { return refusesHandover(); },
         [this] {
-          if (clients_) clients_->pause();
+          if (clients_)
+            clients_->pause();
           doors_.giveUp();
         },
         [this] { return (!clients_ || clients_->open() + clients_->halfRead() == 0) && doors_.open() == 0; },
         [this] { return give(); },
         [this] {
-          if (lock_.take() && journal_->retake()) return true;
+          if (lock_.take() && journal_->retake())
+            return true;
           lock_.release();
           return false;
         },
@@ -277,14 +291,18 @@
   }
 
   std::string refusesHandover() const {
-    if (stop_from_ != 0) return "stopping";
+    if (stop_from_ != 0)
+      return "stopping";
     return calls_->inherited().empty() ? "" : "calls of an earlier process are out still";
   }
 
   handover::Given give() {
-    if (watcher_) watcher_->pause();
-    if (fleet_) fleet_->release("handed over");
-    if (daemon_.knowledge.keep) keeper_->finish(host_->learned());
+    if (watcher_)
+      watcher_->pause();
+    if (fleet_)
+      fleet_->release("handed over");
+    if (daemon_.knowledge.keep)
+      keeper_->finish(host_->learned());
     host_->suspend();
     transport_->closeAllIdle();
     const handover::Given given{state_.standby(), transport_->outCalls()};
@@ -297,22 +315,27 @@
     log::write(log::Event::handover_resumed);
     if (host_->suspended()) {
       host_->resume();
-      for (Outcome& o : std::exchange(unreported_, {})) host_->outcome(std::move(o));
+      for (Outcome& o : std::exchange(unreported_, {}))
+        host_->outcome(std::move(o));
       keeper_->resume();
-      if (watcher_) watcher_->start(host_->version());
+      if (watcher_)
+        watcher_->start(host_->version());
       if (fleet_) {
         fleet_->again();
         host_->bind(&fleet_->right());
       }
     }
-    if (clients_) clients_->resume();
+    if (clients_)
+      clients_->resume();
     doors_.retake();
   }
 
   void ended(Outcome o) {
-    if (!host_->suspended()) return host_->outcome(std::move(o));
+    if (!host_->suspended())
+      return host_->outcome(std::move(o));
     giver_->ended(o);
-    if (giver_->steps().step() != handover::Step::left) unreported_.push_back(std::move(o));
+    if (giver_->steps().step() != handover::Step::left)
+      unreported_.push_back(std::move(o));
   }
 
   bool alone() const { return config_.discovery.empty(); }
@@ -325,23 +348,28 @@
     const operate::Phase now = state_.phase();
     if (now != before) {
       log::write(log::Event::operate_changed, {{"phase", operate::nameOf(now)}});
-      if (now == operate::Phase::standby) sendAway(Leaving::standby);
+      if (now == operate::Phase::standby)
+        sendAway(Leaving::standby);
     }
     return verdict;
   }
 
   void sendAway(Leaving how) {
-    if (clients_) clients_->drain(how);
+    if (clients_)
+      clients_->drain(how);
     doors_.drain(how);
   }
 
   void nextSignal() {
     signals_.async_wait([this](const boost::system::error_code& e, int number) {
-      if (e) return;
+      if (e)
+        return;
       if (number == SIGHUP) {
         notifyReloading();
-        if (host_ && !host_->suspended()) reload();
-        else reload_due_ = true;
+        if (host_ && !host_->suspended())
+          reload();
+        else
+          reload_due_ = true;
         notifyManager("READY=1");
       } else {
         stop();
@@ -355,13 +383,15 @@
     refused_.clear();
     if (alone()) {
       reloadDaemonFile();
-      if (fleet_) fleet_->brought(config_, daemon_, refused_);
+      if (fleet_)
+        fleet_->brought(config_, daemon_, refused_);
       return;
     }
     try {
       Config fresh = readConfig();
       const std::string lacks = missingSetting(config_, fresh);
-      if (!lacks.empty()) throw std::runtime_error("settings: missing: " + lacks);
+      if (!lacks.empty())
+        throw std::runtime_error("settings: missing: " + lacks);
       const std::string later = needsRestart(config_, fresh);
       keepUntilRestart(config_, fresh);
       clientLimits(fresh, daemon_);
@@ -369,7 +399,8 @@
       log::write(
           log::Event::daemon_reloaded,
           {{"discovery", fresh.discovery}, {"settings", retuned ? "new" : "same"}, {"needs_restart", later}});
-      if (retuned) retune(fresh);
+      if (retuned)
+        retune(fresh);
       if (fresh.discovery != config_.discovery) {
         const tcp::endpoint moved = parseAddress(fresh.discovery);
         watcher_->moveTo(moved, fresh.discovery);
@@ -380,9 +411,11 @@
       log::write(log::Event::daemon_config_refused, {{"cause", e.what()}});
       refused_ = config_.path + ": " + e.what();
     }
-    if (!daemon_.path.empty()) reloadDaemonFile();
+    if (!daemon_.path.empty())
+      reloadDaemonFile();
     membership_->refresh();
-    if (fleet_) fleet_->brought(config_, daemon_, refused_);
+    if (fleet_)
+      fleet_->brought(config_, daemon_, refused_);
   }
 
   // Whole, in one step between two turns: what comes after it is bound by the new settings.
@@ -390,15 +423,18 @@
     host_->retune(fresh.settings);
     transport_->setLimits(transportLimits(fresh));
     admission_->setPause(fresh.settings.max_pause);
-    if (clients_) clients_->setLimits(clientLimits(fresh, daemon_));
-    if (watcher_) watcher_->setSenders(fresh.settings.senders);
+    if (clients_)
+      clients_->setLimits(clientLimits(fresh, daemon_));
+    if (watcher_)
+      watcher_->setSenders(fresh.settings.senders);
   }
 
   void reloadDaemonFile() {
     std::vector<Mistake> mistakes;
     DaemonFile fresh = readDaemonFile(daemon_.path, mistakes);
     try {
-      if (!mistakes.empty()) throw std::runtime_error(mistakes[0].in(daemon_.path));
+      if (!mistakes.empty())
+        throw std::runtime_error(mistakes[0].in(daemon_.path));
       if (fresh.site.has_value() != alone())
         throw std::runtime_error(
             alone() ? "it has no [[class]] and [[partner]] any more"
@@ -413,17 +449,21 @@
       // What can fail first; each leaves all as it was if it does.
       log::configure(fresh.log);
       try {
-        if (alone()) DnsClient(io_, fresh.site->sources.dns);
+        if (alone())
+          DnsClient(io_, fresh.site->sources.dns);
         doors_.change(fresh.doors);
       } catch (...) {
         log::configure(daemon_.log);
         throw;
       }
-      if (clients_) clients_->setLimits(limits);
+      if (clients_)
+        clients_->setLimits(limits);
       std::string later = alone() ? needsRestart(*daemon_.site, *fresh.site) : "";
-      if (fresh.operators != daemon_.operators) later += later.empty() ? "operators" : ", operators";
+      if (fresh.operators != daemon_.operators)
+        later += later.empty() ? "operators" : ", operators";
       fresh.operators = daemon_.operators;
-      if (FleetPart::differs(fresh.fleet, daemon_.fleet)) later += later.empty() ? "fleet" : ", fleet";
+      if (FleetPart::differs(fresh.fleet, daemon_.fleet))
+        later += later.empty() ? "fleet" : ", fleet";
       fresh.fleet = daemon_.fleet;
       if (alone()) {
         if (!sameSettings(*daemon_.site, *fresh.site)) {
@@ -438,7 +478,8 @@
       }
       daemon_ = std::move(fresh);
       keeper_->change(daemon_.knowledge);
-      if (sources_) sources_->change(daemon_.site->sources);
+      if (sources_)
+        sources_->change(daemon_.site->sources);
       log::write(log::Event::daemon_file_reloaded,
                  {{"doors", doors_.count()}, {"partners", partners()}, {"needs_restart", later}});
     } catch (const std::exception& e) {
@@ -448,14 +489,17 @@
   }
 
   void stop() {
-    if (stop_from_ != 0) return;
+    if (stop_from_ != 0)
+      return;
     stop_from_ = monotonicNow();
     log::write(log::Event::daemon_stopping);
     notifyManager("STOPPING=1");
     state_.stop("SIGTERM");
-    if (!host_) return io_.stop();  // it has not begun: nothing is owed
+    if (!host_)
+      return io_.stop();  // it has not begun: nothing is owed
     if (!host_->suspended()) {
-      if (fleet_) fleet_->leave();
+      if (fleet_)
+        fleet_->leave();
       sendAway(Leaving::stopping);
       admission_->drain();
       host_->stopAt(stop_from_ + kStopAfter);
@@ -465,7 +509,8 @@
 
   // Clients have ended their side of what was ended in order, or had long enough for it.
   bool farewellIsOver() const {
-    if (!clients_ || clients_->connections() == 0) return true;
+    if (!clients_ || clients_->connections() == 0)
+      return true;
     return monotonicNow() - farewell_from_ >= kFarewell;
   }
 
@@ -478,17 +523,21 @@
                                       notices_->owed() == 0 && host_->idle();
     if (farewell_from_ == 0 && (quiet || since >= kStopAfter)) {
       farewell_from_ = monotonicNow();
-      if (clients_) clients_->finish();
+      if (clients_)
+        clients_->finish();
     }
     if (farewell_from_ != 0 && farewellIsOver()) {
       signals_.cancel();
-      if (daemon_.knowledge.keep && !replaced) keeper_->finish(host_->learned());
-      if (fleet_) fleet_->release("stopped");
+      if (daemon_.knowledge.keep && !replaced)
+        keeper_->finish(host_->learned());
+      if (fleet_)
+        fleet_->release("stopped");
       return static_cast<boost::asio::io_context&>(look_.get_executor().context()).stop();
     }
     look_.expires_after(std::chrono::microseconds(kLook));
     look_.async_wait([this](const boost::system::error_code& e) {
-      if (!e) lookAgain();
+      if (!e)
+        lookAgain();
     });
   }
 
--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -14,7 +14,8 @@
 
 std::string placed(const std::string& path, const std::string& daemon_file) {
   const std::filesystem::path p(path);
-  if (path.empty() || p.is_absolute()) return path;
+  if (path.empty() || p.is_absolute())
+    return path;
   return (std::filesystem::path(daemon_file).parent_path() / p).lexically_normal().string();
 }
 
@@ -30,7 +31,8 @@
   c.effect = effect == "safe" ? Effect::safe : effect == "keyed" ? Effect::keyed : Effect::unsafe;
   c.aim = t.span("aim", 5 * kSecond, kMs, kDay);
   c.deadline = t.span("deadline", 60 * kSecond, kMs, kDay);
-  if (c.deadline < c.aim) t.expected("deadline", "no less than aim is expected");
+  if (c.deadline < c.aim)
+    t.expected("deadline", "no less than aim is expected");
   c.worth = t.real("worth", 1, 0, 1e9);
   c.late_worth = t.real("late_worth", 0.3, 0, 1);
   c.memory = t.span("memory", 0, 0, 30 * kDay);
@@ -46,16 +48,19 @@
   DnsServers& d = sources.dns;
   d.servers = t.texts("servers");
   for (const std::string& a : d.servers)
-    if (!isEndpointAddress(a)) t.expected("servers", "an address and a port are expected, not \"" + a + "\"");
+    if (!isEndpointAddress(a))
+      t.expected("servers", "an address and a port are expected, not \"" + a + "\"");
   d.timeout = t.span("timeout", d.timeout, 10 * kMs, 60 * kSecond);
   d.tries = static_cast<int>(t.whole("tries", d.tries, 1, 10));
   DnsLimits& l = sources.dns_limits;
   l.least_ttl = t.span("least_ttl", l.least_ttl, 100 * kMs, kDay);
   l.most_ttl = t.span("most_ttl", l.most_ttl, 100 * kMs, kDay);
-  if (l.most_ttl < l.least_ttl) t.expected("most_ttl", "no less than least_ttl is expected");
+  if (l.most_ttl < l.least_ttl)
+    t.expected("most_ttl", "no less than least_ttl is expected");
   l.least_retry = t.span("least_retry", l.least_retry, 100 * kMs, kDay);
   l.most_retry = t.span("most_retry", std::max(l.most_retry, l.least_retry), 100 * kMs, kDay);
-  if (l.most_retry < l.least_retry) t.expected("most_retry", "no less than least_retry is expected");
+  if (l.most_retry < l.least_retry)
+    t.expected("most_retry", "no less than least_retry is expected");
   sources.defaults.allow = t.texts("allow");
   checkNetworks(t, "allow", sources.defaults.allow);
   t.unknown(" in dns");
@@ -65,7 +70,8 @@
   FolderSpec f;
   f.folder = t.word("kind", {"folder", "file"}) != "file";
   f.path = placed(t.text("path", ""), daemon_file);
-  while (f.path.size() > 1 && f.path.back() == '/') f.path.pop_back();
+  while (f.path.size() > 1 && f.path.back() == '/')
+    f.path.pop_back();
   f.rescan = t.span("rescan", f.rescan, 100 * kMs, kDay);
   t.unknown(" in a source");
   return f;
@@ -96,7 +102,8 @@
   static const toml::table none;
   const auto section = [&](const char* key) -> const toml::table* {
     const toml::node* n = top.node(key);
-    if (!n || n->is_table()) return n ? n->as_table() : &none;
+    if (!n || n->is_table())
+      return n ? n->as_table() : &none;
     top.expected(key, "a table is expected, begun by [" + std::string(key) + "]");
     return &none;
   };
@@ -125,17 +132,20 @@
   for (const toml::table* c : classes) {
     Table t(*c, "class", mistakes, effective);
     s.classes.push_back(readClass(t));
-    if (!names.insert(s.classes.back().name).second) t.expected("name", "another class has this name");
+    if (!names.insert(s.classes.back().name).second)
+      t.expected("name", "another class has this name");
   }
   site.sources.partners = readPartners(partners, site.sources.defaults, mistakes, effective);
   for (const toml::table* f : sources) {
     Table t(*f, "source", mistakes, effective);
     FolderSpec spec = readSource(t, path);
     for (const FolderSpec& other : site.sources.folders)
-      if (other.path == spec.path) t.expected("path", "another source has this path");
+      if (other.path == spec.path)
+        t.expected("path", "another source has this path");
     site.sources.folders.push_back(std::move(spec));
   }
-  if (classes.empty()) top.mistake("a program that stands alone needs a [[class]]");
+  if (classes.empty())
+    top.mistake("a program that stands alone needs a [[class]]");
   if (partners.empty() && sources.empty())
     top.mistake("a program that stands alone needs a [[partner]], or a [[source]] of them");
   return true;
@@ -166,7 +176,8 @@
 std::string needsRestart(const Site& old, const Site& fresh) {
   std::string names;
   const auto add = [&](bool differs, const char* name) {
-    if (differs) names += (names.empty() ? "" : ", ") + std::string(name);
+    if (differs)
+      names += (names.empty() ? "" : ", ") + std::string(name);
   };
   add(old.sockets != fresh.sockets, "limits.sockets");
   add(old.folder != fresh.folder || old.disk_bytes != fresh.disk_bytes, "journal");
--- a/src/daemon/version.cpp
+++ b/src/daemon/version.cpp
@@ -3,6 +3,8 @@
 
 namespace grademux {
 
-const char* programVersion() { return GRADEMUX_VERSION; }
+const char* programVersion() {
+  return GRADEMUX_VERSION;
+}
 
 }  // namespace grademux
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -13,16 +13,21 @@
   using Attempts::Attempts;
 
   void onArrival(const Arrival& a, ClassVersion c = nullptr) {
-    if (messages.count(a.id)) return;
+    if (messages.count(a.id))
+      return;
     for (const ClassVersion& k : classes)
-      if (!c && k->name == a.message_class) c = k;
-    if (!c) return acts.push_back(Fail{a.id});
+      if (!c && k->name == a.message_class)
+        c = k;
+    if (!c)
+      return acts.push_back(Fail{a.id});
     Message& m = messages[a.id];
     m.id = a.id;
     m.cls = c;
     for (std::size_t i = 0; i < set.tenants.size(); ++i)
-      if (set.tenants[i].name == a.tenant) m.tenant = static_cast<int>(i);
-    if (m.tenant >= 0) count(tenant_rate[static_cast<std::size_t>(m.tenant)]);
+      if (set.tenants[i].name == a.tenant)
+        m.tenant = static_cast<int>(i);
+    if (m.tenant >= 0)
+      count(tenant_rate[static_cast<std::size_t>(m.tenant)]);
     m.dest = &dests[a.destination];
     m.dest->id = a.destination;
     ++m.dest->messages;
@@ -50,7 +55,8 @@
   void onResumed(const Resumed& r) {
     onArrival(r.message, r.rules);
     auto it = messages.find(r.message.id);
-    if (it == messages.end()) return;
+    if (it == messages.end())
+      return;
     Message& m = it->second;
     for (const PastAttempt& p : r.attempts) {
       auto s = servers.find(p.endpoint);
@@ -61,14 +67,17 @@
       }
       Attempt a;
       a.server = s == servers.end() ? nullptr : &s->second;
-      if (a.server) ++a.server->attempts;
+      if (a.server)
+        ++a.server->attempts;
       a.sent = p.sent;
       a.out = false;
       a.may_have_run = p.may_have_run;
       m.attempts.push_back(a);
     }
-    if (m.out > 0) return unhold(m, false);
-    if (anySendLeft(m)) return;
+    if (m.out > 0)
+      return unhold(m, false);
+    if (anySendLeft(m))
+      return;
     finish(m, now < m.end_at);
     forget(m);
   }
@@ -82,18 +91,21 @@
     const bool busy = many() && static_cast<int>(calls.size()) >= set.slots;
     const double each = busy ? typical * common_slow / set.slots : 0;
     double wait = each * static_cast<double>(held_all - blocked);  // of those that lack nothing but a slot
-    if (open <= most && wait <= kQueue * least_aim) return;
+    if (open <= most && wait <= kQueue * least_aim)
+      return;
     std::vector<std::tuple<double, std::uint64_t, Message*>> least;
     for (auto& [id, b] : backlog) {
       const Micros then = now + std::max(drainTime(*b.item), static_cast<Micros>(wait));
       for (Message* m : b.item->held)
-        if (mayRefuse(*m)) least.push_back({worthAt(*m, then) + 1e-3 * worthAt(*m, now), m->order, m});
+        if (mayRefuse(*m))
+          least.push_back({worthAt(*m, then) + 1e-3 * worthAt(*m, now), m->order, m});
     }
     std::sort(least.begin(), least.end());
     for (auto& [worth, order, m] : least) {
       const bool late = wait > kQueue * least_aim && m->dest->blocked_in != turn &&
                         worth < kWorthKept * worthAt(*m, m->handed_in);
-      if (open <= most && !late) continue;
+      if (open <= most && !late)
+        continue;
       wait -= late ? each : 0;
       finish(*m, true);
       forget(*m);
--- a/src/decision/attempts.h
+++ b/src/decision/attempts.h
@@ -22,14 +22,21 @@
   // THE effect rule. No repeat of what may have run, but: safe ones at will; keyed ones only where and while
   // the destination drops repeats; never two out at once unless the site allows copies.
   bool maySend(const Message& m, const Server& s) const {
-    if (static_cast<int>(m.attempts.size()) >= m.cls->max_attempts) return false;
-    if (m.out > 0 && !set.may_copy) return false;
-    if (m.cls->effect == Effect::safe || !mayHaveRun(m)) return true;
-    if (m.cls->effect == Effect::unsafe) return false;
+    if (static_cast<int>(m.attempts.size()) >= m.cls->max_attempts)
+      return false;
+    if (m.out > 0 && !set.may_copy)
+      return false;
+    if (m.cls->effect == Effect::safe || !mayHaveRun(m))
+      return true;
+    if (m.cls->effect == Effect::unsafe)
+      return false;
     for (const Attempt& a : m.attempts) {
-      if (!a.may_have_run) continue;
-      if (m.cls->group != RepeatGroup::all && (!a.server || a.server->zone != s.zone)) return false;
-      if (m.cls->group == RepeatGroup::cell && a.server->dest != s.dest) return false;
+      if (!a.may_have_run)
+        continue;
+      if (m.cls->group != RepeatGroup::all && (!a.server || a.server->zone != s.zone))
+        return false;
+      if (m.cls->group == RepeatGroup::cell && a.server->dest != s.dest)
+        return false;
     }
     return now <= repeatUntil(m);
   }
@@ -38,24 +45,28 @@
   Micros repeatUntil(const Message& m) const {
     Micros until = kNever;
     for (const Attempt& a : m.attempts)
-      if (a.may_have_run) until = std::min(until, a.sent + m.cls->memory - 2 * set.tick);
+      if (a.may_have_run)
+        until = std::min(until, a.sent + m.cls->memory - 2 * set.tick);
     return until;
   }
 
   // A refusal promises that handing the message in again does no harm.
   bool mayRefuse(const Message& m) const {
-    if (m.cls->effect == Effect::safe || !mayHaveRun(m)) return true;
+    if (m.cls->effect == Effect::safe || !mayHaveRun(m))
+      return true;
     return m.cls->effect == Effect::keyed && m.cls->group == RepeatGroup::all;
   }
 
   bool anySendLeft(const Message& m) const {
     for (const Server* s : m.dest->servers)
-      if (maySend(m, *s)) return true;
+      if (maySend(m, *s))
+        return true;
     return m.attempts.empty();
   }
 
   bool hasTurn(const Message& m) const {
-    if (m.key.empty()) return true;
+    if (m.key.empty())
+      return true;
     const KeyLine& k = keys.at(m.key);
     return k.line.front() == &m && (!m.attempts.empty() || now >= k.quiet_until);
   }
@@ -80,7 +91,8 @@
       d.lost_idle = idled;  // a lost fresh call clears the suspicion: the destination itself hangs
       return;
     }
-    if (d.lost_idle < 0 || (idled >= 0 && idled < d.lost_idle)) return;
+    if (d.lost_idle < 0 || (idled >= 0 && idled < d.lost_idle))
+      return;
     if (idled < 0) {
       dead_score *= std::exp(-static_cast<double>(now - dead_at) / static_cast<double>(set.ramp_time + 1));
       ++dead_score;
@@ -100,12 +112,14 @@
   Micros takeConnection(Server& s, const Message& m) {
     const bool exposed = m.cls->effect == Effect::unsafe || !m.attempts.empty();
     const bool stale = exposed && now - s.stale_at < kSuspect * set.ramp_time;
-    while (!s.idle.empty() && set.conn_idle > 0 && now - s.idle.front() >= set.conn_idle) s.idle.pop_front();
+    while (!s.idle.empty() && set.conn_idle > 0 && now - s.idle.front() >= set.conn_idle)
+      s.idle.pop_front();
     if (!s.idle.empty() && (stale || now - s.idle.front() >= deadIdle())) {
       acts.push_back(CloseIdle{s.id});
       s.idle.clear();
     }
-    if (s.idle.empty()) return -1;
+    if (s.idle.empty())
+      return -1;
     const Micros idled = now - s.idle.back();
     s.idle.pop_back();
     return idled;
@@ -120,7 +134,8 @@
         std::max(0.0, perSecond(s.dest->traffic) - 1 / trafficSpan()) / readyServers(*s.dest);
     const double least = kReuseLeast * set.senders / kCrowd;
     const bool full_table = many() && now - s.no_connect < kSuspect * set.ramp_time;
-    if (!full_table && others * static_cast<double>(set.conn_idle) / kSecond >= least) return;
+    if (!full_table && others * static_cast<double>(set.conn_idle) / kSecond >= least)
+      return;
     acts.push_back(CloseIdle{s.id});
     s.idle.clear();
   }
@@ -128,7 +143,8 @@
   void send(Message& m, Server& s, bool global_phase) {
     Dest& d = *m.dest;
     unhold(m, true);
-    if (global_phase) dropLocalTags(d);
+    if (global_phase)
+      dropLocalTags(d);
     auto room = forming.find(&s);
     std::uint64_t call;
     Micros idled = -1;
@@ -142,7 +158,8 @@
       ++s.out;
       const double n = readyServers(d), own = perSecond(d.traffic);
       charge(s.guard, apart(s) ? s.guard.limit : d.guard.limit / n, own / n);
-      if (!apart(s)) charge(d.guard, d.guard.limit, own);
+      if (!apart(s))
+        charge(d.guard, d.guard.limit, own);
     }
     const Micros until = m.cls->effect == Effect::keyed ? repeatUntil(m) : kNever;
     noteOut(m, s, call, now, idled);
@@ -163,16 +180,19 @@
     outs.erase(a.order);
     a.server->guard.overdue = a.server->dest->guard.overdue = 0;  // counted anew each turn
     auto c = calls.find(a.call);
-    if (--c->second > 0) return;
+    if (--c->second > 0)
+      return;
     calls.erase(c);
     --a.server->out;
   }
 
   bool serverOpen(Server& s, const Message& m) {
-    if (!usable(s) || !maySend(m, s)) return false;
+    if (!usable(s) || !maySend(m, s))
+      return false;
     // Before the process ends only what will be heard is started: no attempt is lost in the unknown.
     const double heard = kStallRatio * kUnsafePatience * common_slow * usualLatency(s);
-    if (stop_at != kNever && (sick(s) || static_cast<double>(stop_at - now) < heard)) return false;
+    if (stop_at != kNever && (sick(s) || static_cast<double>(stop_at - now) < heard))
+      return false;
     const Guard& g = scope(s);
     // A message that can't be repeated is no trial: it would be lost where calls end in the unknown. It goes
     // after all when half of its time is used up.
@@ -186,13 +206,16 @@
     Server* best = nullptr;
     auto key = [&](Server& s) {
       std::size_t zone = 0;
-      while (zone < set.zones.size() && set.zones[zone] != s.zone) ++zone;
+      while (zone < set.zones.size() && set.zones[zone] != s.zone)
+        ++zone;
       const double fee = apart(s) && zone < set.zone_fee.size() ? set.zone_fee[zone] : 0;
       return std::make_tuple(sick(s) ? 1 : 0, fee, s.out, s.idle.empty(), s.used);
     };
     for (Server* s : d.servers) {
-      if (opensAt(*s, &m) > now || !serverOpen(*s, m)) continue;
-      if (!best || key(*s) < key(*best)) best = s;
+      if (opensAt(*s, &m) > now || !serverOpen(*s, m))
+        continue;
+      if (!best || key(*s) < key(*best))
+        best = s;
     }
     return best;
   }
@@ -203,7 +226,8 @@
     double best_loss = -1;
     for (Server* s : d.servers) {
       const Micros later = usable(*s) ? opensAt(*s, nullptr) : now;
-      if (later > now) next_wake = std::min(next_wake, later);
+      if (later > now)
+        next_wake = std::min(next_wake, later);
     }
     const Micros drain = drainTime(d);
     for (Message* m : d.held) {
@@ -211,11 +235,14 @@
         next_wake = std::min(next_wake, m->not_before);
         continue;
       }
-      if (!hasTurn(*m)) continue;
+      if (!hasTurn(*m))
+        continue;
       const double worth = worthAt(*m, now), loss = worth - worthAt(*m, now + drain) + 1e-3 * worth;
-      if (loss <= best_loss) continue;
+      if (loss <= best_loss)
+        continue;
       Server* s = chooseServer(d, *m);
-      if (!s) continue;
+      if (!s)
+        continue;
       best_loss = loss;
       best = {m, s};
     }
@@ -241,7 +268,8 @@
     double served = -1e300;  // the latest global tag that was
     while (static_cast<int>(calls.size()) < set.slots) {
       Dest* d = nextFrom(place);
-      if (!d) break;
+      if (!d)
+        break;
       place = placeOf(*d);
       Pick p = choose(*d);
       if (!p.first || (sick(*p.second) && laneUsed() >= laneSlots())) {
@@ -250,13 +278,16 @@
         blocked += d->held.size();
         continue;
       }
-      if (std::get<0>(place)) served = std::get<1>(place);
+      if (std::get<0>(place))
+        served = std::get<1>(place);
       send(*p.first, *p.second, std::get<0>(place));
       fillCall(*d, *p.second);
       // All before this place are blocked; only the one that has sent may stand before it now.
-      if (!d->tags.empty()) place = std::min(place, placeOf(*d));
+      if (!d->tags.empty())
+        place = std::min(place, placeOf(*d));
     }
-    for (Dest* d : barred) raise(*d, served);
+    for (Dest* d : barred)
+      raise(*d, served);
   }
 
   void fillCall(Dest& d, Server& s) {
@@ -265,18 +296,22 @@
       for (Message* m : d.held)
         if (m->not_before <= now && hasTurn(*m) && serverOpen(s, *m) && (!next || m->order < next->order))
           next = m;
-      if (!next) return;
+      if (!next)
+        return;
       send(*next, s, d.tags.front().local > static_cast<double>(now));
     }
   }
 
   void onOutcome(const Outcome& o) {
     auto it = messages.find(o.id);
-    if (it == messages.end()) return;
+    if (it == messages.end())
+      return;
     Message& m = it->second;
-    if (o.attempt < 0 || o.attempt >= static_cast<int>(m.attempts.size())) return;
+    if (o.attempt < 0 || o.attempt >= static_cast<int>(m.attempts.size()))
+      return;
     Attempt& a = m.attempts[static_cast<std::size_t>(o.attempt)];
-    if (!a.out) return;
+    if (!a.out)
+      return;
     settle(m, a);
     if (o.result == Result::ok || o.result == Result::error || o.result == Result::full)
       keepConnection(*a.server);
@@ -284,8 +319,10 @@
       noteConnection(*a.server->dest, a.idled, o.result != Result::ok);
     a.may_have_run =
         !(o.result == Result::full || o.result == Result::connect_failed || o.result == Result::not_sent);
-    if (o.result == Result::connect_failed) a.server->no_connect = now;
-    if (o.stale) a.server->stale_at = now;
+    if (o.result == Result::connect_failed)
+      a.server->no_connect = now;
+    if (o.stale)
+      a.server->stale_at = now;
     learnLimit(*a.server, o.report);
     learn(*a.server, o.result, o.rtt > 0 ? o.rtt : now - a.sent, o.wait, o.stale);
     const bool runs_on = a.may_have_run && o.result != Result::ok && o.result != Result::error;
@@ -294,8 +331,10 @@
       k.quiet_until = std::max(k.quiet_until, now + set.order_pause);
       next_wake = std::min(next_wake, k.quiet_until);
     }
-    if (o.finished || o.result == Result::ok) close(m);
-    if (!m.ended) again(m, *a.server);
+    if (o.finished || o.result == Result::ok)
+      close(m);
+    if (!m.ended)
+      again(m, *a.server);
     forget(m);
   }
 
@@ -303,8 +342,10 @@
   // many senders an aim later at least: they would take the place of first tries still in time, and those
   // of a clump came back as one and pushed over what returned. Also guards against limits that eat all tries.
   void again(Message& m, Server& s) {
-    if (m.held || m.out > 0) return;
-    if (now >= m.end_at || !anySendLeft(m)) return finish(m, now < m.end_at);
+    if (m.held || m.out > 0)
+      return;
+    if (now >= m.end_at || !anySendLeft(m))
+      return finish(m, now < m.end_at);
     const double left = static_cast<double>(m.end_at - now);
     const int tries = m.cls->max_attempts - static_cast<int>(m.attempts.size());
     const double least = many() ? least_aim + comeBack(scope(s), *m.dest) : usualLatency(s);
@@ -312,31 +353,39 @@
   }
 
   void close(Message& m) {
-    if (m.ended) return;
-    if (m.held) unhold(m, false);
+    if (m.ended)
+      return;
+    if (m.held)
+      unhold(m, false);
     m.ended = true;
     --open;
     ends.erase({m.end_at, m.id});
   }
 
   void finish(Message& m, bool worth_a_return) {
-    if (m.ended) return;
+    if (m.ended)
+      return;
     if (worth_a_return && mayRefuse(m))
       acts.push_back(Refuse{m.id, set.told_pause ? std::min(set.max_pause, drainTime(*m.dest)) : 0});
-    else acts.push_back(Fail{m.id});
+    else
+      acts.push_back(Fail{m.id});
     close(m);
   }
 
   void forget(Message& m) {
-    if (!m.ended || m.out > 0) return;
+    if (!m.ended || m.out > 0)
+      return;
     if (!m.key.empty()) {
       KeyLine& k = keys[m.key];
       k.line.erase(std::find(k.line.begin(), k.line.end(), &m));
-      if (k.line.empty()) old_keys.at(k.quiet_until, m.key);
+      if (k.line.empty())
+        old_keys.at(k.quiet_until, m.key);
     }
     for (const Attempt& a : m.attempts)
-      if (a.server) --a.server->attempts;
-    if (--m.dest->messages == 0 && m.dest->servers.empty()) old_dests.at(now + kept(), m.dest->id);
+      if (a.server)
+        --a.server->attempts;
+    if (--m.dest->messages == 0 && m.dest->servers.empty())
+      old_dests.at(now + kept(), m.dest->id);
     messages.erase(messages.find(m.id));
   }
 };
--- a/src/decision/bound.h
+++ b/src/decision/bound.h
@@ -54,7 +54,8 @@
   double coldRate(const Guard& g, double limit, double own) const {
     const double warmth = std::min(1.0, static_cast<double>(now - g.cold_since) / kSecond / trafficSpan());
     const double share = set.cold_share + (1 - set.cold_share) * (g.down ? 0 : warmth);
-    if (limit > 0) own = limit * portion(limit, own);
+    if (limit > 0)
+      own = limit * portion(limit, own);
     return std::max(own, 1 / trafficSpan()) * share * set.overload_factor;
   }
 
@@ -87,7 +88,8 @@
     const double t = static_cast<double>(now), rate = rateOf(g, limit, own);
     const double burst = cold(g) ? 0 : kBurst * kSecond;
     double gap = kSecond / rate;
-    if (g.down) gap = std::max(gap, std::min(kTrialGap * fallSpan(), gap * g.streak));
+    if (g.down)
+      gap = std::max(gap, std::min(kTrialGap * fallSpan(), gap * g.streak));
     g.u = std::clamp(g.u, t - burst, t) + gap;  // a call that passed the pacing leaves no debt
     count(g.sent);
   }
@@ -97,11 +99,13 @@
   }
 
   void learnLimit(Server& s, const std::optional<LimitReport>& report) {
-    if (!report || report->limit <= 0) return;
+    if (!report || report->limit <= 0)
+      return;
     Guard& g = scope(s);
     g.limit = g.told ? 0.75 * g.limit + 0.25 * report->limit : report->limit;
     g.told = true;
-    if (many() && report->left < kNearlyUsed) lower(g, kShareEase, ownAt(s));
+    if (many() && report->left < kNearlyUsed)
+      lower(g, kShareEase, ownAt(s));
   }
 
   // Refused: take a smaller part. Guards against many that each think theirs harmless, and untold limits.
@@ -118,7 +122,8 @@
       lower(g, kShareCut, own);
       g.cut_at = now;
     }
-    if (!told_wait) g.u = std::max(g.u, static_cast<double>(now) + gap);
+    if (!told_wait)
+      g.u = std::max(g.u, static_cast<double>(now) + gap);
   }
 };
 
--- a/src/decision/check.h
+++ b/src/decision/check.h
@@ -10,7 +10,8 @@
 namespace grademux {
 
 inline void require(bool good, const char* field) {
-  if (!good) throw std::invalid_argument(std::string("settings: ") + field);
+  if (!good)
+    throw std::invalid_argument(std::string("settings: ") + field);
 }
 
 inline void validate(const Settings& s) {
@@ -23,8 +24,10 @@
     require(c.memory >= 0, "classes.memory");
     require(c.worth >= 0 && c.late_worth >= 0 && c.aim_stretch >= 0, "classes.worth");
   }
-  for (const auto& t : s.tenants) require(t.quota >= 0, "tenants.quota");
-  for (const auto& k : s.kinds) require(k.per_call >= 1, "kinds.per_call");
+  for (const auto& t : s.tenants)
+    require(t.quota >= 0, "tenants.quota");
+  for (const auto& k : s.kinds)
+    require(k.per_call >= 1, "kinds.per_call");
   require(s.senders >= 1, "senders");
   require(s.slots >= 1, "slots");
   require(s.max_open >= 1, "max_open");
--- a/src/decision/classes.h
+++ b/src/decision/classes.h
@@ -13,7 +13,8 @@
 inline std::vector<ClassVersion> classesOf(const Settings& set) {
   std::vector<ClassVersion> all;
   for (MessageClass c : set.classes) {
-    if (c.max_attempts == 0) c.max_attempts = set.max_attempts;
+    if (c.max_attempts == 0)
+      c.max_attempts = set.max_attempts;
     all.push_back(std::make_shared<const MessageClass>(std::move(c)));
   }
   return all;
@@ -21,7 +22,8 @@
 
 inline double leastAim(const Settings& set) {  // microseconds
   double least = 1e300;
-  for (const MessageClass& c : set.classes) least = std::min(least, static_cast<double>(c.aim));
+  for (const MessageClass& c : set.classes)
+    least = std::min(least, static_cast<double>(c.aim));
   return least;
 }
 
--- a/src/decision/containers.h
+++ b/src/decision/containers.h
@@ -33,7 +33,8 @@
   }
   void drop(Id id) {
     const auto it = items_.find(id);
-    if (it == items_.end()) return;
+    if (it == items_.end())
+      return;
     first_.erase({it->second.first, id});
     second_.erase({it->second.second, id});
     items_.erase(it);
@@ -62,7 +63,8 @@
   // `at` never goes back.
   void set(Key key, double value, std::int64_t at) {
     const auto known = latest_.find(key);
-    if (known != latest_.end()) erase(known->second.first);
+    if (known != latest_.end())
+      erase(known->second.first);
     latest_[key] = {value, at};
     (high_.empty() || value >= *high_.begin() ? high_ : low_).insert(value);
     balance();
@@ -72,7 +74,8 @@
   void expire(std::int64_t until) {
     for (; !order_.empty() && order_.front().first <= until; order_.pop_front()) {
       const auto known = latest_.find(order_.front().second);
-      if (known == latest_.end() || known->second.second != order_.front().first) continue;
+      if (known == latest_.end() || known->second.second != order_.front().first)
+        continue;
       erase(known->second.first);
       latest_.erase(known);
     }
@@ -88,8 +91,10 @@
   }
   // The lower half has size / 2 of them, rounded down.
   void balance() {
-    for (; low_.size() > size() / 2; low_.erase(std::prev(low_.end()))) high_.insert(*low_.rbegin());
-    for (; low_.size() < size() / 2; high_.erase(high_.begin())) low_.insert(*high_.begin());
+    for (; low_.size() > size() / 2; low_.erase(std::prev(low_.end())))
+      high_.insert(*low_.rbegin());
+    for (; low_.size() < size() / 2; high_.erase(high_.begin()))
+      low_.insert(*high_.begin());
   }
   std::multiset<double> low_, high_;
   std::unordered_map<Key, std::pair<double, std::int64_t>> latest_;
@@ -141,11 +146,13 @@
 class Revisit {
  public:
   void at(std::int64_t when, const Key& key) {
-    if (waiting_.insert(key).second) order_.insert({when, key});
+    if (waiting_.insert(key).second)
+      order_.insert({when, key});
   }
   // Takes out the first whose time has come.
   bool due(std::int64_t now, Key& key) {
-    if (order_.empty() || order_.begin()->first > now) return false;
+    if (order_.empty() || order_.begin()->first > now)
+      return false;
     key = order_.begin()->second;
     order_.erase(order_.begin());
     waiting_.erase(key);
--- a/src/decision/health.h
+++ b/src/decision/health.h
@@ -33,26 +33,31 @@
     for (auto& [order, o] : outs) {
       Attempt& a = o.first->attempts[o.second];
       Server& s = *a.server;
-      if (static_cast<double>(now - a.sent) < kStallRatio * common_slow * usualLatency(s)) continue;
+      if (static_cast<double>(now - a.sent) < kStallRatio * common_slow * usualLatency(s))
+        continue;
       a.late = true;
       s.guard.overdue += s.guard.last_ok < a.sent;
-      if (!apart(s)) s.dest->guard.overdue += s.dest->guard.last_ok < a.sent;
+      if (!apart(s))
+        s.dest->guard.overdue += s.dest->guard.last_ok < a.sent;
     }
   }
 
   void noteLatency(Guard& g, double rtt, bool ended_well) {
     if (g.samples == 0) {
-      if (!ended_well) return;
+      if (!ended_well)
+        return;
       g.usual = rtt;
     }
     const double ratio = rtt / std::max(1.0, g.usual);
-    if (!ended_well && ratio < g.recent) return;  // a quick failure says nothing of pace
+    if (!ended_well && ratio < g.recent)
+      return;  // a quick failure says nothing of pace
     g.recent += kRecentGain * (ratio - g.recent);
     if (ended_well && !sick(g)) {
       const double gain = std::max(kUsualGain, 1.0 / (g.samples + 1));
       g.usual += gain * (std::min(rtt, kSlowRatio * g.usual) - g.usual);
     }
-    if (ended_well) ++g.samples;
+    if (ended_well)
+      ++g.samples;
   }
 
   // Failures, time-outs, failed connects and unbroken refusals are one kind of evidence: it does not serve.
@@ -76,7 +81,8 @@
       g.last_ok = now;
       return;
     }
-    if (g.first_bad == kNever) g.first_bad = now;
+    if (g.first_bad == kNever)
+      g.first_bad = now;
     if (hard) {
       ++g.streak;
       g.failed += kFailGain * (1 - g.failed);
@@ -87,7 +93,8 @@
     const bool shut = g.refused >= kStreak && bad_for > set.fall_span / 2;
     const bool dead = g.streak > 0 && (many() || g.streak >= kStreak || bad_for > set.fall_span);
     if (g.failed > kFailMost || shut || dead) {
-      if (shut && !hard) g.streak = std::max(g.streak, 1);
+      if (shut && !hard)
+        g.streak = std::max(g.streak, 1);
       g.down = true;
       g.cold_since = now;
       g.u = std::max(g.u, static_cast<double>(now));
@@ -98,18 +105,25 @@
   // told wait counts whatever became of the rest of its answer, or of the call.
   void learn(Server& s, Result r, Micros rtt, Micros wait, bool stale) {
     const bool mute = r == Result::cancelled || r == Result::not_sent || stale;
-    if (mute && wait == 0) return;
+    if (mute && wait == 0)
+      return;
     const bool hard = r != Result::ok && r != Result::full, was_down = scope(s).down;
-    if (r == Result::ok) typical += (static_cast<double>(rtt) - typical) / ++typical_of;
+    if (r == Result::ok)
+      typical += (static_cast<double>(rtt) - typical) / ++typical_of;
     for (Guard* g : {&s.guard, &s.dest->guard}) {
-      if (mute || (apart(s) && g != &s.guard)) continue;
-      if (r == Result::ok || r == Result::timeout) noteLatency(*g, static_cast<double>(rtt), r == Result::ok);
+      if (mute || (apart(s) && g != &s.guard))
+        continue;
+      if (r == Result::ok || r == Result::timeout)
+        noteLatency(*g, static_cast<double>(rtt), r == Result::ok);
       noteOutcome(*g, r, hard);
-      if (many() && hard && g->down) g->u = std::max(g->u, static_cast<double>(now) + comeBack(*g, *s.dest));
+      if (many() && hard && g->down)
+        g->u = std::max(g->u, static_cast<double>(now) + comeBack(*g, *s.dest));
     }
-    if (s.guard.samples > 4 && !mute) paces.set(&s, s.guard.recent, now);
+    if (s.guard.samples > 4 && !mute)
+      paces.set(&s, s.guard.recent, now);
     Guard& g = scope(s);
-    if (r == Result::full && !g.down) refusedAt(s, wait > 0);
+    if (r == Result::full && !g.down)
+      refusedAt(s, wait > 0);
     // Nothing goes there before a told wait is over; after a long one, an outage, each adds its spread.
     double spread = 0;
     if (wait > set.fall_span / 2) {
@@ -117,7 +131,8 @@
       g.cold_since = now;
       spread = comeBack(g, *s.dest);
     }
-    if (wait > 0) g.wait_until = std::max(g.wait_until, now + wait + static_cast<Micros>(spread));
+    if (wait > 0)
+      g.wait_until = std::max(g.wait_until, now + wait + static_cast<Micros>(spread));
     keepHealth(s, was_down);
   }
 
@@ -125,7 +140,8 @@
   void keepHealth(Server& s, bool was_down) {
     Guard& g = scope(s);
     const bool waits = g.wait_until > now && g.wait_until > g.noted_wait;
-    if (!waits && g.down == was_down && std::abs(g.cold_since - g.noted) <= set.fall_span / 2) return;
+    if (!waits && g.down == was_down && std::abs(g.cold_since - g.noted) <= set.fall_span / 2)
+      return;
     g.noted = g.cold_since;
     g.noted_wait = g.wait_until > now ? g.wait_until : 0;
     acts.push_back(Ailment{apart(s) ? s.id : "", s.dest->id, g.down, g.cold_since, g.noted_wait, now});
@@ -133,14 +149,16 @@
 
   void onAilment(const Ailment& a) {
     auto s = servers.find(a.endpoint);
-    if (!a.endpoint.empty() && s == servers.end()) return;
+    if (!a.endpoint.empty() && s == servers.end())
+      return;
     Guard& g = a.endpoint.empty() ? dests[a.destination].guard : s->second.guard;
     dests[a.destination].id = a.destination;
     old_dests.at(now + kept(), a.destination);
     g.down = a.down;
     g.cold_since = g.noted = a.cold_since;
     g.wait_until = g.noted_wait = a.wait_until;
-    if (!a.down) return;
+    if (!a.down)
+      return;
     g.streak = std::max(g.streak, 1);
     g.first_bad = std::min(g.first_bad, a.cold_since - set.fall_span);  // no brief one: it ends in a ramp
   }
@@ -149,26 +167,31 @@
   int laneUsed() const {
     std::set<std::uint64_t> used;  // calls, not messages: several may share one
     for (auto& [order, o] : outs)
-      if (sick(*o.first->attempts[o.second].server)) used.insert(o.first->attempts[o.second].call);
+      if (sick(*o.first->attempts[o.second].server))
+        used.insert(o.first->attempts[o.second].call);
     return static_cast<int>(used.size());
   }
 
   // Calls that were out when their destination fell sick may hold more than the lane. With no slot left for
   // the healthy the most overdue are called off, those first that may go again. Harm: a slow answer is lost.
   void clearLane() {
-    if (!set.may_cancel || static_cast<int>(calls.size()) < set.slots) return;
+    if (!set.may_cancel || static_cast<int>(calls.size()) < set.slots)
+      return;
     int excess = laneUsed() - laneSlots();
     std::vector<std::pair<Message*, std::size_t>> late;
     for (auto& [order, o] : outs) {
       const Attempt& a = o.first->attempts[o.second];
-      if (a.called_off) --excess;
-      else if (a.late && sick(*a.server)) late.push_back(o);
+      if (a.called_off)
+        --excess;
+      else if (a.late && sick(*a.server))
+        late.push_back(o);
     }
     std::stable_sort(late.begin(), late.end(), [](const auto& a, const auto& b) {
       return a.first->cls->effect < b.first->cls->effect;
     });
     for (auto& [m, i] : late) {
-      if (excess-- <= 0) return;
+      if (excess-- <= 0)
+        return;
       m->attempts[i].called_off = true;
       acts.push_back(Cancel{m->id, static_cast<int>(i)});
     }
--- a/src/decision/logic.cpp
+++ b/src/decision/logic.cpp
@@ -23,16 +23,20 @@
   void on(const Retuned& e) { onRetuned(e); }
   void on(const Gone& e) {
     auto it = messages.find(e.id);
-    if (it == messages.end()) return;
+    if (it == messages.end())
+      return;
     close(it->second);
     forget(it->second);
   }
 
   void setWake() {
-    if (!ends.empty()) next_wake = std::min(next_wake, ends.begin()->first);
-    if (next_wake == kNever) return;
+    if (!ends.empty())
+      next_wake = std::min(next_wake, ends.begin()->first);
+    if (next_wake == kNever)
+      return;
     next_wake = std::max(next_wake, now + std::max<Micros>(1, set.tick));
-    if (wake_at > now && wake_at <= next_wake) return;
+    if (wake_at > now && wake_at <= next_wake)
+      return;
     wake_at = next_wake;
     acts.push_back(WakeIn{wake_at - now});
   }
@@ -41,7 +45,8 @@
     now = at;
     acts.clear();
     next_wake = kNever;
-    for (const Event& e : events) std::visit([this](const auto& x) { on(x); }, e);
+    for (const Event& e : events)
+      std::visit([this](const auto& x) { on(x); }, e);
     // A slowdown common to all is no sickness: each is held against the median of what all show.
     paces.expire(now - 2 * set.fall_span);
     common_slow = paces.size() < 3 ? 1 : std::max(1.0, paces.median());
--- a/src/decision/membership.h
+++ b/src/decision/membership.h
@@ -20,7 +20,8 @@
     }
     ask_failures = 0;
     if (u.kind != ListKind::delta)
-      for (auto& [id, s] : servers) setState(s, EndpointState::gone);
+      for (auto& [id, s] : servers)
+        setState(s, EndpointState::gone);
     for (const Endpoint& e : u.endpoints) {
       Server& s = servers[e.id];
       s.id = e.id;
@@ -29,18 +30,22 @@
       s.weight = e.weight;
       s.kind = &plain_kind;
       for (const Kind& k : set.kinds)
-        if (k.name == e.kind) s.kind = &k;
+        if (k.name == e.kind)
+          s.kind = &k;
       Dest& d = dests[e.destination];
       if (s.dest != &d) {
-        if (s.dest) leave(s);
+        if (s.dest)
+          leave(s);
         s.dest = &d;
         s.used = -kNever + static_cast<Micros>(random() % 1000);
         d.id = e.destination;
         d.servers.push_back(&s);
       }
       Guard& g = scope(s);
-      if (!g.told && e.weight > 0 && set.weights != WeightKind::none) g.limit = e.weight;
-      if (g.part_at == 0) g.part = std::min(1.0, kShareStart * portion(g.limit, 1e12));
+      if (!g.told && e.weight > 0 && set.weights != WeightKind::none)
+        g.limit = e.weight;
+      if (g.part_at == 0)
+        g.part = std::min(1.0, kShareStart * portion(g.limit, 1e12));
       g.part_at = now;
     }
   }
--- a/src/decision/recall.h
+++ b/src/decision/recall.h
@@ -25,7 +25,8 @@
       l.traffic = perSecond(d.traffic);
       l.came = d.traffic.latest();
     }
-    if (l.heard > 0 || l.came > 0) acts.push_back(std::move(l));
+    if (l.heard > 0 || l.came > 0)
+      acts.push_back(std::move(l));
   }
 
   void onSurvey(const Survey& q) {
@@ -35,7 +36,8 @@
     for (int left = q.most; it != dests.end() && left > 0; ++it, --left) {
       end.after = it->first;
       give(it->second.guard, "", it->second);
-      for (const Server* s : it->second.servers) give(s->guard, s->id, it->second);
+      for (const Server* s : it->second.servers)
+        give(s->guard, s->id, it->second);
     }
     end.all = it == dests.end();
     end.pool = {
@@ -47,12 +49,15 @@
   void onLesson(const Lesson& l) {
     const auto s = servers.find(l.endpoint);
     const bool whole = l.endpoint.empty();
-    if (!whole && (s == servers.end() || s->second.dest->id != l.destination)) return;
+    if (!whole && (s == servers.end() || s->second.dest->id != l.destination))
+      return;
     Dest& d = dests[l.destination];
     d.id = l.destination;
-    if (d.servers.empty()) old_dests.at(now + kept(), d.id);
+    if (d.servers.empty())
+      old_dests.at(now + kept(), d.id);
     Guard& g = whole ? d.guard : s->second.guard;
-    if (g.last_end != -kNever) return;
+    if (g.last_end != -kNever)
+      return;
     if (l.limit > 0 && (l.told || g.limit <= 0)) {
       g.limit = l.limit;
       g.told = l.told;
@@ -66,7 +71,8 @@
       g.samples = l.samples;
     }
     g.risk = std::clamp(l.risk, 0.0, 1.0);
-    if (whole && l.traffic > 0 && d.traffic.latest() == 0) d.traffic.set(now, l.traffic);
+    if (whole && l.traffic > 0 && d.traffic.latest() == 0)
+      d.traffic.set(now, l.traffic);
   }
 
   void onExperience(const Experience& p) {
@@ -74,7 +80,8 @@
       typical = p.typical;
       typical_of = p.typical_of;
     }
-    if (dead_score > 0 || p.dead_score <= 0) return;
+    if (dead_score > 0 || p.dead_score <= 0)
+      return;
     dead_score = p.dead_score;
     dead_least = p.dead_least;
     dead_at = p.dead_at;
--- a/src/decision/retention.h
+++ b/src/decision/retention.h
@@ -12,7 +12,8 @@
 
   void setState(Server& s, EndpointState state) {
     if (state == EndpointState::gone) {
-      if (s.state != state) s.gone_at = now;
+      if (s.state != state)
+        s.gone_at = now;
       old_servers.at(now + kept(), s.id);
     }
     s.state = state;
@@ -21,7 +22,8 @@
   void leave(Server& s) {
     Dest& d = *s.dest;
     d.servers.erase(std::find(d.servers.begin(), d.servers.end(), &s));
-    if (d.servers.empty()) old_dests.at(now, d.id);
+    if (d.servers.empty())
+      old_dests.at(now, d.id);
   }
 
   // Forgets what is gone once no call, message, told wait or cold period needs it, and nothing was heard of
@@ -31,12 +33,14 @@
       return g.wait_until > now || now - std::max({g.cold_since, g.last_end, used}) < kept();
     };
     const auto forget_health = [this](const Guard& g, const std::string& endpoint, std::int64_t destination) {
-      if (g.noted != -kNever) acts.push_back(Ailment{endpoint, destination, false, -kNever, 0, now});
+      if (g.noted != -kNever)
+        acts.push_back(Ailment{endpoint, destination, false, -kNever, 0, now});
     };
     std::string id;
     while (old_servers.due(now, id)) {
       const auto it = servers.find(id);
-      if (it == servers.end() || it->second.state != EndpointState::gone) continue;
+      if (it == servers.end() || it->second.state != EndpointState::gone)
+        continue;
       Server& s = it->second;
       if (s.attempts > 0 || needed(s.guard, s.gone_at)) {
         old_servers.at(now + kept(), id);
@@ -49,7 +53,8 @@
     std::int64_t number = 0;
     while (old_dests.due(now, number)) {
       const auto it = dests.find(number);
-      if (it == dests.end() || !it->second.servers.empty()) continue;
+      if (it == dests.end() || !it->second.servers.empty())
+        continue;
       if (it->second.messages > 0 || needed(it->second.guard, it->second.traffic.latest())) {
         old_dests.at(now + kept(), number);
         continue;
@@ -59,9 +64,12 @@
     }
     while (old_keys.due(now, id)) {
       const auto k = keys.find(id);
-      if (k == keys.end() || !k->second.line.empty()) continue;
-      if (now >= k->second.quiet_until) keys.erase(k);
-      else old_keys.at(k->second.quiet_until, id);
+      if (k == keys.end() || !k->second.line.empty())
+        continue;
+      if (now >= k->second.quiet_until)
+        keys.erase(k);
+      else
+        old_keys.at(k->second.quiet_until, id);
     }
   }
 };
--- a/src/decision/retune.h
+++ b/src/decision/retune.h
@@ -15,12 +15,14 @@
     const Settings old = std::exchange(set, e.settings);  // servers point at its kinds until they are moved
     classes = classesOf(set);
     least_aim = leastAim(set);
-    if (set.list != old.list) ask_at = set.list == ListMode::ask ? 0 : kNever;
+    if (set.list != old.list)
+      ask_at = set.list == ListMode::ask ? 0 : kNever;
     for (auto& [id, s] : servers) {
       const Kind* had = s.kind;
       s.kind = &plain_kind;
       for (const Kind& k : set.kinds)
-        if (had != &plain_kind && k.name == had->name) s.kind = &k;
+        if (had != &plain_kind && k.name == had->name)
+          s.kind = &k;
     }
     // Tenants keep what they have had of their share, by name.
     std::vector<int> place(old.tenants.size(), -1);
@@ -33,7 +35,8 @@
         }
     tenant_rate = std::move(rates);
     for (auto& [id, m] : messages)
-      if (m.tenant >= 0) m.tenant = place[static_cast<std::size_t>(m.tenant)];
+      if (m.tenant >= 0)
+        m.tenant = place[static_cast<std::size_t>(m.tenant)];
   }
 };
 
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -178,8 +178,10 @@
   void count(Rate& r) { r.count(now, trafficSpan()); }
 
   double usualLatency(const Server& s) const {
-    if (s.guard.samples > 0) return s.guard.usual;
-    if (s.dest->guard.samples > 0) return s.dest->guard.usual;
+    if (s.guard.samples > 0)
+      return s.guard.usual;
+    if (s.dest->guard.samples > 0)
+      return s.dest->guard.usual;
     return typical_of > 0 ? typical : least_aim / kTimeoutRatio;
   }
 };
--- a/src/decision/tags.h
+++ b/src/decision/tags.h
@@ -15,7 +15,8 @@
 
   // On arrival all global tags move so that the smallest is now: else new ones starve or rule.
   void adjustGlobalTags() {
-    if (!backlog.empty()) shift += static_cast<double>(now) - (backlog.bySecond().begin()->first + shift);
+    if (!backlog.empty())
+      shift += static_cast<double>(now) - (backlog.bySecond().begin()->first + shift);
   }
 
   double weightOf(const Dest& d) const {
@@ -26,7 +27,8 @@
   }
 
   void retag(Dest& d) {
-    if (d.tags.empty()) return backlog.drop(d.id);
+    if (d.tags.empty())
+      return backlog.drop(d.id);
     backlog.put(d.id, &d, d.tags.front().local, d.tags.front().global + d.raised);
   }
 
@@ -72,14 +74,16 @@
   void raise(Dest& d, double served) {
     const double credit = cold(d.guard) ? 0 : kSecond / weightOf(d);
     const double by = served - credit - (d.tags.front().global + d.raised);
-    if (by <= 0) return;
+    if (by <= 0)
+      return;
     d.raised += by;
     d.last_global += by;
     retag(d);
   }
 
   void dropLocalTags(Dest& d) {
-    for (Tag& t : d.tags) t.local -= d.period;
+    for (Tag& t : d.tags)
+      t.local -= d.period;
     d.last_local -= d.period;
     retag(d);
   }
@@ -95,13 +99,15 @@
   // The first from a place on where something may still leave in this turn.
   Dest* nextFrom(const Place& from) const {
     for (const bool global : {false, true}) {
-      if (global < std::get<0>(from)) continue;
+      if (global < std::get<0>(from))
+        continue;
       const auto& order = global ? backlog.bySecond() : backlog.byFirst();
       auto it = global == std::get<0>(from) ? order.lower_bound({std::get<1>(from), std::get<2>(from)})
                                             : order.begin();
       for (; it != order.end() && (global || it->first <= static_cast<double>(now)); ++it) {
         Dest* d = backlog.at(it->second);
-        if (d->blocked_in != turn && std::get<0>(placeOf(*d)) == global) return d;
+        if (d->blocked_in != turn && std::get<0>(placeOf(*d)) == global)
+          return d;
       }
     }
     return nullptr;
@@ -109,10 +115,12 @@
 
   // What a message of a tenant is worth, as far as this sender can tell: the part inside its share in full.
   double tenantFactor(int t) const {
-    if (t < 0) return 1;
+    if (t < 0)
+      return 1;
     const double quota = set.tenants[static_cast<std::size_t>(t)].quota / set.senders;
     const double rate = perSecond(tenant_rate[static_cast<std::size_t>(t)]);
-    if (quota <= 0 || rate <= quota) return 1;
+    if (quota <= 0 || rate <= quota)
+      return 1;
     return quota / rate + (1 - quota / rate) * set.over_share_worth;
   }
 
@@ -122,10 +130,12 @@
     const double age = static_cast<double>(when - m.handed_in), aim = static_cast<double>(m.aim);
     const double deadline = std::max(aim, static_cast<double>(c.deadline));
     double share = 1;
-    if (age >= deadline) return 0;
+    if (age >= deadline)
+      return 0;
     if (age > aim && set.late == LateRule::line)
       share = 1 - (1 - c.late_worth) * (age - aim) / (deadline - aim);
-    else if (age > aim) share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
+    else if (age > aim)
+      share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
     return c.worth * share * tenantFactor(m.tenant);
   }
 };
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -35,7 +35,8 @@
   connection_.reset();
   timer_.expires_after(std::chrono::microseconds(pause));
   timer_.async_wait([this, mine = ++turn_, then = std::move(then)](const boost::system::error_code& e) {
-    if (!e && mine == turn_) then();
+    if (!e && mine == turn_)
+      then();
   });
 }
 
@@ -70,21 +71,24 @@
   r.method = "GET";
   r.target = "/v1/endpoints";
   const Micros hold = silent_ || from_ < 0 ? 0 : Asking::kHold;
-  if (from_ >= 0) r.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(hold / 1000);
+  if (from_ >= 0)
+    r.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(hold / 1000);
   agent_.ask(std::move(r), hold + Asking::kSilence, [this](const HttpAnswer& a) {
     if (a.how != Exchanged::answered || a.status != 200 || !a.whole) {
       const bool turned_away = a.how == Exchanged::answered && a.status == kTurnedAway;
       silent_ = !turned_away;
       return askLater(turned_away ? asking_.afterTurnedAway() : asking_.afterBroken());
     }
-    if (a.body.size() <= kReadAtOnce) return take([&a] { return readList(json::parse(a.body)); });
+    if (a.body.size() <= kReadAtOnce)
+      return take([&a] { return readList(json::parse(a.body)); });
     // A long list is read on the worker: it would hold up the loop for its length.
     worker_.run([this, mine = asked_, body = a.body]() -> std::function<void()> {
       std::packaged_task<ListAnswer()> read([&body] { return readList(json::parse(body)); });
       read();
       const auto answer = std::make_shared<std::future<ListAnswer>>(read.get_future());
       return [this, mine, answer] {
-        if (mine == asked_) take([&answer] { return answer->get(); });
+        if (mine == asked_)
+          take([&answer] { return answer->get(); });
       };
     });
   });
@@ -110,7 +114,8 @@
 
 void Notices::owe(const std::string& id, const Notice& notice) {
   owed_.emplace_back(id, notice);
-  if (out_ == 0 && !waiting_) send();
+  if (out_ == 0 && !waiting_)
+    send();
 }
 
 void Notices::moveTo(tcp::endpoint peer, std::string host) {
@@ -121,7 +126,8 @@
 }
 
 void Notices::send() {
-  if (owed_.empty()) return;
+  if (owed_.empty())
+    return;
   out_ = std::min(owed_.size(), most_);
   HttpRequest r;
   r.method = "POST";
@@ -142,7 +148,8 @@
       most_ = 1;
       return send();
     }
-    if (unreadable) log::write(log::Event::discovery_notice_refused, {{"message", owed_.front().first}});
+    if (unreadable)
+      log::write(log::Event::discovery_notice_refused, {{"message", owed_.front().first}});
     if (!unreadable && (a.how != Exchanged::answered || a.status / 100 != 2)) {
       waiting_ = true;
       return agent_.later(kNoticePause, [this] {
@@ -154,7 +161,8 @@
       on_told_(owed_.front().first);
       owed_.pop_front();
     }
-    if (owed_.empty()) most_ = 64;
+    if (owed_.empty())
+      most_ = 64;
     send();
   });
 }
--- a/src/doors/http/messages.cpp
+++ b/src/doors/http/messages.cpp
@@ -15,8 +15,10 @@
 constexpr std::size_t kLongestBody = 65536;  // bytes, as the calls to endpoints have it
 
 int hexOf(char c) {
-  if (c >= '0' && c <= '9') return c - '0';
-  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
+  if (c >= '0' && c <= '9')
+    return c - '0';
+  if (c >= 'a' && c <= 'f')
+    return c - 'a' + 10;
   return c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
 }
 
@@ -27,7 +29,8 @@
       out.push_back(s[i]);
       continue;
     }
-    if (i + 2 >= s.size() || hexOf(s[i + 1]) < 0 || hexOf(s[i + 2]) < 0) return std::nullopt;
+    if (i + 2 >= s.size() || hexOf(s[i + 1]) < 0 || hexOf(s[i + 2]) < 0)
+      return std::nullopt;
     out.push_back(static_cast<char>(16 * hexOf(s[i + 1]) + hexOf(s[i + 2])));
     i += 2;
   }
@@ -39,7 +42,8 @@
   namespace base64 = boost::beast::detail::base64;
   static const std::string alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
   const std::size_t body = s.find_last_not_of('=') == std::string::npos ? 0 : s.find_last_not_of('=') + 1;
-  if (s.size() % 4 != 0 || s.size() - body > 2 || s.find_first_not_of(alphabet) < body) return std::nullopt;
+  if (s.size() % 4 != 0 || s.size() - body > 2 || s.find_first_not_of(alphabet) < body)
+    return std::nullopt;
   std::string out(base64::decoded_size(s.size()), '\0');
   out.resize(base64::decode(out.data(), s.data(), s.size()).first);
   return out;
@@ -47,17 +51,21 @@
 
 const std::string* field(const Fields& fields, const char* name) {
   for (const auto& [n, v] : fields)
-    if (n == name) return &v;
+    if (n == name)
+      return &v;
   return nullptr;
 }
 
-Problem unusable(const std::string& detail) { return {400, "malformed-message", detail}; }
+Problem unusable(const std::string& detail) {
+  return {400, "malformed-message", detail};
+}
 
 // What holds for a message wherever its fields stood.
 std::optional<Problem> checked(const Submission& s) {
   if (!usableToken(s.message.id) || s.message.id.empty())
     return unusable("id: 1 to 256 printable ASCII characters without spaces are expected");
-  if (s.message.message_class.empty()) return unusable("class: a name is expected");
+  if (s.message.message_class.empty())
+    return unusable("class: a name is expected");
   if (!usableToken(s.message.idempotency_key))
     return unusable("key: at most 256 printable ASCII characters without spaces are expected");
   if (s.message.order_key.size() > kLongestToken)
@@ -71,7 +79,8 @@
 
 std::int64_t wholeIn(const json& o, const char* name) {
   const json& v = grademux::field(o, name);
-  if (!v.is_number_integer() || v > 1e15) bad(std::string(name) + ": a whole number is expected");
+  if (!v.is_number_integer() || v > 1e15)
+    bad(std::string(name) + ": a whole number is expected");
   return v.get<std::int64_t>();
 }
 
@@ -87,7 +96,8 @@
       static const char* const known[] = {"id",        "class",  "destination", "deadline_ms", "key",
                                           "order_key", "repeat", "body",        "body_base64"};
       bool found = false;
-      for (const char* k : known) found = found || item.key() == k;
+      for (const char* k : known)
+        found = found || item.key() == k;
       if (!found)
         return unusable("unknown field " +
                         json(item.key()).dump(-1, ' ', true, json::error_handler_t::replace));
@@ -97,8 +107,10 @@
     s.message.message_class = text(o, "class");
     const json& destination = grademux::field(o, "destination");
     const bool named = destination.is_string() && !destination.get<std::string>().empty();
-    if (named && !wholeNumber(destination)) s.partner = destination;
-    else s.message.destination = wholeIn(o, "destination");
+    if (named && !wholeNumber(destination))
+      s.partner = destination;
+    else
+      s.message.destination = wholeIn(o, "destination");
     const std::int64_t ms = wholeIn(o, "deadline_ms");
     s.may_last = ms > 0 && ms <= kLongestLife / 1000 ? ms * 1000 : 0;
     s.message.idempotency_key = text(o, "key", "");
@@ -109,12 +121,16 @@
     s.message.body = text(o, "body", "");
     if (o.contains("body_base64")) {
       auto body = base64Decoded(text(o, "body_base64"));
-      if (!body) return unusable("body_base64: base64 (RFC 4648, section 4) is expected");
+      if (!body)
+        return unusable("body_base64: base64 (RFC 4648, section 4) is expected");
       s.message.body = std::move(*body);
     }
-    if (auto wrong = checked(s)) return *wrong;
+    if (auto wrong = checked(s))
+      return *wrong;
     return s;
-  } catch (const BadInput& e) { return unusable(e.what()); }
+  } catch (const BadInput& e) {
+    return unusable(e.what());
+  }
 }
 
 std::variant<Submission, Problem> readRaw(const std::string& id, const Fields& fields, std::string body) {
@@ -126,19 +142,24 @@
   const auto number = destination ? wholeNumber(*destination) : std::nullopt;
   if (!destination || destination->empty())
     return unusable("Grademux-Destination: a whole number or a partner's name is expected");
-  if (number) s.message.destination = *number;
-  else s.partner = *destination;
+  if (number)
+    s.message.destination = *number;
+  else
+    s.partner = *destination;
   const std::string* deadline = field(fields, "grademux-deadline-ms");
   const auto ms = deadline ? wholeNumber(*deadline) : std::nullopt;
   s.may_last = ms && *ms <= kLongestLife / 1000 ? *ms * 1000 : 0;
-  if (const std::string* key = field(fields, "idempotency-key")) s.message.idempotency_key = *key;
-  if (const std::string* key = field(fields, "grademux-order-key")) s.message.order_key = *key;
+  if (const std::string* key = field(fields, "idempotency-key"))
+    s.message.idempotency_key = *key;
+  if (const std::string* key = field(fields, "grademux-order-key"))
+    s.message.order_key = *key;
   if (const std::string* repeat = field(fields, "grademux-repeat")) {
     if (*repeat != "true" && *repeat != "false")
       return unusable("Grademux-Repeat: true or false is expected");
     s.message.repeat = *repeat == "true";
   }
-  if (auto wrong = checked(s)) return *wrong;
+  if (auto wrong = checked(s))
+    return *wrong;
   return s;
 }
 
@@ -163,14 +184,18 @@
       {"unsupported-encoding", "The transfer coding is not known here"},
       {"too-many-problems", "Too many requests that can't be used"}};
   for (const auto& [c, title] : titles)
-    if (code == c) return title;
+    if (code == c)
+      return title;
   return "The request can't be carried out";
 }
 
-std::string dumped(const json& o) { return o.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string dumped(const json& o) {
+  return o.dump(-1, ' ', false, json::error_handler_t::replace);
+}
 
 void comeBack(Response& r, json& o, Micros pause) {
-  if (pause <= 0) return;
+  if (pause <= 0)
+    return;
   const std::int64_t ms = (pause + 999) / 1000;
   o["retry_after_ms"] = ms;
   r.fields.emplace_back("Retry-After", std::to_string((ms + 999) / 1000));  // RFC 9110: whole seconds
@@ -184,7 +209,8 @@
          {"title", titleOf(p.code)},
          {"status", p.status},
          {"detail", p.detail}};
-  if (!id.empty()) o["id"] = id;
+  if (!id.empty())
+    o["id"] = id;
   comeBack(r, o, pause);
   r.body = dumped(o);
   return r;
@@ -214,7 +240,8 @@
 }  // namespace
 
 std::variant<Target, Problem> readTarget(std::string_view target) {
-  if (target == kBatch) return Target{Resource::batch, {}};
+  if (target == kBatch)
+    return Target{Resource::batch, {}};
   const std::size_t prefix = sizeof kPrefix - 1;
   if (target.substr(0, prefix) != kPrefix || target.size() == prefix)
     return Problem{404, "unknown-resource", "/v1/messages/ID and /v1/messages:batch are known"};
@@ -228,21 +255,26 @@
 }
 
 std::variant<Submission, Problem> readMessage(const std::string& id, const Fields& fields, std::string body) {
-  if (field(fields, "grademux-class")) return readRaw(id, fields, std::move(body));
+  if (field(fields, "grademux-class"))
+    return readRaw(id, fields, std::move(body));
   const std::string* type = field(fields, "content-type");
   if (type && type->substr(0, type->find(';')) != "application/json")
     return Problem{415, "unsupported-media-type",
                    "application/json is expected, or the message's own body with its fields as headers"};
   const json o = json::parse(body, nullptr, false);
-  if (!o.is_object()) return unusable("a JSON object is expected");
-  if (o.contains("id") && o["id"] != id) return unusable("id: another one than the target's");
+  if (!o.is_object())
+    return unusable("a JSON object is expected");
+  if (o.contains("id") && o["id"] != id)
+    return unusable("id: another one than the target's");
   return readDocument(o, id);
 }
 
 std::variant<Submission, Problem> readLine(const std::string& line, std::string& id) {
   const json o = json::parse(line, nullptr, false);
-  if (!o.is_object()) return unusable("a JSON object is expected");
-  if (!o.contains("id") || !o["id"].is_string()) return unusable("id: a text is expected");
+  if (!o.is_object())
+    return unusable("a JSON object is expected");
+  if (!o.contains("id") || !o["id"].is_string())
+    return unusable("id: a text is expected");
   id = o["id"].get<std::string>();
   return readDocument(o, id);
 }
@@ -253,7 +285,8 @@
     std::string item = prefer.substr(at, end - at);
     at = end + 1;
     const auto from = item.find_first_not_of(" \t");
-    if (from == std::string::npos || item.compare(from, 5, "wait=") != 0) continue;
+    if (from == std::string::npos || item.compare(from, 5, "wait=") != 0)
+      continue;
     item = item.substr(from + 5);
     item.erase(item.find_last_not_of(" \t") + 1);
     return wholeNumber(item);
@@ -264,7 +297,8 @@
 Response endOf(const std::string& id, const End& e) {
   Response r;
   json o{{"id", id}, {"state", nameOf(e.how)}, {"ended_ms", e.at / 1000}};
-  if (e.how == Ending::handed_back) comeBack(r, o, e.pause);
+  if (e.how == Ending::handed_back)
+    comeBack(r, o, e.pause);
   r.body = dumped(o);
   return r;
 }
@@ -272,7 +306,8 @@
 Response answerOf(const std::string& id, const Answer& a) {
   switch (a.kind) {
     case Answer::Kind::accepted: {
-      if (a.end) return endOf(id, *a.end);
+      if (a.end)
+        return endOf(id, *a.end);
       Response r;
       r.status = 202;
       r.body = dumped({{"id", id}, {"state", "open"}});
@@ -291,7 +326,8 @@
 }
 
 Response statusOf(const std::string& id, const Status& s) {
-  if (s.state == Status::State::ended) return endOf(id, s.end);
+  if (s.state == Status::State::ended)
+    return endOf(id, s.end);
   if (s.state == Status::State::unknown)
     return problemOf({404, "unknown-message", "it was never taken on, or ended too long ago"}, id);
   Response r;
@@ -299,7 +335,9 @@
   return r;
 }
 
-Response problemOf(const Problem& p, const std::string& id) { return problemWith(p, id, 0); }
+Response problemOf(const Problem& p, const std::string& id) {
+  return problemWith(p, id, 0);
+}
 
 Response draining(const std::string& id) {
   return problemWith({503, "draining", "nothing ran: hand it in elsewhere, or here again later"}, id,
@@ -308,7 +346,8 @@
 
 std::string lineOf(const std::string& id, const Response& r) {
   json o = json::parse(r.body);
-  if (!id.empty()) o["id"] = id;
+  if (!id.empty())
+    o["id"] = id;
   o["status"] = r.status;
   return dumped(o) + "\n";
 }
@@ -316,8 +355,10 @@
 std::string bytesOf(const Response& r, bool close, std::int64_t now) {
   std::string out = headOf(r.status, now);
   out += "Content-Type: " + r.type + "\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
-  for (const auto& [name, value] : r.fields) out += name + ": " + value + "\r\n";
-  if (close) out += "Connection: close\r\n";
+  for (const auto& [name, value] : r.fields)
+    out += name + ": " + value + "\r\n";
+  if (close)
+    out += "Connection: close\r\n";
   return out + "\r\n" + r.body;
 }
 
--- a/src/doors/http/server.cpp
+++ b/src/doors/http/server.cpp
@@ -40,7 +40,8 @@
 std::string lower(boost::beast::string_view s) {
   std::string out(s.data(), s.size());
   for (char& c : out)
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    if (c >= 'A' && c <= 'Z')
+      c = static_cast<char>(c - 'A' + 'a');
   return out;
 }
 
@@ -93,18 +94,23 @@
 
   bool mayRead() const {
     std::size_t held = writing.size();
-    for (const auto& s : slots) held += s->out.size();
-    if (held >= kOutLimit) return false;
-    if (batch) return batch->lines.size() < door.limits_.batch_window;
+    for (const auto& s : slots)
+      held += s->out.size();
+    if (held >= kOutLimit)
+      return false;
+    if (batch)
+      return batch->lines.size() < door.limits_.batch_window;
     return slots.size() < std::max<std::size_t>(1, door.limits_.pipeline);
   }
 
   void wait() {
-    if (waiting || !open || ended) return;
+    if (waiting || !open || ended)
+      return;
     waiting = true;
     socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code e) {
       self->waiting = false;
-      if (!self->open || e == asio::error::operation_aborted) return;
+      if (!self->open || e == asio::error::operation_aborted)
+        return;
       e ? self->close() : self->read();
     });
   }
@@ -112,9 +118,12 @@
   void read() {
     error_code e;
     const std::size_t n = socket.read_some(asio::buffer(door.piece_), e);
-    if (e == asio::error::would_block || e == asio::error::try_again) return wait();
-    if (e == asio::error::eof) return endOfInput();
-    if (e) return close();
+    if (e == asio::error::would_block || e == asio::error::try_again)
+      return wait();
+    if (e == asio::error::eof)
+      return endOfInput();
+    if (e)
+      return close();
     if (leaving) {
       thrown += n;
       return thrown >= kDiscard ? close() : wait();
@@ -126,31 +135,40 @@
   // A client may end its sending and still read: what it has asked for is answered.
   void endOfInput() {
     ended = true;
-    if (leaving || (slots.empty() && !write_busy)) return close();
-    if (batch && !batch->whole) return spoil({400, "malformed-request", "the batch did not come to its end"});
+    if (leaving || (slots.empty() && !write_busy))
+      return close();
+    if (batch && !batch->whole)
+      return spoil({400, "malformed-request", "the batch did not come to its end"});
     last = true;
-    for (const auto& s : slots) s->close = s == slots.back();
+    for (const auto& s : slots)
+      s->close = s == slots.back();
     flush();
   }
 
   // Takes what has come as far as the bounds allow, then waits for more.
   void go() {
     while (open && !last && mayRead() && at < in.size()) {
-      if (!step()) break;
+      if (!step())
+        break;
     }
-    if (!open) return;
+    if (!open)
+      return;
     in.erase(0, at);
     at = 0;
-    if (in.empty()) in.shrink_to_fit();
-    if (last && !leaving) in.clear();
+    if (in.empty())
+      in.shrink_to_fit();
+    if (last && !leaving)
+      in.clear();
     flush();
-    if (open && !last && mayRead()) wait();
+    if (open && !last && mayRead())
+      wait();
   }
 
   // One push of the parser. False: more bytes are needed.
   bool step() {
     if (!parser) {
-      if (in[at] == '\r' || in[at] == '\n') return ++at, true;  // RFC 9112, section 2.2
+      if (in[at] == '\r' || in[at] == '\n')
+        return ++at, true;  // RFC 9112, section 2.2
       parser.emplace();
       parser->eager(false);
       parser->header_limit(kHeaderLimit);
@@ -179,10 +197,12 @@
     }
     if (head_done) {
       const std::size_t got = sizeof piece - parser->get().body().size;
-      if (got > 0 && !takeBody(piece, got)) return false;
+      if (got > 0 && !takeBody(piece, got))
+        return false;
     } else if (parser->is_header_done()) {
       head_done = true;
-      if (!head()) return false;
+      if (!head())
+        return false;
     }
     if (n == 0 && in.size() - at > kHeaderLimit) {
       fail({431, "header-too-long", "a header, or the frame of a chunk, may have 16384 bytes"});
@@ -218,7 +238,8 @@
       return fail(tooLong()), false;
     }
     if (lower(r[http::field::expect]) == "100-continue" && !parser->is_done()) {
-      if (!batch) place();
+      if (!batch)
+        place();
       slots.back()->out.insert(0, "HTTP/1.1 100 Continue\r\n\r\n");
     }
     return true;
@@ -235,7 +256,8 @@
       takeLines(data, size);
       return open;
     }
-    if (body.size() + size > door.limits_.request_bytes) return fail(tooLong()), false;
+    if (body.size() + size > door.limits_.request_bytes)
+      return fail(tooLong()), false;
     body.append(data, size);
     return true;
   }
@@ -256,13 +278,15 @@
     placed = false;
     used = true;
     const bool keep = parser->keep_alive() && !door.away();
-    if (!keep) last = true;
+    if (!keep)
+      last = true;
     slot->close = !keep;
     if (batch) {
       const auto b = std::move(batch);
       batch = nullptr;
       parser.reset();
-      if (!b->line.empty() || b->too_long) endLine(*b);
+      if (!b->line.empty() || b->too_long)
+        endLine(*b);
       b->whole = true;
       return advance(*b);
     }
@@ -272,14 +296,17 @@
       fields.emplace_back(lower(f.name_string()), std::string(f.value().data(), f.value().size()));
     parser.reset();
     since = monotonicNow();
-    if (const auto* wrong = std::get_if<Problem>(&target)) return answer(slot, problemOf(*wrong));
+    if (const auto* wrong = std::get_if<Problem>(&target))
+      return answer(slot, problemOf(*wrong));
     const Target t = std::get<Target>(target);
-    if (t.resource == Resource::batch) return notAllowed(slot, "POST");
+    if (t.resource == Resource::batch)
+      return notAllowed(slot, "POST");
     if (method == http::verb::get) {
       slot->late = [this, id = t.id] { return statusOf(id, door.core_->status(id)); };
       return flush();
     }
-    if (method != http::verb::put) return notAllowed(slot, "GET, PUT");
+    if (method != http::verb::put)
+      return notAllowed(slot, "GET, PUT");
     put(slot, t.id, fields);
   }
 
@@ -292,8 +319,10 @@
   void put(const std::shared_ptr<Slot>& slot, const std::string& id, const Fields& fields) {
     auto read = readMessage(id, fields, std::move(body));
     body.clear();
-    if (const auto* wrong = std::get_if<Problem>(&read)) return answer(slot, problemOf(*wrong, id));
-    if (door.refuses()) return answer(slot, draining(id));
+    if (const auto* wrong = std::get_if<Problem>(&read))
+      return answer(slot, problemOf(*wrong, id));
+    if (door.refuses())
+      return answer(slot, draining(id));
     Micros patience = 0;
     for (const auto& [name, value] : fields)
       if (name == "prefer")
@@ -302,7 +331,8 @@
     auto& s = std::get<Submission>(read);
     s.door = "http";
     door.core_->submit(std::move(s), [self = shared_from_this(), slot, id, patience](const Answer& a) {
-      if (!self->open) return;
+      if (!self->open)
+        return;
       if (a.kind != Answer::Kind::accepted || a.end || patience == 0 || self->door.away())
         return self->answer(slot, answerOf(id, a));
       self->waitForEnd(slot, id, patience);
@@ -316,7 +346,8 @@
     door.core_->whenEnded(id, [self = weak_from_this(), s = std::weak_ptr<Slot>(slot), id](const End& e) {
       const auto session = self.lock();
       const auto there = s.lock();
-      if (session && there && !there->done) session->answer(there, endOf(id, e));
+      if (session && there && !there->done)
+        session->answer(there, endOf(id, e));
     });
   }
 
@@ -338,16 +369,20 @@
     for (std::size_t from = 0; from < size && open;) {
       const auto* end = static_cast<const char*>(std::memchr(data + from, '\n', size - from));
       const std::size_t upto = end ? static_cast<std::size_t>(end - data) : size;
-      if (b->line.empty() && !b->too_long) b->line_since = monotonicNow();
+      if (b->line.empty() && !b->too_long)
+        b->line_since = monotonicNow();
       if (b->line.size() + (upto - from) > door.limits_.request_bytes) {
         b->too_long = true;
         b->line.clear();
       }
-      if (!b->too_long) b->line.append(data + from, upto - from);
+      if (!b->too_long)
+        b->line.append(data + from, upto - from);
       from = upto + 1;
-      if (end) endLine(*b);
+      if (end)
+        endLine(*b);
     }
-    if (open) advance(*b);
+    if (open)
+      advance(*b);
   }
 
   void endLine(Batch& b) {
@@ -363,12 +398,16 @@
       l.out = lineOf(id, r);
       l.done = true;
     };
-    if (too_long) return done(*line, {}, problemOf(tooLong()));
+    if (too_long)
+      return done(*line, {}, problemOf(tooLong()));
     std::string id;
     auto read = readLine(text, id);
-    if (!usableToken(id)) id.clear();
-    if (const auto* wrong = std::get_if<Problem>(&read)) return done(*line, id, problemOf(*wrong));
-    if (door.refuses()) return done(*line, id, draining(id));
+    if (!usableToken(id))
+      id.clear();
+    if (const auto* wrong = std::get_if<Problem>(&read))
+      return done(*line, id, problemOf(*wrong));
+    if (door.refuses())
+      return done(*line, id, draining(id));
     auto& s = std::get<Submission>(read);
     s.door = "http";
     const auto shared = b.shared_from_this();
@@ -381,13 +420,15 @@
 
   // Moves answered lines, in order, to where they may be written.
   void advance(Batch& b) {
-    if (!open) return;
+    if (!open)
+      return;
     std::string lines;
     while (!b.lines.empty() && b.lines.front()->done) {
       lines += b.lines.front()->out;
       b.lines.pop_front();
     }
-    if (!lines.empty()) addChunk(*b.slot, lines);
+    if (!lines.empty())
+      addChunk(*b.slot, lines);
     if (b.whole && b.lines.empty() && !b.slot->done) {
       b.slot->out += "0\r\n\r\n";
       b.slot->done = true;
@@ -398,11 +439,13 @@
 
   // Reading may go on, but not from within a step of it.
   void later() {
-    if (scheduled || !open) return;
+    if (scheduled || !open)
+      return;
     scheduled = true;
     asio::post(door.io_, [self = shared_from_this()] {
       self->scheduled = false;
-      if (self->open && !self->leaving) self->go();
+      if (self->open && !self->leaving)
+        self->go();
     });
   }
   bool scheduled = false;
@@ -434,7 +477,8 @@
 
   // A request that can't be read: its answer, then the end of the connection.
   void fail(const Problem& p) {
-    if (batch) return spoil(p);
+    if (batch)
+      return spoil(p);
     const auto slot = place();
     placed = false;
     parser.reset();
@@ -444,7 +488,8 @@
   }
 
   void answer(const std::shared_ptr<Slot>& slot, const Response& r) {
-    if (!open || slot->done) return;
+    if (!open || slot->done)
+      return;
     render(slot, r);
     flush();
   }
@@ -461,7 +506,8 @@
   }
 
   void flush() {
-    if (write_busy || !open) return;
+    if (write_busy || !open)
+      return;
     bool closing = false;
     while (!slots.empty() && !closing) {
       const auto front = slots.front();
@@ -473,12 +519,14 @@
       }
       writing += first.out;
       first.out.clear();
-      if (!first.done) break;
+      if (!first.done)
+        break;
       closing = first.close;
       slots.pop_front();
       ++owed;
     }
-    if (writing.empty()) return;
+    if (writing.empty())
+      return;
     hang_up = hang_up || closing;
     write_busy = true;
     write_since = monotonicNow();
@@ -490,10 +538,13 @@
   void writeOn(std::size_t from) {
     socket.async_write_some(asio::buffer(writing.data() + from, writing.size() - from),
                             [self = shared_from_this(), from](error_code e, std::size_t n) {
-                              if (!self->open) return;
-                              if (e) return self->close();
+                              if (!self->open)
+                                return;
+                              if (e)
+                                return self->close();
                               self->write_since = monotonicNow();
-                              if (from + n < self->writing.size()) return self->writeOn(from + n);
+                              if (from + n < self->writing.size())
+                                return self->writeOn(from + n);
                               self->written();
                             });
   }
@@ -501,22 +552,29 @@
   void written() {
     write_busy = false;
     writing.clear();
-    if (writing.capacity() > kPiece) writing.shrink_to_fit();
+    if (writing.capacity() > kPiece)
+      writing.shrink_to_fit();
     door.open_ -= owed;
     owed = 0;
-    if (hang_up) return hangUp();
+    if (hang_up)
+      return hangUp();
     if (slots.empty()) {
-      if (ended) return close();
-      if (door.away() && !parser && in.empty() && nothingCame()) return hangUp();
-      if (!parser) since = monotonicNow();
+      if (ended)
+        return close();
+      if (door.away() && !parser && in.empty() && nothingCame())
+        return hangUp();
+      if (!parser)
+        since = monotonicNow();
     }
     go();
   }
 
   // Sends the end and reads on for a while: a close with input unread would take the answer with it.
   void hangUp() {
-    if (ended) return close();
-    if (leaving) return;
+    if (ended)
+      return close();
+    if (leaving)
+      return;
     error_code ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
     in.clear();
@@ -535,13 +593,17 @@
   }
   // Between requests, unless the next one has come meanwhile, which is then served first.
   void hangUpIfIdle() {
-    if (idle() && in.empty() && nothingCame()) hangUp();
+    if (idle() && in.empty() && nothingCame())
+      hangUp();
   }
 
   void checkLimit(Micros now) {
-    if (write_busy && now - write_since >= kWrite) return close();
-    if (leaving && now - leave_since >= kLeave) return close();
-    if (leaving) return;
+    if (write_busy && now - write_since >= kWrite)
+      return close();
+    if (leaving && now - leave_since >= kLeave)
+      return close();
+    if (leaving)
+      return;
     for (std::size_t i = 0; i < waits.size();) {
       const auto slot = waits[i].lock();
       if (slot && !slot->done && now < slot->wait_until) {
@@ -549,23 +611,29 @@
         continue;
       }
       waits.erase(waits.begin() + static_cast<std::ptrdiff_t>(i));
-      if (slot) tellOpen(slot);
+      if (slot)
+        tellOpen(slot);
     }
-    if (!open || last) return;
+    if (!open || last)
+      return;
     if (door.away()) {
-      if (idle() && now >= std::max(since, door.away_since_) + momentOf(number)) return hangUpIfIdle();
+      if (idle() && now >= std::max(since, door.away_since_) + momentOf(number))
+        return hangUpIfIdle();
       // A batch that goes on and on: what was read of it keeps its answers.
       if (batch && !batch->whole && now - door.away_since_ >= kSentAway)
         return spoil({503, "draining", "hand the rest in elsewhere, or here again later"});
     }
     if (idle()) {
-      if (now - since >= (used ? door.limits_.idle : kFirstByte)) hangUpIfIdle();
+      if (now - since >= (used ? door.limits_.idle : kFirstByte))
+        hangUpIfIdle();
       return;
     }
-    if (!parser) return;
+    if (!parser)
+      return;
     if (!mayRead()) {  // it is this door that keeps the request from coming on
       since = now;
-      if (batch) batch->line_since = now;
+      if (batch)
+        batch->line_since = now;
       return;
     }
     if (now - (batch ? std::max(since, batch->line_since) : since) >= kWhole) {
@@ -579,14 +647,17 @@
   }
 
   void drainNow(bool idle_too) {
-    if (idle_too && idle()) return hangUpIfIdle();
+    if (idle_too && idle())
+      return hangUpIfIdle();
     for (const auto& w : waits)  // the message is taken on, and outlasts this process
-      if (const auto slot = w.lock()) tellOpen(slot);
+      if (const auto slot = w.lock())
+        tellOpen(slot);
     waits.clear();
   }
 
   void close() {
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     door.open_ -= slots.size() + owed;
     slots.clear();
@@ -605,7 +676,8 @@
 
 HttpDoor::~HttpDoor() {
   const auto all = sessions_;
-  for (const auto& s : all) s->close();
+  for (const auto& s : all)
+    s->close();
 }
 
 void HttpDoor::start(Intake& core, const operate::State& state) {
@@ -617,10 +689,13 @@
 }
 
 void HttpDoor::accept() {
-  if (!makeRoom()) return retryAccept();  // all have a request open: newcomers wait in the backlog
+  if (!makeRoom())
+    return retryAccept();  // all have a request open: newcomers wait in the backlog
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted) return;
-    if (e) return retryAccept();  // out of descriptors, say: try again soon rather than spin
+    if (e == asio::error::operation_aborted)
+      return;
+    if (e)
+      return retryAccept();  // out of descriptors, say: try again soon rather than spin
     error_code ignored;
     s.set_option(tcp::no_delay(true), ignored);
     s.non_blocking(true, ignored);
@@ -634,17 +709,21 @@
 void HttpDoor::retryAccept() {
   pause_.expires_after(std::chrono::milliseconds(20));
   pause_.async_wait([this](error_code stopped) {
-    if (!stopped && !removed_) accept();
+    if (!stopped && !removed_)
+      accept();
   });
 }
 
 // At the limit the connection that has idled longest makes room, if for long enough.
 bool HttpDoor::makeRoom() {
-  if (sessions_.size() < limits_.connections) return true;
+  if (sessions_.size() < limits_.connections)
+    return true;
   std::shared_ptr<Session> longest;
   for (const auto& s : sessions_)
-    if (s->idle() && (!longest || s->since < longest->since)) longest = s;
-  if (!longest || monotonicNow() - longest->since < kMayClose) return false;
+    if (s->idle() && (!longest || s->since < longest->since))
+      longest = s;
+  if (!longest || monotonicNow() - longest->since < kMayClose)
+    return false;
   longest->close();
   return true;
 }
@@ -653,10 +732,12 @@
   const Micros now = monotonicNow();
   const auto all = sessions_;
   for (const auto& s : all)
-    if (s->open) s->checkLimit(now);
+    if (s->open)
+      s->checkLimit(now);
   sweeper_.expires_after(std::chrono::microseconds(kSweep));
   sweeper_.async_wait([this](error_code stopped) {
-    if (!stopped) sweep();
+    if (!stopped)
+      sweep();
   });
 }
 
@@ -669,7 +750,8 @@
     pause_.cancel();
   }
   const auto all = sessions_;
-  for (const auto& s : all) s->drainNow(how != Leaving::standby);
+  for (const auto& s : all)
+    s->drainNow(how != Leaving::standby);
 }
 
 }  // namespace grademux
--- a/src/doors/listener.cpp
+++ b/src/doors/listener.cpp
@@ -46,8 +46,10 @@
     return value;
   };
   const bool tcp = option(SO_TYPE) == SOCK_STREAM && option(SO_PROTOCOL) == IPPROTO_TCP;
-  if (!tcp) wrong("is no TCP socket");
-  if (option(SO_ACCEPTCONN) == 0) wrong("does not listen");
+  if (!tcp)
+    wrong("is no TCP socket");
+  if (option(SO_ACCEPTCONN) == 0)
+    wrong("does not listen");
   sockaddr_in own{};
   socklen_t size = sizeof own;
   if (::getsockname(passed, reinterpret_cast<sockaddr*>(&own), &size) != 0 || own.sin_family != AF_INET)
@@ -63,7 +65,8 @@
   }
   // A number of its own: whoever closes it by mistake closes no other's.
   const int fd = ::fcntl(passed, F_DUPFD_CLOEXEC, 16);
-  if (fd < 0) wrong(std::strerror(errno));
+  if (fd < 0)
+    wrong(std::strerror(errno));
   acceptor.assign(address.protocol(), fd);
   boost::system::error_code ignored;
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(kKernelBuffer), ignored);
--- a/src/doors/resp/put_request.cpp
+++ b/src/doors/resp/put_request.cpp
@@ -26,20 +26,24 @@
     const std::string item = list.substr(at, end - at);
     at = end + 1;
     const auto equals = item.find('=');
-    if (equals == std::string::npos) return "malformed list of values";
+    if (equals == std::string::npos)
+      return "malformed list of values";
     const std::string name = item.substr(0, equals), value = item.substr(equals + 1);
     std::int64_t n = 0;
     if (name == "c") {
       put.message.message_class = value;
     } else if (name == "d") {
-      if (!wholeNumber(value, n) || n > kLongestLife / kMicrosPerMilli) return "malformed d";
+      if (!wholeNumber(value, n) || n > kLongestLife / kMicrosPerMilli)
+        return "malformed d";
       put.may_last = n * kMicrosPerMilli;
       timed = true;
     } else if (name == "dest") {
       // What begins like a number is one, or wrong: partners' names don't.
       const bool named = !value.empty() && value.find_first_not_of("+-0123456789.") != std::string::npos;
-      if (named) put.partner = value;
-      else if (!wholeNumber(value, put.message.destination)) return "malformed dest";
+      if (named)
+        put.partner = value;
+      else if (!wholeNumber(value, put.message.destination))
+        return "malformed dest";
       addressed = true;
     } else if (name == "k") {
       put.message.idempotency_key = value;
@@ -47,9 +51,12 @@
       put.message.repeat = put.message.repeat || value == "1";
     }
   }
-  if (put.message.message_class.empty()) return "no class";
-  if (!timed) return "no d";
-  if (!addressed) return "no dest";
+  if (put.message.message_class.empty())
+    return "no class";
+  if (!timed)
+    return "no d";
+  if (!addressed)
+    return "no dest";
   return nullptr;
 }
 
@@ -58,13 +65,17 @@
 PutRequest readPut(std::vector<std::string>& words) {
   PutRequest put;
   TakenOn& message = put.submission.message;
-  if (words[1].find_first_not_of('0') != std::string::npos) message.order_key = words[1];
+  if (words[1].find_first_not_of('0') != std::string::npos)
+    message.order_key = words[1];
   message.id = words[2];
   message.body = std::move(words[4]);
   put.submission.door = "resp";
-  if (message.id.empty() || !usableToken(message.id)) put.error = "malformed id";
-  else if (const char* wrong = readFields(words[3], put.submission)) put.error = wrong;
-  else if (!usableToken(message.idempotency_key)) put.error = "malformed k";
+  if (message.id.empty() || !usableToken(message.id))
+    put.error = "malformed id";
+  else if (const char* wrong = readFields(words[3], put.submission))
+    put.error = wrong;
+  else if (!usableToken(message.idempotency_key))
+    put.error = "malformed k";
   return put;
 }
 
--- a/src/doors/resp/server.cpp
+++ b/src/doors/resp/server.cpp
@@ -32,25 +32,31 @@
       limits_(limits),
       read_buffer_(kReadBuffer),
       passed_listener_(passed >= 0) {
-  if (passed_listener_) takeDoor(acceptor_, passed, listen);
-  else bindDoor(acceptor_, listen);
+  if (passed_listener_)
+    takeDoor(acceptor_, passed, listen);
+  else
+    bindDoor(acceptor_, listen);
   acceptor_address_ = acceptor_.local_endpoint();
 }
 
 RespDoor::~RespDoor() {
-  for (const SessionPtr& session : sessions_) session->abandon();
+  for (const SessionPtr& session : sessions_)
+    session->abandon();
 }
 
 void RespDoor::start(Intake& core, const operate::State& state) {
   core_ = &core;
   state_ = &state;
   started_at_ = monotonicNow();
-  if (!passed_listener_) acceptor_.listen();
+  if (!passed_listener_)
+    acceptor_.listen();
   accept();
   sweep();
 }
 
-RespFacts RespDoor::facts() const { return {sessions_.size(), monotonicNow() - started_at_, sendsAway()}; }
+RespFacts RespDoor::facts() const {
+  return {sessions_.size(), monotonicNow() - started_at_, sendsAway()};
+}
 
 std::size_t RespDoor::open() const {
   return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
@@ -62,17 +68,22 @@
                                                 [&](const SessionPtr& s) { return s->phase() == phase; }));
 }
 
-std::size_t RespDoor::halfRead() const { return countIn(RespSession::Phase::partial); }
+std::size_t RespDoor::halfRead() const {
+  return countIn(RespSession::Phase::partial);
+}
 
 // ---- accepting
 
 void RespDoor::accept() {
-  if (accepting_ || paused_) return;
+  if (accepting_ || paused_)
+    return;
   accepting_ = true;
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     accepting_ = false;
-    if (error == asio::error::operation_aborted) return;
-    if (error) return acceptLater();  // out of descriptors, say: try again soon rather than spin
+    if (error == asio::error::operation_aborted)
+      return;
+    if (error)
+      return acceptLater();  // out of descriptors, say: try again soon rather than spin
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
@@ -96,8 +107,10 @@
 void RespDoor::acceptLater() {
   accept_timer_.expires_after(std::chrono::microseconds(kAcceptPause));
   accept_timer_.async_wait([this](error_code stopped) {
-    if (stopped || removed_) return;
-    if (!newcomer_) return accept();
+    if (stopped || removed_)
+      return;
+    if (!newcomer_)
+      return accept();
     const auto waiting = std::move(newcomer_);
     admit(std::move(*waiting));
   });
@@ -113,7 +126,9 @@
 
 // Guards against clients that ask once and keep their connection: those who hold it have only so many, too,
 // and what idles here is missing there.
-bool RespDoor::crowded() const { return kCrowdPart * sessions_.size() > limits_.all; }
+bool RespDoor::crowded() const {
+  return kCrowdPart * sessions_.size() > limits_.all;
+}
 
 // The session that is least in use, if it may be closed; null: there is none.
 RespDoor::SessionPtr RespDoor::leastUsed(bool closing_too) const {
@@ -121,9 +136,11 @@
   SessionPtr least;
   RespSession::Rank least_rank{RespSession::kInUse, 0};
   for (const SessionPtr& session : sessions_) {
-    if (!closing_too && session->phase() == RespSession::Phase::closing) continue;
+    if (!closing_too && session->phase() == RespSession::Phase::closing)
+      continue;
     const RespSession::Rank rank = session->rank(now);
-    if (rank >= least_rank) continue;
+    if (rank >= least_rank)
+      continue;
     least = session;
     least_rank = rank;
   }
@@ -137,10 +154,12 @@
   const std::size_t reserve = std::min(kClosingReserve, limits_.all / kClosingPart);
   const std::size_t serving = sessions_.size() - countIn(RespSession::Phase::closing);
   if (reserve > 0 && serving + reserve >= limits_.all)
-    if (const SessionPtr least = leastUsed(false)) least->closeGracefully();
+    if (const SessionPtr least = leastUsed(false))
+      least->closeGracefully();
   while (sessions_.size() >= limits_.all) {
     const SessionPtr least = leastUsed(true);
-    if (!least) return false;
+    if (!least)
+      return false;
     least->close();
   }
   return true;
@@ -152,21 +171,26 @@
   std::size_t proven = 0;
   SessionPtr longest;
   for (const SessionPtr& session : sessions_) {
-    if (!session->proven() || session->phase() == RespSession::Phase::closing) continue;
+    if (!session->proven() || session->phase() == RespSession::Phase::closing)
+      continue;
     ++proven;
     const bool longer = !longest || session->since() < longest->since();
-    if (session->phase() == RespSession::Phase::idle && longer && session->nothingCame()) longest = session;
+    if (session->phase() == RespSession::Phase::idle && longer && session->nothingCame())
+      longest = session;
   }
-  if (longest && proven >= limits_.proven) longest->closeGracefully();
+  if (longest && proven >= limits_.proven)
+    longest->closeGracefully();
 }
 
 void RespDoor::sweep() {
   const Micros now = monotonicNow();
   const auto all = sessions_;
-  for (const SessionPtr& session : all) session->checkLimit(now);
+  for (const SessionPtr& session : all)
+    session->checkLimit(now);
   sweep_timer_.expires_after(std::chrono::microseconds(kSweepPeriod));
   sweep_timer_.async_wait([this](error_code stopped) {
-    if (!stopped) sweep();
+    if (!stopped)
+      sweep();
   });
 }
 
@@ -176,7 +200,8 @@
   sent_away_at_ = monotonicNow();
   if (how == Leaving::standby) {
     const auto all = sessions_;
-    for (const SessionPtr& session : all) session->checkOutcome(sent_away_at_);
+    for (const SessionPtr& session : all)
+      session->checkOutcome(sent_away_at_);
     return;
   }
   if (how == Leaving::removed) {
@@ -201,7 +226,8 @@
   paused_ = true;
   sent_away_at_ = monotonicNow();
   stopAccepting();
-  if (const auto waiting = std::move(newcomer_)) admit(std::move(*waiting));
+  if (const auto waiting = std::move(newcomer_))
+    admit(std::move(*waiting));
   closeIdle();
 }
 
@@ -215,7 +241,8 @@
   stopAccepting();
   newcomer_ = nullptr;  // it waited in vain, and has not been read
   const auto all = sessions_;
-  for (const SessionPtr& session : all) session->finish();
+  for (const SessionPtr& session : all)
+    session->finish();
 }
 
 }  // namespace grademux
--- a/src/doors/resp/session.cpp
+++ b/src/doors/resp/session.cpp
@@ -40,19 +40,23 @@
 }
 
 void RespSession::enter(Phase phase) {
-  if (phase != Phase::partial || phase_ != phase) since_ = monotonicNow();
+  if (phase != Phase::partial || phase_ != phase)
+    since_ = monotonicNow();
   phase_ = phase;
 }
 
 void RespSession::waitToRead() {
-  if (waits_to_read_) return;
+  if (waits_to_read_)
+    return;
   waits_to_read_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
     self->waits_to_read_ = false;
     const bool reads =
         self->phase_ == Phase::idle || self->phase_ == Phase::partial || self->phase_ == Phase::closing;
-    if (!self->open_ || !reads) return;
-    if (error == asio::error::operation_aborted) return self->waitToRead();
+    if (!self->open_ || !reads)
+      return;
+    if (error == asio::error::operation_aborted)
+      return self->waitToRead();
     error ? self->close() : self->read();
   });
 }
@@ -61,8 +65,10 @@
   error_code error;
   std::vector<char>& buffer = owner_.readBuffer();
   const std::size_t size = socket_.read_some(asio::buffer(buffer), error);
-  if (error == asio::error::would_block || error == asio::error::try_again) return waitToRead();
-  if (error) return close();
+  if (error == asio::error::would_block || error == asio::error::try_again)
+    return waitToRead();
+  if (error)
+    return close();
   if (phase_ == Phase::closing) {
     discarded_ += size;
     return discarded_ >= kMostDiscarded ? close() : waitToRead();
@@ -87,7 +93,8 @@
       break;
   }
   in_.erase(0, used);
-  if (in_.empty()) in_.shrink_to_fit();
+  if (in_.empty())
+    in_.shrink_to_fit();
   run(words);
 }
 
@@ -111,26 +118,31 @@
 
 void RespSession::put(std::vector<std::string>& words) {
   PutRequest request = readPut(words);
-  if (request.error) return answer("-ERR " + *request.error + "\r\n");
+  if (request.error)
+    return answer("-ERR " + *request.error + "\r\n");
   enter(Phase::asked);
   owner_.intake().submit(std::move(request.submission), [self = shared_from_this()](const Answer& given) {
     // The connection, and the listener with it, may be gone by now.
-    if (self->open_ && self->phase_ == Phase::asked) self->answer(replyTo(given));
+    if (self->open_ && self->phase_ == Phase::asked)
+      self->answer(replyTo(given));
   });
 }
 
 void RespSession::waitForOutcome(const std::vector<std::string>& words) {
-  if (!readWait(words[2], patience_)) return answer("-ERR a whole number of milliseconds is expected\r\n");
+  if (!readWait(words[2], patience_))
+    return answer("-ERR a whole number of milliseconds is expected\r\n");
   awaited_id_ = words[1];
   enter(Phase::waiting);
   checkOutcome(monotonicNow());
 }
 
 void RespSession::checkOutcome(Micros now) {
-  if (!open_ || phase_ != Phase::waiting) return;
+  if (!open_ || phase_ != Phase::waiting)
+    return;
   const Status status = owner_.intake().status(awaited_id_);
   const bool may_wait = now - since_ < patience_ && !owner_.sendsAway();
-  if (status.state == Status::State::open && may_wait) return;
+  if (status.state == Status::State::open && may_wait)
+    return;
   answer(statusReply(status, client_.protocol));
 }
 
@@ -145,18 +157,22 @@
   out_ = reply;
   enter(Phase::writing);
   asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](error_code error, std::size_t) {
-    if (!self->open_) return;
+    if (!self->open_)
+      return;
     error ? self->close() : self->answered();
   });
 }
 
 void RespSession::answered() {
-  if (last_reply_) return closeGracefully();
+  if (last_reply_)
+    return closeGracefully();
   if (owner_.sendsAway()) {
-    if (in_.empty() && nothingCame()) return closeGracefully();
+    if (in_.empty() && nothingCame())
+      return closeGracefully();
     // Guards against clients that ask on and on over one connection and are never sent away. What they have
     // sent and was not read is theirs to send again.
-    if (monotonicNow() - owner_.sentAwayAt() >= kSentAway) return closeGracefully();
+    if (monotonicNow() - owner_.sentAwayAt() >= kSentAway)
+      return closeGracefully();
   }
   useless_requests_ > 1 ? throttle() : goOn();
 }
@@ -166,7 +182,8 @@
   const Micros pause = std::min(kMostThrottle, kThrottle << (useless_requests_ - 2));
   throttle_timer_.expires_after(std::chrono::microseconds(pause));
   throttle_timer_.async_wait([self = shared_from_this()](error_code stopped) {
-    if (!stopped && self->open_ && self->phase_ == Phase::throttled) self->goOn();
+    if (!stopped && self->open_ && self->phase_ == Phase::throttled)
+      self->goOn();
   });
 }
 
@@ -181,7 +198,8 @@
 }
 
 void RespSession::closeGracefully() {
-  if (!open_ || phase_ == Phase::closing) return;
+  if (!open_ || phase_ == Phase::closing)
+    return;
   throttle_timer_.cancel();
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -191,16 +209,20 @@
 }
 
 void RespSession::closeIfIdle() {
-  if (phase_ == Phase::idle && nothingCame()) closeGracefully();
+  if (phase_ == Phase::idle && nothingCame())
+    closeGracefully();
 }
 
 void RespSession::finish() {
-  if (phase_ == Phase::writing) last_reply_ = true;
-  else closeGracefully();
+  if (phase_ == Phase::writing)
+    last_reply_ = true;
+  else
+    closeGracefully();
 }
 
 void RespSession::close() {
-  if (!open_) return;
+  if (!open_)
+    return;
   abandon();
   owner_.closed(shared_from_this());
 }
@@ -212,7 +234,8 @@
 }
 
 void RespSession::checkLimit(Micros now) {
-  if (!open_) return;
+  if (!open_)
+    return;
   const Micros spent = now - since_;
   switch (phase_) {
     case Phase::idle:
@@ -220,10 +243,12 @@
     case Phase::partial:
       return checkPartial(now);
     case Phase::writing:
-      if (spent >= kWriteLimit) close();
+      if (spent >= kWriteLimit)
+        close();
       return;
     case Phase::closing:
-      if (spent >= kClosingLimit) close();
+      if (spent >= kClosingLimit)
+        close();
       return;
     case Phase::waiting:
       return checkOutcome(now);
@@ -238,12 +263,14 @@
     return closeIfIdle();
   const bool has_asked = useful_ || useless_requests_ > 0;
   const Micros limit = !has_asked ? kFirstByteLimit : owner_.crowded() ? kMayClose : kKeepAlive;
-  if (now - since_ >= limit) closeIfIdle();
+  if (now - since_ >= limit)
+    closeIfIdle();
 }
 
 void RespSession::checkPartial(Micros now) {
   const bool sent_away_long = owner_.sendsAway() && now - owner_.sentAwayAt() >= kLastRequestLimit;
-  if (now - since_ < kRequestLimit && !sent_away_long) return;
+  if (now - since_ < kRequestLimit && !sent_away_long)
+    return;
   socket_.cancel();
   last_reply_ = true;
   answer("-ERR the request did not come to its end\r\n");
@@ -251,12 +278,16 @@
 
 RespSession::Rank RespSession::rank(Micros now) const {
   const Micros spent = now - since_;
-  if (phase_ == Phase::asked || phase_ == Phase::writing) return {kInUse + 1, since_};
-  if (phase_ == Phase::waiting) return {kInUse - 1, since_};  // closed, it may ask again: nothing is lost
-  if (phase_ == Phase::partial && proven_) return {kInUse, since_};
+  if (phase_ == Phase::asked || phase_ == Phase::writing)
+    return {kInUse + 1, since_};
+  if (phase_ == Phase::waiting)
+    return {kInUse - 1, since_};  // closed, it may ask again: nothing is lost
+  if (phase_ == Phase::partial && proven_)
+    return {kInUse, since_};
   // A newcomer's first request is on its way: closed now, it would have failed.
   const bool useless = phase_ == Phase::closing || phase_ == Phase::throttled;
-  if (useless || !proven_) return {spent >= kNewcomer ? !useless : 4, since_};
+  if (useless || !proven_)
+    return {spent >= kNewcomer ? !useless : 4, since_};
   return {spent >= kMayClose ? 2 : 3, since_};
 }
 
--- a/src/fleet/command.cpp
+++ b/src/fleet/command.cpp
@@ -30,9 +30,11 @@
       last = a;
       over = true;
     });
-    while (!over && io.run_one() > 0) continue;
+    while (!over && io.run_one() > 0)
+      continue;
   }
-  if (!last.ok) throw std::runtime_error("the store does not answer: " + last.why);
+  if (!last.ok)
+    throw std::runtime_error("the store does not answer: " + last.why);
   return last;
 }
 
@@ -76,12 +78,14 @@
 std::string needsText(const Needs& n) {
   std::string all;
   const auto add = [&](const std::string& what, const std::string& value) {
-    if (!value.empty()) all += (all.empty() ? "" : ", ") + what + " " + value;
+    if (!value.empty())
+      all += (all.empty() ? "" : ", ") + what + " " + value;
   };
   add("program", n.program);
   add("settings", n.settings);
   add("daemon file", n.daemon);
-  if (n.list >= 0) add("list", std::to_string(n.list));
+  if (n.list >= 0)
+    add("list", std::to_string(n.list));
   return all.empty() ? "nothing" : all;
 }
 
@@ -94,15 +98,19 @@
 
 std::string planText(const Known& k) {
   const Plan& p = k.plan;
-  if (p.number == 0) return "no plan\n";
+  if (p.number == 0)
+    return "no plan\n";
   std::string text = "plan " + std::to_string(p.number) + (p.halted ? " HALTED" : "") + ", " +
                      (p.strict ? "strict" : "lenient") + ", lease " + std::to_string(p.lease / 1000) +
                      " ms, binds after " + std::to_string(p.binds_after / 1000) + " ms\n  asks for " +
                      needsText(p.needs) + "\n  by " + p.by + " at " + utcText(p.at, false) + ": " + p.why +
                      "\n";
-  for (const std::string& name : p.shut_out) text += "  shut out by word: " + name + "\n";
-  for (const auto& [name, s] : p.zones) text += "  zone " + name + " " + grademux::zones::textOf(s) + "\n";
-  for (const std::string& f : p.unknown) text += "  a field this program does not know: " + f + "\n";
+  for (const std::string& name : p.shut_out)
+    text += "  shut out by word: " + name + "\n";
+  for (const auto& [name, s] : p.zones)
+    text += "  zone " + name + " " + grademux::zones::textOf(s) + "\n";
+  for (const std::string& f : p.unknown)
+    text += "  a field this program does not know: " + f + "\n";
   const Micros binds = p.at + p.binds_after;
   if (p.strict && k.clock > 0)
     text += binds > k.clock ? "  binds in " + std::to_string((binds - k.clock) / 1'000'000) + " s\n"
@@ -117,11 +125,13 @@
   Micros lease = k.plan.number > 0 ? now.lease : 0;
   for (const Report& r : k.senders) {
     now.number = std::max({now.number, r.own.plan, r.heard});
-    if (r.own.plan <= k.plan.number) continue;
+    if (r.own.plan <= k.plan.number)
+      continue;
     lease = std::max(lease, r.lease);
     now.strict = now.strict || r.strict;
   }
-  if (lease > 0) now.lease = lease;
+  if (lease > 0)
+    now.lease = lease;
   return now;
 }
 
@@ -140,7 +150,9 @@
     a = call(where, [&](Store& s, Store::Done done) {
       s.swap(spec.planKey(), shown(next).dump(), known.changed, std::move(done));
     });
-  } catch (const std::exception& e) { lost = e.what(); }
+  } catch (const std::exception& e) {
+    lost = e.what();
+  }
   if (!a.done) {
     const Known now = look(where);
     if (digestOf(now.plan) != digestOf(next)) {
@@ -159,18 +171,25 @@
 }
 
 Plan after(const Known& k, const Change& c) {
-  if (c.why.empty()) throw std::runtime_error("--why is expected: it stands in the plan and in every trail");
+  if (c.why.empty())
+    throw std::runtime_error("--why is expected: it stands in the plan and in every trail");
   Plan next = following(latest(k), c.by.empty() ? whoAmI() : c.by, c.why, unixNow());
-  if (c.strict) next.strict = *c.strict;
-  if (c.lease) next.lease = *c.lease;
-  if (c.binds_after) next.binds_after = *c.binds_after;
-  if (c.most_shut_out) next.most_shut_out = *c.most_shut_out;
+  if (c.strict)
+    next.strict = *c.strict;
+  if (c.lease)
+    next.lease = *c.lease;
+  if (c.binds_after)
+    next.binds_after = *c.binds_after;
+  if (c.most_shut_out)
+    next.most_shut_out = *c.most_shut_out;
   return next;
 }
 
 }  // namespace
 
-std::vector<Report> reports(const Where& where) { return look(where).senders; }
+std::vector<Report> reports(const Where& where) {
+  return look(where).senders;
+}
 
 int status(const Where& where, bool as_json) {
   const Known k = look(where);
@@ -224,20 +243,26 @@
   if (!c.like.empty()) {
     const auto of =
         std::find_if(k.senders.begin(), k.senders.end(), [&](const Report& r) { return r.name == c.like; });
-    if (of == k.senders.end()) throw std::runtime_error("no sender " + c.like + " has reported");
+    if (of == k.senders.end())
+      throw std::runtime_error("no sender " + c.like + " has reported");
     next.needs.settings = of->own.settings;
     next.needs.daemon = of->own.daemon;
   }
-  if (c.settings) next.needs.settings = *c.settings;
-  if (c.daemon) next.needs.daemon = *c.daemon;
-  if (c.program) next.needs.program = *c.program;
-  if (c.list) next.needs.list = *c.list;
+  if (c.settings)
+    next.needs.settings = *c.settings;
+  if (c.daemon)
+    next.needs.daemon = *c.daemon;
+  if (c.program)
+    next.needs.program = *c.program;
+  if (c.list)
+    next.needs.list = *c.list;
   return put(where, k, next);
 }
 
 int bind(const Where& where, const Change& c) {
   const Known k = look(where);
-  if (k.plan.number == 0) throw std::runtime_error("there is no plan to bind");
+  if (k.plan.number == 0)
+    throw std::runtime_error("there is no plan to bind");
   Plan next = after(k, c);
   next.strict = true;
   return put(where, k, next);
@@ -245,7 +270,8 @@
 
 int revert(const Where& where, const Change& c, bool halt) {
   const Known k = look(where);
-  if (k.plan.number == 0) throw std::runtime_error("there is no plan to go back from");
+  if (k.plan.number == 0)
+    throw std::runtime_error("there is no plan to go back from");
   Plan next = after(k, c);
   next.needs = next.before = k.plan.before;
   next.halted = halt;
@@ -256,14 +282,16 @@
   const Known k = look(where);
   std::map<std::string, std::string> regions;
   std::map<std::string, json> all;
-  for (const auto& [name, s] : k.plan.zones) all[name] = {{"plan", shown(s)}};
+  for (const auto& [name, s] : k.plan.zones)
+    all[name] = {{"plan", shown(s)}};
   for (const Report& r : k.senders)
     for (const auto& [name, v] : r.zones) {
       json o = shown(v);
       o["live"] = r.live;
       all[name]["senders"][r.name] = std::move(o);
       const auto region = r.regions.find(name);
-      if (region != r.regions.end()) regions[name] = all[name]["region"] = region->second;
+      if (region != r.regions.end())
+        regions[name] = all[name]["region"] = region->second;
     }
   if (as_json) {
     std::cout << json(all).dump() << '\n';
@@ -275,17 +303,20 @@
               << (in_plan == k.plan.zones.end() ? "in" : grademux::zones::textOf(in_plan->second)) << '\n';
     for (const Report& r : k.senders) {
       const auto v = r.zones.find(name);
-      if (v == r.zones.end()) continue;
+      if (v == r.zones.end())
+        continue;
       const char* sees = v->second.sight == grademux::zones::Sight::failing ? "sees it fail"
                          : v->second.sight == grademux::zones::Sight::fine  ? "sees it well"
                                                                             : "can't tell";
       std::cout << "  " << r.name << (r.live ? "" : " (gone)") << ' ' << sees << ", about "
                 << v->second.traffic << " calls a second";
-      if (v->second.struck > 0) std::cout << ", " << v->second.struck << " partners struck";
+      if (v->second.struck > 0)
+        std::cout << ", " << v->second.struck << " partners struck";
       std::cout << '\n';
     }
   }
-  if (all.empty()) std::cout << "no sender has told of a zone\n";
+  if (all.empty())
+    std::cout << "no sender has told of a zone\n";
   return 0;
 }
 
@@ -296,21 +327,26 @@
   std::set<std::string> all;
   std::map<std::string, std::string> regions;
   for (const Report& r : k.senders) {
-    for (const auto& [zone, vote] : r.zones) all.insert(zone);
+    for (const auto& [zone, vote] : r.zones)
+      all.insert(zone);
     for (const auto& [zone, of] : r.regions)
       if (const auto other = regions.emplace(zone, of); !other.second && other.first->second != of)
         throw std::runtime_error("zone " + zone + " is of " + other.first->second + ", and of " + of +
                                  " at " + r.name);
   }
-  for (const auto& [zone, s] : k.plan.zones) all.insert(zone);
+  for (const auto& [zone, s] : k.plan.zones)
+    all.insert(zone);
   if (!region) {
-    if (all.count(name) == 0) throw std::runtime_error("no sender has told of a zone " + name);
+    if (all.count(name) == 0)
+      throw std::runtime_error("no sender has told of a zone " + name);
     return {name};
   }
   std::vector<std::string> zones;
   for (const auto& [zone, of] : regions)
-    if (of == name) zones.push_back(zone);
-  if (zones.empty()) throw std::runtime_error("no sender has told of a region " + name);
+    if (of == name)
+      zones.push_back(zone);
+  if (zones.empty())
+    throw std::runtime_error("no sender has told of a region " + name);
   return zones;
 }
 
@@ -330,7 +366,8 @@
       s = {};
       break;
     case ZoneWord::come_back: {
-      if (s.way != Way::out) return std::nullopt;
+      if (s.way != Way::out)
+        return std::nullopt;
       std::vector<grademux::zones::Voter> voters;
       for (const Report& r : k.senders) {
         const auto v = r.zones.find(zone);
@@ -339,7 +376,8 @@
       }
       s.carriers = grademux::zones::carriers(voters, grademux::zones::Rules(),
                                              [&](const std::string& n) { return rankOf(next.number, n); });
-      if (s.carriers.empty()) throw std::runtime_error("no sender is live");
+      if (s.carriers.empty())
+        throw std::runtime_error("no sender is live");
       s.way = Way::back;
       s.stage = 0;
       s.held = false;
@@ -357,13 +395,15 @@
 
 int zone(const Where& where, const Change& c, const std::string& name, ZoneWord word, bool region) {
   const Known k = look(where);
-  if (k.plan.number == 0) throw std::runtime_error("there is no plan yet: fleet plan propose");
+  if (k.plan.number == 0)
+    throw std::runtime_error("there is no plan yet: fleet plan propose");
   Plan next = after(k, c);
   std::string stands;
   bool applies = false, other = false;
   for (const std::string& zone : named(k, name, region)) {
     auto s = told(k, next, zone, word);
-    if (!s) continue;
+    if (!s)
+      continue;
     applies = true;
     const auto before = next.zones.find(zone);
     if (*s == (before == next.zones.end() ? grademux::zones::State() : before->second)) {
@@ -375,8 +415,10 @@
     grademux::zones::apply({{zone, *s}}, next.zones);
   }
   const std::string what = (region ? "region " : "zone ") + name;
-  if (!applies) throw std::runtime_error(what + " is not out");
-  if (!other) throw std::runtime_error(what + " stands so already: " + stands);
+  if (!applies)
+    throw std::runtime_error(what + " is not out");
+  if (!other)
+    throw std::runtime_error(what + " stands so already: " + stands);
   return put(where, k, next);
 }
 
@@ -385,11 +427,14 @@
   Plan next = after(k, c);
   const bool known =
       std::any_of(k.senders.begin(), k.senders.end(), [&](const Report& r) { return r.name == name; });
-  if (out && !known) throw std::runtime_error("no sender " + name + " has reported");
+  if (out && !known)
+    throw std::runtime_error("no sender " + name + " has reported");
   if (out == (next.shut_out.count(name) > 0))
     throw std::runtime_error(name + (out ? " is shut out already" : " is not shut out"));
-  if (out) next.shut_out.insert(name);
-  else next.shut_out.erase(name);
+  if (out)
+    next.shut_out.insert(name);
+  else
+    next.shut_out.erase(name);
   return put(where, k, next);
 }
 
--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -20,11 +20,13 @@
 std::string decoded(std::string text) {
   using namespace boost::archive::iterators;
   using Bytes = transform_width<binary_from_base64<std::string::const_iterator>, 8, 6>;
-  while (!text.empty() && text.back() == '=') text.pop_back();
+  while (!text.empty() && text.back() == '=')
+    text.pop_back();
   const std::size_t size = text.size() * 3 / 4;
   std::string out;
   Bytes at{text.cbegin()};
-  for (std::size_t i = 0; i < size; ++i, ++at) out.push_back(*at);
+  for (std::size_t i = 0; i < size; ++i, ++at)
+    out.push_back(*at);
   return out;
 }
 
@@ -47,22 +49,26 @@
 Micros dateOf(const HttpAnswer& a) {  // RFC 9110, section 5.6.7
   const std::string* told = a.field("date");
   std::tm t{};
-  if (!told || !::strptime(told->c_str(), "%a, %d %b %Y %H:%M:%S GMT", &t)) return 0;
+  if (!told || !::strptime(told->c_str(), "%a, %d %b %Y %H:%M:%S GMT", &t))
+    return 0;
   return static_cast<Micros>(::timegm(&t)) * 1'000'000;
 }
 
 std::int64_t indexOf(const HttpAnswer& a) {
   const std::string* told = a.field("x-consul-index");
   std::int64_t n = 0;
-  if (told) std::from_chars(told->data(), told->data() + told->size(), n);
+  if (told)
+    std::from_chars(told->data(), told->data() + told->size(), n);
   return std::max<std::int64_t>(0, n);
 }
 
 void readEntries(const HttpAnswer& a, Answered& to) {
   to.index = indexOf(a);
-  if (a.status == 404) return;
+  if (a.status == 404)
+    return;
   const json all = json::parse(a.body);
-  if (!all.is_array()) bad("a list of entries is expected");
+  if (!all.is_array())
+    bad("a list of entries is expected");
   for (const json& e : all) {
     Entry entry;
     entry.key = text(e, "Key");
@@ -81,8 +87,10 @@
 
 Consul::Consul(boost::asio::io_context& io, std::vector<std::string> addresses, Micros limit)
     : io_(io), addresses_(std::move(addresses)), limit_(limit) {
-  if (addresses_.empty()) throw std::invalid_argument("an address of the store is expected");
-  for (const std::string& a : addresses_) parseAddress(a);
+  if (addresses_.empty())
+    throw std::invalid_argument("an address of the store is expected");
+  for (const std::string& a : addresses_)
+    parseAddress(a);
 }
 
 void Consul::ask(Line& line, const std::string& method, const std::string& target, const std::string& body,
@@ -99,7 +107,8 @@
 }
 
 void Consul::next(Line& line) {
-  if (line.busy || line.calls.empty()) return;
+  if (line.busy || line.calls.empty())
+    return;
   line.busy = true;
   Call call = std::move(line.calls.front());
   line.calls.pop_front();
@@ -117,7 +126,9 @@
           try {
             read(a, to);
             to.ok = true;
-          } catch (const std::exception& e) { to.why = address + ": " + e.what(); }
+          } catch (const std::exception& e) {
+            to.why = address + ": " + e.what();
+          }
         } else {
           to.why = address + (a.how == Exchanged::answered
                                   ? " answers " + std::to_string(a.status) + " " + a.body.substr(0, 120)
@@ -136,7 +147,8 @@
 void Consul::read(const std::string& key, std::int64_t after, Micros wait, Done done) {
   std::string target = "/v1/kv/" + encoded(key) + "?consistent";
   const bool held = after > 0;
-  if (held) target += "&index=" + std::to_string(after) + "&wait=" + std::to_string(wait / 1000) + "ms";
+  if (held)
+    target += "&index=" + std::to_string(after) + "&wait=" + std::to_string(wait / 1000) + "ms";
   // A held answer is late by up to a sixteenth of its wait, by the specification.
   ask(held_, "GET", target, "", limit_ + (held ? wait + wait / 16 : 0), readEntries, std::move(done));
 }
@@ -160,7 +172,8 @@
   ask(
       quick_, "PUT", "/v1/session/create", o.dump(), limit_,
       [](const HttpAnswer& a, Answered& to) {
-        if (a.status != 200) bad("no session is given");
+        if (a.status != 200)
+          bad("no session is given");
         to.session = text(json::parse(a.body), "ID");
         to.done = true;
       },
