--- a/src/fleet/part.cpp
+++ b/src/fleet/part.cpp
@@ -37,7 +37,8 @@
 // The document in this file, with its check; null if there is none.
 json kept(const std::string& path, std::size_t most) {
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
-  if (fd < 0) return json();
+  if (fd < 0)
+    return json();
   std::string bytes;
   const bool read = readAll(fd, bytes, most);
   ::close(fd);
@@ -52,11 +53,14 @@
 
 std::optional<Plan> keptPlan(const std::string& path) {
   const json o = kept(path, kMostPlan);
-  if (!o.is_object() || !o.contains("plan")) return std::nullopt;
+  if (!o.is_object() || !o.contains("plan"))
+    return std::nullopt;
   try {
     Plan p = readPlan(o["plan"]);
-    if (digestOf(p) == text(o, "check", "")) return p;
-  } catch (const std::exception&) {}  // of another version, or damaged: the store knows better
+    if (digestOf(p) == text(o, "check", ""))
+      return p;
+  } catch (const std::exception&) {
+  }  // of another version, or damaged: the store knows better
   return std::nullopt;
 }
 
@@ -67,10 +71,13 @@
 
 zones::Parts keptParts(const std::string& path) {
   const json o = kept(path, kMostParts);
-  if (!o.is_object() || !o.contains("parts")) return {};
+  if (!o.is_object() || !o.contains("parts"))
+    return {};
   try {
-    if (digestOf(o["parts"].dump()) == text(o, "check", "")) return zones::readParts(o["parts"]);
-  } catch (const std::exception&) {}  // nothing is sent there then before the zone is in
+    if (digestOf(o["parts"].dump()) == text(o, "check", ""))
+      return zones::readParts(o["parts"]);
+  } catch (const std::exception&) {
+  }  // nothing is sent there then before the zone is in
   return {};
 }
 
@@ -98,11 +105,14 @@
       parts_path_(folder + "/fleet-zones"),
       desk_(spec_.name),
       parts_(keptParts(parts_path_)) {
-  if (const auto plan = keptPlan(plan_path_)) standing_.remember(*plan);
+  if (const auto plan = keptPlan(plan_path_))
+    standing_.remember(*plan);
   desk_.remember(parts_);
 }
 
-Part::~Part() { *alive_ = false; }
+Part::~Part() {
+  *alive_ = false;
+}
 
 void Part::start(const Own& own, const std::string& cause,
                  const std::map<std::uint32_t, std::string>& versions) {
@@ -116,7 +126,8 @@
   json known = json::array();
   for (const auto& [number, text] : versions)
     known.push_back({{"number", number}, {"own", json::parse(text, nullptr, false)}});
-  if (!known.empty()) record["versions"] = std::move(known);
+  if (!known.empty())
+    record["versions"] = std::move(known);
   if (!trail_->aside().empty()) {
     record["aside"] = trail_->aside();
     log::write(log::Event::fleet_trail_aside, {{"folder", trail_->aside()}});
@@ -128,13 +139,15 @@
 }
 
 void Part::leave() {
-  if (leaving_ || released_) return;
+  if (leaving_ || released_)
+    return;
   leaving_ = true;
   endSession();
 }
 
 void Part::release(const std::string& cause) {
-  if (released_) return;
+  if (released_)
+    return;
   note({{"kind", "end"},
         {"cause", cause},
         {"epoch", epoch_},
@@ -159,7 +172,8 @@
 void Part::after(Timer& timer, Micros span, std::function<void()> then) {
   timer.expires_after(std::chrono::microseconds(span));
   timer.async_wait([alive = alive_, then = std::move(then)](const boost::system::error_code& e) {
-    if (!e && *alive) then();
+    if (!e && *alive)
+      then();
   });
 }
 
@@ -178,7 +192,8 @@
   const Micros lease = std::min(standing_.acting().lease, standing_.newest().lease);
   const Micros wait = std::min(kMostWait, lease / 5);
   store_->read(spec_.planKey(), index_, wait, [this, alive = alive_, asked](const Answered& a) {
-    if (*alive) hear(a, asked);
+    if (*alive)
+      hear(a, asked);
   });
 }
 
@@ -193,7 +208,8 @@
     }
     try {
       Plan plan;
-      if (!a.entries.empty()) plan = readPlan(json::parse(a.entries[0].value));
+      if (!a.entries.empty())
+        plan = readPlan(json::parse(a.entries[0].value));
       const std::int64_t before = standing_.heardOf() ? standing_.newest().number : -1;
       if (standing_.heard(plan, asked)) {
         plan_changed_ = a.entries.empty() ? 0 : a.entries[0].changed;
@@ -209,29 +225,38 @@
         lost_ = plan.number;
         reported_.clear();
       }
-    } catch (const std::exception& e) { why = std::string("the plan can't be read: ") + e.what(); }
+    } catch (const std::exception& e) {
+      why = std::string("the plan can't be read: ") + e.what();
+    }
   }
   if (why.empty() == silent_) {  // once for each stretch
     silent_ = !why.empty();
-    if (silent_) log::write(log::Event::fleet_store_silent, {{"cause", why}});
-    else log::write(log::Event::fleet_store_answers);
+    if (silent_)
+      log::write(log::Event::fleet_store_silent, {{"cause", why}});
+    else
+      log::write(log::Event::fleet_store_answers);
     note({{"kind", silent_ ? "store silent" : "store answers"}, {"why", why}});
   }
   look();
-  if (released_) return;
-  if (!why.empty()) return after(ask_timer_, pauses_.next(kLeastPause, kMostPause), [this] { ask(); });
+  if (released_)
+    return;
+  if (!why.empty())
+    return after(ask_timer_, pauses_.next(kLeastPause, kMostPause), [this] { ask(); });
   pauses_.succeeded();
   // An answer that was not held back, for whatever reason, must not make a loop of it.
   const bool held = boottimeNow() - asked >= kLeastPause || news;
-  if (held && index_ > 0) return ask();
+  if (held && index_ > 0)
+    return ask();
   after(ask_timer_, kLeastPause, [this] { ask(); });
 }
 
 // Called when anything may have changed: what the verdict is, and what has to follow from it.
 void Part::look() {
-  if (released_) return;
+  if (released_)
+    return;
   const Own now = own();
-  if (standing_.due(now, boottimeNow())) takeOver();
+  if (standing_.due(now, boottimeNow()))
+    takeOver();
   const Standing::Verdict v = standing_.at(boottimeNow(), now);
   until_ = v.until;
   followZones();
@@ -242,11 +267,13 @@
   }
   const std::string why = v.why + (v.why.empty() || refused_.empty() ? "" : "; " + refused_);
   if (past_.empty() || past_.back().plan != now.plan || past_.back().may != may_) {
-    if (past_.size() == kPast) past_.erase(past_.begin());
+    if (past_.size() == kPast)
+      past_.erase(past_.begin());
     past_.push_back({unixNow(), now.plan, may_});
   }
   if (v.kind != kind_ || why != why_ || since_ == 0) {
-    if (v.kind != kind_) since_ = unixNow();
+    if (v.kind != kind_)
+      since_ = unixNow();
     kind_ = v.kind;
     why_ = why;
     log::write(log::Event::fleet_standing,
@@ -266,25 +293,29 @@
     haltIfTooMany();
   const Micros lease = standing_.acting().lease;
   Micros next = lease / 8;
-  if (may_ && until_ < Standing::kNever) next = std::clamp<Micros>(until_ - boottimeNow(), 1000, next);
+  if (may_ && until_ < Standing::kNever)
+    next = std::clamp<Micros>(until_ - boottimeNow(), 1000, next);
   after(look_timer_, next, [this] { look(); });
 }
 
 // On disk first: a process that comes after this one must not go back to the plan before.
 void Part::takeOver() {
   const Plan plan = standing_.newest();
-  if (taking_ == plan.number) return;
+  if (taking_ == plan.number)
+    return;
   taking_ = plan.number;
   worker_.run([this, alive = alive_, plan, path = plan_path_]() -> std::function<void()> {
     const std::string failed = replaceFile(path, planFile(plan));
     return [this, alive, plan, failed] {
-      if (!*alive) return;
+      if (!*alive)
+        return;
       taking_ = 0;
       if (!failed.empty()) {
         refused_ = "the plan can't be kept: " + failed;
         return;  // looked at again soon
       }
-      if (plan.number != standing_.newest().number && !lacks(own(), plan, spec_.name).empty()) return;
+      if (plan.number != standing_.newest().number && !lacks(own(), plan, spec_.name).empty())
+        return;
       standing_.takenOver(plan);
       refused_.clear();
       note({{"kind", "taken over"}, {"plan", plan.number}, {"own", shown(own())}});
@@ -301,7 +332,8 @@
     return;
   }
   sender_.bring_up(missing);
-  if (released_) return;
+  if (released_)
+    return;
   if (standing_.lacking(own()).empty()) {
     bringing_ = false;
     tries_.succeeded();
@@ -311,7 +343,8 @@
 }
 
 void Part::brought(const Own& own, const std::string& refused) {
-  if (released_) return;
+  if (released_)
+    return;
   const bool other = own.settings != own_.settings || own.daemon != own_.daemon;
   own_ = own;
   if (other || refused != refused_)
@@ -331,22 +364,26 @@
           [this] { halting_ = false; });
   };
   store_->list(spec_.senders(), [this, alive = alive_, plan, changed, rest](const Answered& a) {
-    if (!*alive) return;
+    if (!*alive)
+      return;
     std::vector<Report> all;
     for (const Entry& e : a.entries) {
       try {
         all.push_back(readReport(json::parse(e.value)));
         all.back().live = !e.session.empty();
-      } catch (const std::exception&) {}  // not a sender of ours
+      } catch (const std::exception&) {
+      }  // not a sender of ours
     }
     std::string names;
-    if (!a.ok || plan.number != standing_.newest().number || !tooManyBehind(plan, all, names)) return rest();
+    if (!a.ok || plan.number != standing_.newest().number || !tooManyBehind(plan, all, names))
+      return rest();
     const Plan halt =
         halting(plan, spec_.name,
                 "plan " + std::to_string(plan.number) + " would shut out too many: " + names, unixNow());
     store_->swap(spec_.planKey(), shown(halt).dump(), changed,
                  [this, alive, halt, rest](const Answered& put) {
-                   if (!*alive) return;
+                   if (!*alive)
+                     return;
                    if (put.done) {
                      log::write(log::Event::fleet_plan_halted, {{"plan", halt.number}, {"why", halt.why}});
                      note({{"kind", "halted"}, {"plan", halt.number}, {"why", halt.why}});
@@ -364,7 +401,8 @@
   desk_.leased(standing_.leased(boottimeNow()));
   zones::States now = standing_.acting().zones;
   for (const auto& [zone, s] : standing_.newest().zones)
-    if (s.way == zones::Way::out) now[zone] = s;
+    if (s.way == zones::Way::out)
+      now[zone] = s;
   if (desk_.follow(now, monotonicNow())) {
     json states = json::object();
     for (const auto& [zone, s] : now) {
@@ -382,27 +420,33 @@
 // where all have begun anew nobody would, and the return would stand still.
 void Part::keepParts() {
   zones::Parts now = desk_.parts();
-  if (now == parts_) return;
+  if (now == parts_)
+    return;
   parts_ = std::move(now);
   worker_.run([parts = parts_, path = parts_path_]() -> std::function<void()> {
     const std::string failed = replaceFile(path, partsFile(parts));
     return [failed] {
-      if (!failed.empty()) log::write(log::Event::fleet_parts_failed, {{"cause", failed}});
+      if (!failed.empty())
+        log::write(log::Event::fleet_parts_failed, {{"cause", failed}});
     };
   });
 }
 
 void Part::pulse() {
   pulse_due_ = false;
-  if (released_) return;
+  if (released_)
+    return;
   const auto changed = desk_.changed(monotonicNow());
-  if (!changed.empty()) sender_.reshow(changed);
-  if (desk_.returning()) after(zone_timer_, kPulse, [this] { pulse(); });
+  if (!changed.empty())
+    sender_.reshow(changed);
+  if (desk_.returning())
+    after(zone_timer_, kPulse, [this] { pulse(); });
 }
 
 // Few of all senders look, however many there are: a verdict needs one who writes it down.
 void Part::judge() {
-  if (released_) return;
+  if (released_)
+    return;
   after(judge_timer_, kJudge, [this] { judge(); });
   const Micros now = monotonicNow();
   desk_.sweep(now);
@@ -415,45 +459,59 @@
     return;
   const bool failing = std::any_of(votes_.begin(), votes_.end(),
                                    [](const auto& v) { return v.second.sight == zones::Sight::failing; });
-  if (!failing && !desk_.away()) return;
-  if (static_cast<double>(pauses_.within(1000)) >= 1000 * kJudges / std::max(1, sender_.senders())) return;
+  if (!failing && !desk_.away())
+    return;
+  if (static_cast<double>(pauses_.within(1000)) >= 1000 * kJudges / std::max(1, sender_.senders()))
+    return;
   judging_ = true;
   store_->list(spec_.senders(),
                [this, alive = alive_, plan = standing_.newest(), changed = plan_changed_](const Answered& a) {
-                 if (!*alive) return;
+                 if (!*alive)
+                   return;
                  judging_ = false;
-                 if (a.ok && plan.number == standing_.newest().number) judge(a, plan, changed);
+                 if (a.ok && plan.number == standing_.newest().number)
+                   judge(a, plan, changed);
                });
 }
 
 void Part::judge(const Answered& a, const Plan& plan, std::int64_t changed) {
   std::map<std::string, zones::Zone> zones;
-  for (const auto& [zone, share] : desk_.shares()) zones[zone].endpoints = share;
-  for (const auto& [zone, s] : plan.zones) zones[zone].state = s;
-  for (auto& [zone, z] : zones) z.since = monotonicNow() - desk_.since(zone);
+  for (const auto& [zone, share] : desk_.shares())
+    zones[zone].endpoints = share;
+  for (const auto& [zone, s] : plan.zones)
+    zones[zone].state = s;
+  for (auto& [zone, z] : zones)
+    z.since = monotonicNow() - desk_.since(zone);
   for (const Entry& e : a.entries) {
     try {
       const Report r = readReport(json::parse(e.value));
-      if (r.own.plan != plan.number) continue;  // what it saw, it saw under another plan
+      if (r.own.plan != plan.number)
+        continue;  // what it saw, it saw under another plan
       for (const auto& [zone, vote] : r.zones)
-        if (zones.count(zone)) zones[zone].voters.push_back({r.name, vote, !e.session.empty()});
-    } catch (const std::exception&) {}  // not a sender of ours
+        if (zones.count(zone))
+          zones[zone].voters.push_back({r.name, vote, !e.session.empty()});
+    } catch (const std::exception&) {
+    }  // not a sender of ours
   }
   const auto verdict = zones::verdict(zones, sender_.rules(),
                                       [&](const std::string& name) { return rankOf(plan.number, name); });
-  if (verdict.empty()) return;
+  if (verdict.empty())
+    return;
   std::string why;
   for (const auto& [zone, s] : verdict)
     why += (why.empty() ? "zone " : "; zone ") + zone + ": " + zones::textOf(s);
   Plan next = following(plan, spec_.name, why, unixNow());
   zones::apply(verdict, next.zones);
-  if (!refuses(plan, next).empty()) return;
+  if (!refuses(plan, next).empty())
+    return;
   judging_ = true;
   store_->swap(spec_.planKey(), shown(next).dump(), changed,
                [this, alive = alive_, next](const Answered& put) {
-                 if (!*alive) return;
+                 if (!*alive)
+                   return;
                  judging_ = false;
-                 if (put.done) note({{"kind", "verdict"}, {"plan", next.number}, {"why", next.why}});
+                 if (put.done)
+                   note({{"kind", "verdict"}, {"plan", next.number}, {"why", next.why}});
                });
 }
 
@@ -463,19 +521,25 @@
 }
 
 bool Part::begins(const CallId& id, const Endpoint& e, bool repeatable) {
-  if (!holds()) return false;
+  if (!holds())
+    return false;
   const bool may = desk_.begins(id, e, repeatable, monotonicNow());
   // The module hears at once that this endpoint has had its share for now.
   if (desk_.returning(e.zone) && !std::exchange(pulse_due_, true))
     asio::post(io_, [this, alive = alive_] {
-      if (*alive) pulse();
+      if (*alive)
+        pulse();
     });
   return may;
 }
 
-bool Part::still(const std::string& endpoint) { return holds() && desk_.still(endpoint); }
+bool Part::still(const std::string& endpoint) {
+  return holds() && desk_.still(endpoint);
+}
 
-void Part::ended(const Outcome& o) { desk_.ended(o, monotonicNow()); }
+void Part::ended(const Outcome& o) {
+  desk_.ended(o, monotonicNow());
+}
 
 // ---- the report
 
@@ -496,14 +560,16 @@
   r.zones = votes_;
   const zones::Regions& regions = sender_.rules().regions;
   for (const auto& [zone, vote] : votes_)
-    if (regions.knows(zone)) r.regions[zone] = regions.regionOf(zone);
+    if (regions.knows(zone))
+      r.regions[zone] = regions.regionOf(zone);
   return r;
 }
 
 // Whoever is shut out holds nothing: its report stays to be read, its session is gone, and a write that was
 // under way with it comes to nothing.
 void Part::publish() {
-  if (leaving_) return;
+  if (leaving_)
+    return;
   Report same = report();
   same.own.list = -1;  // a list that changes each second is no news
   const std::string text = shown(same).dump();
@@ -511,14 +577,19 @@
     publish_again_ = publish_again_ || text != reported_;
     return;
   }
-  if (text == reported_ && (kind_ == Kind::shut_out || !session_.empty())) return;
-  if (!standing_.heardOf() || silent_) return;  // when the store answers
+  if (text == reported_ && (kind_ == Kind::shut_out || !session_.empty()))
+    return;
+  if (!standing_.heardOf() || silent_)
+    return;  // when the store answers
   publishing_ = true;
   reported_ = text;
-  if (!session_.empty()) return put();
+  if (!session_.empty())
+    return put();
   store_->open("grademux " + spec_.name, spec_.session, [this, alive = alive_](const Answered& a) {
-    if (!*alive) return;
-    if (!a.ok || !a.done || leaving_) return published(false);
+    if (!*alive)
+      return;
+    if (!a.ok || !a.done || leaving_)
+      return published(false);
     session_ = a.session;
     after(renew_timer_, spec_.session / 3, [this] { renew(); });
     put();
@@ -531,13 +602,16 @@
   r.at = unixNow();
   store_->hold(spec_.senders() + spec_.name, shown(r).dump(), session_,
                [this, alive = alive_, out](const Answered& a) {
-                 if (!*alive) return;
+                 if (!*alive)
+                   return;
                  if (!a.ok) {  // done or not, and the session may be no more
                    after(renew_timer_, kLeastPause, [this] { renew(); });
                    return published(false);
                  }
-                 if (!a.done) return claim();
-                 if (out) endSession();
+                 if (!a.done)
+                   return claim();
+                 if (out)
+                   endSession();
                  published(true);
                });
 }
@@ -547,36 +621,46 @@
 void Part::claim() {
   const std::string key = spec_.senders() + spec_.name;
   store_->list(key, [this, alive = alive_, key](const Answered& a) {
-    if (!*alive) return;
+    if (!*alive)
+      return;
     for (const Entry& e : a.entries) {
-      if (e.key != key || e.session.empty() || e.session == session_) continue;
+      if (e.key != key || e.session.empty() || e.session == session_)
+        continue;
       try {
         const Report r = readReport(json::parse(e.value));
-        if (r.epoch < epoch_ || r.process == process_) store_->close(e.session, [](const Answered&) {});
-        else log::write(log::Event::fleet_name_taken, {{"name", spec_.name}, {"host", r.host}});
-      } catch (const std::exception&) {}
+        if (r.epoch < epoch_ || r.process == process_)
+          store_->close(e.session, [](const Answered&) {});
+        else
+          log::write(log::Event::fleet_name_taken, {{"name", spec_.name}, {"host", r.host}});
+      } catch (const std::exception&) {
+      }
     }
     published(false);
   });
 }
 
 void Part::endSession() {
-  if (!session_.empty()) store_->close(session_, [](const Answered&) {});
+  if (!session_.empty())
+    store_->close(session_, [](const Answered&) {});
   session_.clear();
 }
 
 void Part::published(bool kept) {
   publishing_ = false;
-  if (!kept) reported_.clear();  // looked at again soon
-  if (!kept || !publish_again_) return;
+  if (!kept)
+    reported_.clear();  // looked at again soon
+  if (!kept || !publish_again_)
+    return;
   publish_again_ = false;
   publish();
 }
 
 void Part::renew() {
-  if (session_.empty()) return;
+  if (session_.empty())
+    return;
   store_->renew(session_, [this, alive = alive_, session = session_](const Answered& a) {
-    if (!*alive || session != session_) return;
+    if (!*alive || session != session_)
+      return;
     if (a.ok && !a.done) {  // it has ended: early, or while this process stood still
       session_.clear();
       reported_.clear();
@@ -589,7 +673,9 @@
 
 // ---- the right, and what is on record
 
-bool Part::holds() { return may_ && !released_ && boottimeNow() < until_; }
+bool Part::holds() {
+  return may_ && !released_ && boottimeNow() < until_;
+}
 
 const std::string& Part::version() {
   if (version_.empty() || version_of_.list != sender_.list() ||
@@ -618,13 +704,16 @@
 }
 
 void Part::note(json record) {
-  if (!trail_) return;
-  if (paired_) record["ahead"] = ahead_;
+  if (!trail_)
+    return;
+  if (paired_)
+    record["ahead"] = ahead_;
   worker_.run(
       [trail = trail_, record = std::move(record), now = unixNow()]() mutable -> std::function<void()> {
         const bool kept = trail->write(std::move(record), now);
         return [kept] {
-          if (!kept) log::write(log::Event::fleet_trail_failed);
+          if (!kept)
+            log::write(log::Event::fleet_trail_failed);
         };
       });
 }
--- a/src/fleet/plan.cpp
+++ b/src/fleet/plan.cpp
@@ -13,10 +13,14 @@
 
 json shownNeeds(const Needs& n) {
   json o = json::object();
-  if (!n.settings.empty()) o["settings"] = n.settings;
-  if (!n.daemon.empty()) o["daemon"] = n.daemon;
-  if (!n.program.empty()) o["program"] = n.program;
-  if (n.list >= 0) o["list"] = n.list;
+  if (!n.settings.empty())
+    o["settings"] = n.settings;
+  if (!n.daemon.empty())
+    o["daemon"] = n.daemon;
+  if (!n.program.empty())
+    o["program"] = n.program;
+  if (n.list >= 0)
+    o["list"] = n.list;
   return o;
 }
 
@@ -25,7 +29,8 @@
   n.settings = text(o, "settings", "");
   n.daemon = text(o, "daemon", "");
   n.program = text(o, "program", "");
-  if (!absent(o, "list")) n.list = integer(o, "list");
+  if (!absent(o, "list"))
+    n.list = integer(o, "list");
   for (const auto& [key, value] : o.items())
     if (key != "settings" && key != "daemon" && key != "program" && key != "list")
       unknown.push_back(path + "." + key);
@@ -46,23 +51,29 @@
 }
 
 Plan readPlan(const json& o) {
-  if (!o.is_object()) bad("the plan is not an object");
+  if (!o.is_object())
+    bad("the plan is not an object");
   Plan p;
   p.number = integer(o, "number");
-  if (p.number < 1) bad("number: 1 or more is expected");
+  if (p.number < 1)
+    bad("number: 1 or more is expected");
   p.needs = readNeeds(object(o, "needs"), "needs", p.unknown);
   std::vector<std::string> past;  // what a plan that is over asked for binds nobody
   p.before = readNeeds(optionalObject(o, "before"), "before", past);
   p.strict = truth(o, "strict");
   p.lease = span(o, "lease_ms");
   p.binds_after = span(o, "binds_after_ms");
-  if (p.lease < kLeastLease || p.lease > kMostLease) bad("lease_ms: 1000 to 3600000 is expected");
-  if (p.binds_after < 0) bad("binds_after_ms: no less than 0 is expected");
+  if (p.lease < kLeastLease || p.lease > kMostLease)
+    bad("lease_ms: 1000 to 3600000 is expected");
+  if (p.binds_after < 0)
+    bad("binds_after_ms: no less than 0 is expected");
   p.most_shut_out = number(o, "most_shut_out", 0.25);
-  if (!(p.most_shut_out >= 0 && p.most_shut_out <= 1)) bad("most_shut_out: 0 to 1 is expected");
+  if (!(p.most_shut_out >= 0 && p.most_shut_out <= 1))
+    bad("most_shut_out: 0 to 1 is expected");
   if (!absent(o, "shut_out"))
     for (const json& name : array(o, "shut_out")) {
-      if (!name.is_string()) bad("shut_out: names are expected");
+      if (!name.is_string())
+        bad("shut_out: names are expected");
       p.shut_out.insert(name.get<std::string>());
     }
   p.halted = truth(o, "halted", false);
@@ -70,7 +81,8 @@
     p.zones[zone] = zones::readState(state);
   p.by = text(o, "by", "");
   p.why = text(o, "why", "");
-  if (!absent(o, "at_us")) p.at = integer(o, "at_us");
+  if (!absent(o, "at_us"))
+    p.at = integer(o, "at_us");
   for (const auto& [key, value] : o.items())
     if (std::none_of(std::begin(kFields), std::end(kFields), [&](const char* f) { return key == f; }))
       p.unknown.push_back(key);
@@ -79,7 +91,8 @@
 
 json shown(const Plan& p) {
   json states = json::object();
-  for (const auto& [zone, s] : p.zones) states[zone] = zones::shown(s);
+  for (const auto& [zone, s] : p.zones)
+    states[zone] = zones::shown(s);
   return {{"number", p.number},
           {"needs", shownNeeds(p.needs)},
           {"before", shownNeeds(p.before)},
@@ -95,7 +108,9 @@
           {"at_us", p.at}};
 }
 
-std::string digestOf(const Plan& p) { return digestOf(shown(p).dump()); }
+std::string digestOf(const Plan& p) {
+  return digestOf(shown(p).dump());
+}
 
 std::string refuses(const Plan& now, const Plan& next) {
   if (next.number != now.number + 1)
@@ -112,7 +127,8 @@
 Plan following(const Plan& now, const std::string& by, const std::string& why, Micros at) {
   Plan p = now;
   ++p.number;
-  if (!now.halted) p.before = now.needs;
+  if (!now.halted)
+    p.before = now.needs;
   p.halted = false;
   p.binds_after = std::max(now.binds_after, now.strict ? now.lease : 0);
   p.by = by;
@@ -145,13 +161,16 @@
   std::size_t i = 0, j = 0;
   const auto part = [](const std::string& s, std::size_t& at) {
     std::int64_t n = 0;
-    for (; at < s.size() && s[at] >= '0' && s[at] <= '9'; ++at) n = n * 10 + (s[at] - '0');
-    while (at < s.size() && (s[at] < '0' || s[at] > '9')) ++at;
+    for (; at < s.size() && s[at] >= '0' && s[at] <= '9'; ++at)
+      n = n * 10 + (s[at] - '0');
+    while (at < s.size() && (s[at] < '0' || s[at] > '9'))
+      ++at;
     return n;
   };
   while (i < a.size() || j < b.size()) {
     const std::int64_t x = part(a, i), y = part(b, j);
-    if (x != y) return x < y;
+    if (x != y)
+      return x < y;
   }
   return false;
 }
@@ -159,7 +178,8 @@
 std::vector<Lack> lacks(const Own& own, const Plan& plan, const std::string& name) {
   std::vector<Lack> all;
   const auto add = [&](Lack::What what, std::string says) { all.push_back({what, std::move(says)}); };
-  if (plan.shut_out.count(name)) add(Lack::What::word, "shut out by " + plan.by + ": " + plan.why);
+  if (plan.shut_out.count(name))
+    add(Lack::What::word, "shut out by " + plan.by + ": " + plan.why);
   for (const std::string& f : plan.unknown)
     add(Lack::What::field, "program " + own.program + " does not know " + f);
   const Needs& n = plan.needs;
@@ -177,14 +197,17 @@
 
 std::string textOf(const std::vector<Lack>& lacks) {
   std::string all;
-  for (const Lack& l : lacks) all += (all.empty() ? "" : "; ") + l.says;
+  for (const Lack& l : lacks)
+    all += (all.empty() ? "" : "; ") + l.says;
   return all;
 }
 
 json shown(const Report& r) {
   json past = json::array(), votes = json::object();
-  for (const auto& [zone, v] : r.zones) votes[zone] = zones::shown(v);
-  for (const Acted& a : r.past) past.push_back({a.from, a.plan, a.may});
+  for (const auto& [zone, v] : r.zones)
+    votes[zone] = zones::shown(v);
+  for (const Acted& a : r.past)
+    past.push_back({a.from, a.plan, a.may});
   json all{{"name", r.name},
            {"standing", r.standing},
            {"why", r.why},
@@ -199,11 +222,13 @@
            {"process", r.process},
            {"zones", std::move(votes)},
            {"past", std::move(past)}};
-  if (!r.regions.empty()) all["regions"] = r.regions;
+  if (!r.regions.empty())
+    all["regions"] = r.regions;
   return all;
 }
 Report readReport(const json& o) {
-  if (!o.is_object()) bad("a report is not an object");
+  if (!o.is_object())
+    bad("a report is not an object");
   Report r;
   r.name = text(o, "name");
   r.standing = text(o, "standing", "");
@@ -217,14 +242,18 @@
   r.since = absent(o, "since_us") ? 0 : integer(o, "since_us");
   r.at = absent(o, "at_us") ? 0 : integer(o, "at_us");
   r.epoch = absent(o, "epoch") ? 0 : integer(o, "epoch");
-  for (const auto& [zone, v] : optionalObject(o, "zones").items()) r.zones[zone] = zones::readVote(v);
+  for (const auto& [zone, v] : optionalObject(o, "zones").items())
+    r.zones[zone] = zones::readVote(v);
   for (const auto& [zone, region] : optionalObject(o, "regions").items()) {
-    if (!region.is_string()) bad("not a text: regions." + zone);
+    if (!region.is_string())
+      bad("not a text: regions." + zone);
     r.regions[zone] = region;
   }
-  if (absent(o, "past")) return r;
+  if (absent(o, "past"))
+    return r;
   const json& past = field(o, "past");
-  if (!past.is_array()) bad("not a list: past");
+  if (!past.is_array())
+    bad("not a list: past");
   for (const json& a : past) {
     if (!a.is_array() || a.size() != 3 || !a[0].is_number_integer() || !a[1].is_number_integer() ||
         !a[2].is_boolean())
@@ -240,13 +269,16 @@
 
 bool tooManyBehind(const Plan& plan, const std::vector<Report>& senders, std::string& names) {
   // What a halt asks for was in force: one that can't be followed either is the operator's to mend.
-  if (!plan.strict || plan.halted) return false;
+  if (!plan.strict || plan.halted)
+    return false;
   std::size_t all = 0, behind = 0;
   for (const Report& r : senders) {
     const bool out = r.standing == kShutOut && r.heard >= plan.number;  // and holds no session
-    if ((!r.live && !out) || plan.shut_out.count(r.name)) continue;     // a word is the operator's to count
+    if ((!r.live && !out) || plan.shut_out.count(r.name))
+      continue;  // a word is the operator's to count
     ++all;
-    if (r.own.plan >= plan.number || lacks(r.own, plan, r.name).empty()) continue;
+    if (r.own.plan >= plan.number || lacks(r.own, plan, r.name).empty())
+      continue;
     ++behind;
     names += (names.empty() ? "" : ", ") + r.name;
   }
--- a/src/fleet/standing.h
+++ b/src/fleet/standing.h
@@ -72,7 +72,8 @@
       newest_ = plan;
       met_ = asked;
     }
-    if (!known_ && plan.number == 0) acting_ = plan;
+    if (!known_ && plan.number == 0)
+      acting_ = plan;
     known_ = true;
     return true;
   }
@@ -92,11 +93,14 @@
   }
   // `number`: of the newest at the time at which it was written.
   void takenOver(const Plan& plan) {
-    if (plan.number <= acting_.number || plan.number > newest_.number) return;
+    if (plan.number <= acting_.number || plan.number > newest_.number)
+      return;
     acting_ = plan;
     // Shown by the last read, if that was it; else a newer one is known, and its lease is the one before.
-    if (plan.number == newest_.number) fresh_ = answered_;
-    else behind_for_ = std::min(behind_for_, plan.lease);
+    if (plan.number == newest_.number)
+      fresh_ = answered_;
+    else
+      behind_for_ = std::min(behind_for_, plan.lease);
   }
 
   Verdict at(Micros now, const Own& own) const {
@@ -120,14 +124,20 @@
     const bool silent = now - answered_ > acting_.lease / 2;
     v.may = now < ends;
     v.until = ends;
-    if (!v.may) v.kind = Kind::shut_out;
-    else if (silent || !lost_.empty()) v.kind = Kind::unknown;
-    else v.kind = behind || astray ? Kind::catching_up : Kind::current;
-    if (!missing.empty()) v.why = "plan " + std::to_string(newest_.number) + ": " + missing;
-    else if (!lost_.empty()) v.why = lost_;
+    if (!v.may)
+      v.kind = Kind::shut_out;
+    else if (silent || !lost_.empty())
+      v.kind = Kind::unknown;
+    else
+      v.kind = behind || astray ? Kind::catching_up : Kind::current;
+    if (!missing.empty())
+      v.why = "plan " + std::to_string(newest_.number) + ": " + missing;
+    else if (!lost_.empty())
+      v.why = lost_;
     else if (silent)
       v.why = answered_ == kLong ? "the store has not answered since the start" : "the store does not answer";
-    else if (behind) v.why = "plan " + std::to_string(newest_.number) + " is being taken over";
+    else if (behind)
+      v.why = "plan " + std::to_string(newest_.number) + " is being taken over";
     return v;
   }
 
@@ -140,7 +150,8 @@
   // The share of the time that a sender which is behind has to follow the newest plan, from when it heard of
   // it and however it stood before: 0 to 1; 0 where it will not be shut out.
   double gone(Micros now) const {
-    if (!known_ || !newest_.strict || newest_.number == acting_.number) return 0;
+    if (!known_ || !newest_.strict || newest_.number == acting_.number)
+      return 0;
     const Micros from = std::max(fresh_, met_);
     return std::min(1.0, static_cast<double>(now - from) / static_cast<double>(less(behind_for_)));
   }
--- a/src/handover/giver.cpp
+++ b/src/handover/giver.cpp
@@ -28,12 +28,14 @@
 }
 
 Giver::~Giver() {
-  if (steps_.decides()) ::unlink(channelIn(folder_fd_).path().c_str());
+  if (steps_.decides())
+    ::unlink(channelIn(folder_fd_).path().c_str());
 }
 
 void Giver::accept() {
   acceptor_.async_accept([this](boost::system::error_code e, LineSocket::Socket s) {
-    if (e) return;
+    if (e)
+      return;
     if (other_) {
       LineSocket busy(
           std::move(s), [](const Message&) {}, nullptr);
@@ -50,23 +52,29 @@
 void Giver::hear(const Message& m) {
   if (const auto* take = std::get_if<Take>(&m)) {
     std::string why = owner_.refuses();
-    if (take->version != kVersion) why = "version " + std::to_string(kVersion) + " of this channel is known";
-    if (!why.empty() || !steps_.asked()) return other_->say(Refused{why.empty() ? "asked already" : why});
+    if (take->version != kVersion)
+      why = "version " + std::to_string(kVersion) + " of this channel is known";
+    if (!why.empty() || !steps_.asked())
+      return other_->say(Refused{why.empty() ? "asked already" : why});
     owner_.close();
     awaitQuiet(monotonicNow());
   } else if (std::get_if<Taken>(&m)) {
-    if (steps_.taken()) owner_.left();
+    if (steps_.taken())
+      owner_.left();
   } else if (const auto* cancel = std::get_if<CancelCall>(&m)) {
-    if (!steps_.decides()) owner_.cancel(cancel->call);
+    if (!steps_.decides())
+      owner_.cancel(cancel->call);
   }
 }
 
 void Giver::awaitQuiet(Micros since) {
-  if (steps_.step() != Step::closing) return;
+  if (steps_.step() != Step::closing)
+    return;
   if (!owner_.quiet() && monotonicNow() - since < kQuiet) {
     timer_.expires_after(std::chrono::microseconds(kLook));
     timer_.async_wait([this, since](boost::system::error_code e) {
-      if (!e) awaitQuiet(since);
+      if (!e)
+        awaitQuiet(since);
     });
     return;
   }
@@ -76,14 +84,17 @@
 }
 
 void Giver::ended(const Outcome& o) {
-  if (other_) other_->say(Ended{o});
+  if (other_)
+    other_->say(Ended{o});
 }
 
 void Giver::gone() {
   other_.reset();
   if (steps_.gone(owner_.own_again)) {
-    if (steps_.decides()) owner_.resume();
-    else owner_.left();
+    if (steps_.decides())
+      owner_.resume();
+    else
+      owner_.left();
   }
 }
 
--- a/src/handover/inherited_calls.h
+++ b/src/handover/inherited_calls.h
@@ -21,7 +21,8 @@
 
   // One is over. What is not among them is no business of this process any more.
   void ended(const Outcome& o) {
-    if (out_.erase({o.id, o.attempt}) > 0) on_outcome_(o);
+    if (out_.erase({o.id, o.attempt}) > 0)
+      on_outcome_(o);
   }
   // The earlier process is gone: what it had out may have run.
   void gone() {
@@ -45,8 +46,10 @@
   void withhold(const std::string& endpoint) override { transport_.withhold(endpoint); }
   void call(const CallRequest& request) override { transport_.call(request); }
   void cancel(const std::string& id, int attempt) override {
-    if (out_.count({id, attempt})) say_(CancelCall{{id, attempt}});
-    else transport_.cancel(id, attempt);
+    if (out_.count({id, attempt}))
+      say_(CancelCall{{id, attempt}});
+    else
+      transport_.cancel(id, attempt);
   }
   void closeIdle(const std::string& endpoint) override { transport_.closeIdle(endpoint); }
   std::size_t out() const override { return transport_.out() + out_.size(); }
--- a/src/handover/line_socket.cpp
+++ b/src/handover/line_socket.cpp
@@ -24,8 +24,10 @@
 
   void read() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open) return;
-      if (e) return self->end();
+      if (!self->open)
+        return;
+      if (e)
+        return self->end();
       self->in.append(self->piece.data(), n);
       self->take();
     });
@@ -39,34 +41,45 @@
       try {
         const Message m = readMessage(line);
         heard(m);
-      } catch (const BadInput&) { return end(); }
+      } catch (const BadInput&) {
+        return end();
+      }
     }
-    if (!open) return;
+    if (!open)
+      return;
     in.erase(0, from);
-    if (in.size() > kLongest) return end();
+    if (in.size() > kLongest)
+      return end();
     read();
   }
 
   void write() {
-    if (writing) return;
-    if (out.empty()) out.swap(next);
-    if (out.empty()) return;
+    if (writing)
+      return;
+    if (out.empty())
+      out.swap(next);
+    if (out.empty())
+      return;
     writing = true;
     socket.async_write_some(asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t n) {
       self->writing = false;
-      if (!self->open) return;
-      if (e) return self->end();
+      if (!self->open)
+        return;
+      if (e)
+        return self->end();
       self->out.erase(0, n);
       self->write();
     });
   }
 
   void end() {
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     error_code ignored;
     socket.close(ignored);
-    if (over) over();
+    if (over)
+      over();
   }
 };
 
@@ -82,12 +95,15 @@
 }
 
 void LineSocket::say(const Message& m) {
-  if (!state_->open) return;
+  if (!state_->open)
+    return;
   state_->next += lineOf(m);
   state_->write();
 }
 
-bool LineSocket::unsaid() const { return state_->open && !(state_->out.empty() && state_->next.empty()); }
+bool LineSocket::unsaid() const {
+  return state_->open && !(state_->out.empty() && state_->next.empty());
+}
 
 asio::local::stream_protocol::endpoint channelIn(int folder_fd) {
   return {"/proc/self/fd/" + std::to_string(folder_fd) + "/handover"};
--- a/src/handover/messages.cpp
+++ b/src/handover/messages.cpp
@@ -7,7 +7,9 @@
 
 namespace {
 
-json idOf(const CallId& c) { return json::array({c.first, c.second}); }
+json idOf(const CallId& c) {
+  return json::array({c.first, c.second});
+}
 
 CallId readId(const json& j) {
   if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer())
@@ -22,7 +24,8 @@
   json operator()(const Refused& m) const { return {{"refused", {{"why", m.why}}}}; }
   json operator()(const Given& m) const {
     json out = json::array();
-    for (const CallId& c : m.out) out.push_back(idOf(c));
+    for (const CallId& c : m.out)
+      out.push_back(idOf(c));
     return {{"given", {{"standby", m.standby}, {"out", std::move(out)}}}};
   }
   json operator()(const Ended& m) const {
@@ -33,7 +36,8 @@
            {"wait", o.wait},
            {"rtt", o.rtt},
            {"stale", o.stale}};
-    if (o.report) j["report"] = {{"left", o.report->left}, {"limit", o.report->limit}};
+    if (o.report)
+      j["report"] = {{"left", o.report->left}, {"limit", o.report->limit}};
     return {{"ended", std::move(j)}};
   }
 };
@@ -42,7 +46,8 @@
   Outcome o;
   std::tie(o.id, o.attempt) = readId(field(j, "call"));
   const std::int64_t result = integer(j, "result");
-  if (result < 0 || result > static_cast<std::int64_t>(Result::not_sent)) bad("unknown result");
+  if (result < 0 || result > static_cast<std::int64_t>(Result::not_sent))
+    bad("unknown result");
   o.result = static_cast<Result>(result);
   o.finished = truth(j, "finished");
   o.wait = integer(j, "wait");
@@ -63,18 +68,26 @@
 
 Message readMessage(const std::string& line) {
   const json j = json::parse(line, nullptr, false);
-  if (!j.is_object() || j.size() != 1) bad("one message is expected");
+  if (!j.is_object() || j.size() != 1)
+    bad("one message is expected");
   const std::string kind = j.begin().key();
   const json& m = object(j, kind.c_str());
-  if (kind == "take") return Take{integer(m, "version")};
-  if (kind == "taken") return Taken{};
-  if (kind == "cancel") return CancelCall{readId(field(m, "call"))};
-  if (kind == "refused") return Refused{text(m, "why")};
-  if (kind == "ended") return Ended{readOutcome(m)};
-  if (kind != "given") bad("unknown message: " + kind);
+  if (kind == "take")
+    return Take{integer(m, "version")};
+  if (kind == "taken")
+    return Taken{};
+  if (kind == "cancel")
+    return CancelCall{readId(field(m, "call"))};
+  if (kind == "refused")
+    return Refused{text(m, "why")};
+  if (kind == "ended")
+    return Ended{readOutcome(m)};
+  if (kind != "given")
+    bad("unknown message: " + kind);
   Given g;
   g.standby = truth(m, "standby");
-  for (const json& c : array(m, "out")) g.out.push_back(readId(c));
+  for (const json& c : array(m, "out"))
+    g.out.push_back(readId(c));
   return g;
 }
 
--- a/src/handover/steps.h
+++ b/src/handover/steps.h
@@ -24,14 +24,17 @@
   // since it was given, and it is owned again; asked where the step is `given` alone.
   template <class Unchanged>
   bool gone(const Unchanged& unchanged) {
-    if (step_ == Step::closing) return go(Step::closing, Step::owns);
-    if (step_ != Step::given) return false;
+    if (step_ == Step::closing)
+      return go(Step::closing, Step::owns);
+    if (step_ != Step::given)
+      return false;
     return unchanged() ? go(Step::given, Step::owns) : go(Step::given, Step::left);
   }
 
  private:
   bool go(Step from, Step to) {
-    if (step_ != from) return false;
+    if (step_ != from)
+      return false;
     step_ = to;
     return true;
   }
--- a/src/handover/taker.cpp
+++ b/src/handover/taker.cpp
@@ -33,16 +33,21 @@
 void Taker::later(Micros pause) {
   timer_.expires_after(std::chrono::microseconds(pause));
   timer_.async_wait([this](boost::system::error_code e) {
-    if (!e) go();
+    if (!e)
+      go();
   });
 }
 
 void Taker::go() {
-  if (owns_) return;
-  if (lock_.take()) return own(given_ ? &*given_ : nullptr);
+  if (owns_)
+    return;
+  if (lock_.take())
+    return own(given_ ? &*given_ : nullptr);
   const Micros now = monotonicNow();
-  if (now >= until_) return failed_(why_);
-  if (given_) return later(kFreed);
+  if (now >= until_)
+    return failed_(why_);
+  if (given_)
+    return later(kFreed);
   if (asked_ && now >= answer_by_) {  // it hangs, or is of a version that knows nothing of this
     other_.reset();
     asked_ = false;
@@ -58,7 +63,8 @@
             boost::asio::post(io_, [this] {
               other_.reset();
               asked_ = false;
-              if (owns_) gone_();
+              if (owns_)
+                gone_();
             });
           });
       asked_ = false;
@@ -77,12 +83,15 @@
     why_ = refused->why;
     asked_ = false;
   } else if (const auto* given = std::get_if<Given>(&m)) {
-    if (owns_ || given_) return;
+    if (owns_ || given_)
+      return;
     given_ = *given;
     boost::asio::post(io_, [this] { go(); });
   } else if (const auto* ended = std::get_if<handover::Ended>(&m)) {
-    if (owns_) ended_(ended->outcome);
-    else early_.push_back(ended->outcome);
+    if (owns_)
+      ended_(ended->outcome);
+    else
+      early_.push_back(ended->outcome);
   }
 }
 
@@ -90,9 +99,11 @@
   owns_ = true;
   timer_.cancel();
   owned_(given);
-  for (const Outcome& o : early_) ended_(o);
+  for (const Outcome& o : early_)
+    ended_(o);
   early_.clear();
-  if (given && !other_) gone_();
+  if (given && !other_)
+    gone_();
 }
 
 }  // namespace grademux::handover
--- a/src/handover/taker.h
+++ b/src/handover/taker.h
@@ -30,7 +30,8 @@
   // Asks, and goes on asking for so long (microseconds).
   void begin(Micros patience);
   void say(const Message& m) {
-    if (other_) other_->say(m);
+    if (other_)
+      other_->say(m);
   }
   // It is on record that this process owns the folder.
   void taken() { say(Taken{}); }
--- a/src/knowledge/ageing.cpp
+++ b/src/knowledge/ageing.cpp
@@ -21,18 +21,22 @@
 
 double trust(Micros learned, Micros now, Trust of) {
   const Micros age = now - learned;
-  if (learned <= 0 || age < -kClockSlack || age > of.bound) return 0;
+  if (learned <= 0 || age < -kClockSlack || age > of.bound)
+    return 0;
   return std::exp2(-static_cast<double>(std::max<Micros>(0, age)) / static_cast<double>(of.half_life));
 }
 
 Lesson aged(const Lesson& lesson, Micros now) {
   Lesson l = lesson;
   const double limit = trusted(l.heard, now, kLimitTrust);
-  if (limit == 0) l.limit = 0;
+  if (limit == 0)
+    l.limit = 0;
   l.told = l.told && limit >= kToldTrust;
-  if (l.limit <= 0 || trusted(l.heard, now, kPartTrust) == 0) l.part = 0;
+  if (l.limit <= 0 || trusted(l.heard, now, kPartTrust) == 0)
+    l.part = 0;
   l.samples = std::min(l.samples, static_cast<int>(kMostSamples * trusted(l.heard, now, kLatencyTrust)));
-  if (l.samples <= 0) l.samples = 0, l.usual = 0;
+  if (l.samples <= 0)
+    l.samples = 0, l.usual = 0;
   l.risk *= trusted(l.heard, now, kRiskTrust);
   l.traffic *= trusted(l.came, now, kTrafficTrust);
   return l;
@@ -41,10 +45,12 @@
 Experience aged(const Experience& pool, Micros now) {
   Experience p = pool;
   p.dead_score *= trusted(p.dead_at, now, kPoolTrust);
-  if (p.dead_score <= 0) p.dead_least = p.dead_at = 0;
+  if (p.dead_score <= 0)
+    p.dead_least = p.dead_at = 0;
   p.typical_of =
       std::min(p.typical_of, static_cast<int>(kMostSamples * trusted(p.heard, now, kLatencyTrust)));
-  if (p.typical_of <= 0) p.typical_of = 0, p.typical = 0;
+  if (p.typical_of <= 0)
+    p.typical_of = 0, p.typical = 0;
   return p;
 }
 
@@ -53,7 +59,8 @@
   const Micros told = std::min(a.noted, now);
   a.wait_until = told + wait > now ? told + wait : 0;
   const Micros age = now - a.cold_since;
-  if (age < 0) a.cold_since = now;
+  if (age < 0)
+    a.cold_since = now;
   if (a.down && age > kAilmentBound) {
     a.down = false;
     a.cold_since = now;
--- a/src/knowledge/book.cpp
+++ b/src/knowledge/book.cpp
@@ -25,7 +25,8 @@
 constexpr const char* kWhat = "grademux knowledge";
 
 void number(std::string& out, std::uint64_t n, int bytes) {
-  for (int i = 0; i < bytes; ++i) out.push_back(static_cast<char>(n >> (8 * i) & 0xff));
+  for (int i = 0; i < bytes; ++i)
+    out.push_back(static_cast<char>(n >> (8 * i) & 0xff));
 }
 std::uint64_t numberAt(const std::string& in, std::size_t at, int bytes) {
   std::uint64_t n = 0;
@@ -47,29 +48,43 @@
 template <class T>
 T value(const json& j, const char* name, T otherwise) {
   const auto at = j.find(name);
-  if (at == j.end()) return otherwise;
-  if constexpr (std::is_same_v<T, std::string>) return at->is_string() ? at->get<std::string>() : otherwise;
-  else if constexpr (std::is_same_v<T, bool>) return at->is_boolean() ? at->get<bool>() : otherwise;
+  if (at == j.end())
+    return otherwise;
+  if constexpr (std::is_same_v<T, std::string>)
+    return at->is_string() ? at->get<std::string>() : otherwise;
+  else if constexpr (std::is_same_v<T, bool>)
+    return at->is_boolean() ? at->get<bool>() : otherwise;
   else if constexpr (std::is_floating_point_v<T>) {
     const double d = at->is_number() ? at->get<double>() : otherwise;
     return std::isfinite(d) && d >= 0 ? d : otherwise;
-  } else return at->is_number_integer() ? at->get<T>() : otherwise;
+  } else
+    return at->is_number_integer() ? at->get<T>() : otherwise;
 }
 
 // A moment, or a span: never before 1970, so that differences fit.
-Micros moment(const json& j, const char* name) { return std::max<Micros>(0, value<Micros>(j, name, 0)); }
+Micros moment(const json& j, const char* name) {
+  return std::max<Micros>(0, value<Micros>(j, name, 0));
+}
 
 json shown(const Known& k) {
   const Lesson& l = k.lesson;
   json j = {{"d", l.destination}, {"heard", l.heard}};
-  if (!l.endpoint.empty()) j["e"] = l.endpoint;
-  if (!k.address.empty()) j["at"] = k.address;
-  if (l.limit > 0) j["limit"] = l.limit;
-  if (l.told) j["told"] = true;
-  if (l.part > 0) j["part"] = l.part;
-  if (l.samples > 0) j["usual"] = l.usual, j["n"] = l.samples;
-  if (l.risk > 0) j["risk"] = l.risk;
-  if (l.traffic > 0) j["traffic"] = l.traffic, j["came"] = l.came;
+  if (!l.endpoint.empty())
+    j["e"] = l.endpoint;
+  if (!k.address.empty())
+    j["at"] = k.address;
+  if (l.limit > 0)
+    j["limit"] = l.limit;
+  if (l.told)
+    j["told"] = true;
+  if (l.part > 0)
+    j["part"] = l.part;
+  if (l.samples > 0)
+    j["usual"] = l.usual, j["n"] = l.samples;
+  if (l.risk > 0)
+    j["risk"] = l.risk;
+  if (l.traffic > 0)
+    j["traffic"] = l.traffic, j["came"] = l.came;
   return j;
 }
 
@@ -116,14 +131,16 @@
               {"written", book.written},
               {"pool", shown(book.pool)}});
   std::vector<const Known*> newest;
-  for (const Known& k : book.known) newest.push_back(&k);
+  for (const Known& k : book.known)
+    newest.push_back(&k);
   const auto at = [](const Known* k) { return std::max(k->lesson.heard, k->lesson.came); };
   std::stable_sort(newest.begin(), newest.end(), [&](auto* a, auto* b) { return at(a) > at(b); });
   left_out = 0;
   for (std::size_t i = 0; i < newest.size(); ++i) {
     const std::size_t before = out.size();
     frame(out, shown(*newest[i]));
-    if (out.size() <= most_bytes) continue;
+    if (out.size() <= most_bytes)
+      continue;
     out.resize(before);
     left_out = newest.size() - i;
     break;
@@ -149,7 +166,8 @@
         sound ? json::from_msgpack(payload, payload + size, true, false) : json(json::value_t::discarded);
     if (!j.is_object()) {
       ++r.damaged;
-      if (!head) break;
+      if (!head)
+        break;
       continue;
     }
     if (head) {
@@ -160,16 +178,20 @@
     r.book.sender = value<std::string>(j, "sender", "");
     r.book.written = moment(j, "written");
     const int form = value<int>(j, "form", 0);
-    if (value<std::string>(j, "what", "") != kWhat) r.refused = "not a file of knowledge";
+    if (value<std::string>(j, "what", "") != kWhat)
+      r.refused = "not a file of knowledge";
     else if (form != kForm)
       r.refused = "it has form " + std::to_string(form) + ", " + std::to_string(kForm) + " is read here";
     else if (!sender.empty() && r.book.sender != sender)
       r.refused = "it is of " + r.book.sender + ", this is " + sender;
-    if (!r.refused.empty()) return r;
+    if (!r.refused.empty())
+      return r;
     const auto pool = j.find("pool");
-    if (pool != j.end() && pool->is_object()) r.book.pool = experienceOf(*pool);
+    if (pool != j.end() && pool->is_object())
+      r.book.pool = experienceOf(*pool);
   }
-  if (!head) r.refused = bytes.empty() ? "it is empty" : "its head is damaged";
+  if (!head)
+    r.refused = bytes.empty() ? "it is empty" : "its head is damaged";
   return r;
 }
 
@@ -178,11 +200,13 @@
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) {
     r.there = errno != ENOENT;
-    if (r.there) r.refused = std::strerror(errno);
+    if (r.there)
+      r.refused = std::strerror(errno);
     return r;
   }
   std::string bytes;
-  if (!readAll(fd, bytes, kMostFile)) r.refused = std::strerror(errno);
+  if (!readAll(fd, bytes, kMostFile))
+    r.refused = std::strerror(errno);
   ::close(fd);
   r.there = true;
   return r.refused.empty() ? decode(bytes, sender) : r;
--- a/src/knowledge/command.cpp
+++ b/src/knowledge/command.cpp
@@ -25,15 +25,21 @@
 constexpr int kUnusable = 2;
 
 std::string since(Micros at, Micros now) {
-  if (at <= 0) return "-";
+  if (at <= 0)
+    return "-";
   const double s = static_cast<double>(now - at) / 1e6;
   std::ostringstream out;
   out << std::fixed << std::setprecision(0);
-  if (s < 0) out << "ahead";
-  else if (s < 120) out << s << " s";
-  else if (s < 7200) out << s / 60 << " min";
-  else if (s < 48 * 3600) out << s / 3600 << " h";
-  else out << s / 86400 << " d";
+  if (s < 0)
+    out << "ahead";
+  else if (s < 120)
+    out << s << " s";
+  else if (s < 7200)
+    out << s / 60 << " min";
+  else if (s < 48 * 3600)
+    out << s / 3600 << " h";
+  else
+    out << s / 86400 << " d";
   return out.str();
 }
 
@@ -56,7 +62,8 @@
               {"part", a.part > 0 ? round(trust(l.heard, now, kPartTrust)) : 0},
               {"usual", a.samples > 0 ? round(trust(l.heard, now, kLatencyTrust)) : 0},
               {"traffic", a.traffic > 0 ? round(trust(l.came, now, kTrafficTrust)) : 0}}}};
-  if (!l.endpoint.empty()) j["endpoint"] = l.endpoint, j["address"] = k.address;
+  if (!l.endpoint.empty())
+    j["endpoint"] = l.endpoint, j["address"] = k.address;
   return j;
 }
 
@@ -77,7 +84,8 @@
   });
   if (as_json) {
     json all = json::array();
-    for (const Known& k : known) all.push_back(shown(k, now));
+    for (const Known& k : known)
+      all.push_back(shown(k, now));
     std::cout << json{{"sender", r.book.sender},
                       {"written_ms_ago", (now - r.book.written) / 1000},
                       {"damaged", r.damaged},
@@ -88,7 +96,8 @@
   }
   std::cout << "of " << r.book.sender << ", written " << since(r.book.written, now) << " ago, "
             << known.size() << " records";
-  if (r.damaged > 0) std::cout << ", " << r.damaged << " damaged";
+  if (r.damaged > 0)
+    std::cout << ", " << r.damaged << " damaged";
   std::cout
       << "\n  trust is in brackets: 1 as just learned, - not used any more\n"
       << "destination  endpoint                  heard      limit/s        part           latency ms      "
@@ -97,12 +106,15 @@
     std::ostringstream out;
     if (value > 0) {
       out << std::fixed << std::setprecision(value < 10 ? 2 : 0) << value << " (";
-      if (used) out << std::setprecision(2) << trusted;
-      else out << "-";
+      if (used)
+        out << std::setprecision(2) << trusted;
+      else
+        out << "-";
       out << ")";
     }
     std::string s = out.str();
-    if (s.size() < static_cast<std::size_t>(width)) s.resize(static_cast<std::size_t>(width), ' ');
+    if (s.size() < static_cast<std::size_t>(width))
+      s.resize(static_cast<std::size_t>(width), ' ');
     return s;
   };
   for (const Known& k : known) {
--- a/src/knowledge/keeper.cpp
+++ b/src/knowledge/keeper.cpp
@@ -25,15 +25,18 @@
 
 Book Keeper::read() {
   ::unlink((path_ + ".new").c_str());  // a write that was cut short: the old file is whole
-  if (!spec_.keep) return {};
+  if (!spec_.keep)
+    return {};
   const Micros began = monotonicNow();
   Reading r = readBook(path_, sender_);
   if (!r.refused.empty()) {
     log::write(log::Event::knowledge_refused, {{"cause", r.refused}});
     return {};
   }
-  if (!r.there) return {};
-  if (r.damaged > 0) log::write(log::Event::knowledge_damaged, {{"records", r.damaged}});
+  if (!r.there)
+    return {};
+  if (r.damaged > 0)
+    log::write(log::Event::knowledge_damaged, {{"records", r.damaged}});
   const Micros age = unixNow() - r.book.written;
   log::write(log::Event::knowledge_read,
              {{"records", r.book.known.size()}, {"age_ms", age / 1000}, {"took_us", monotonicNow() - began}});
@@ -41,29 +44,37 @@
 }
 
 void Keeper::start() {
-  if (spec_.keep) schedule(spec_.interval);
+  if (spec_.keep)
+    schedule(spec_.interval);
 }
 
 void Keeper::change(KeeperSpec spec) {
-  if (spec == spec_) return;
+  if (spec == spec_)
+    return;
   spec_ = spec;
-  if (spec_.keep) return schedule(std::min(spec_.interval, kSoon));
+  if (spec_.keep)
+    return schedule(std::min(spec_.interval, kSoon));
   due_ = 0;
   timer_.cancel();
 }
 
 void Keeper::soon() {
-  if (!spec_.keep || stopped_) return;
-  if (due_ == 0 || due_ - monotonicNow() > kSoon) schedule(kSoon);
+  if (!spec_.keep || stopped_)
+    return;
+  if (due_ == 0 || due_ - monotonicNow() > kSoon)
+    schedule(kSoon);
 }
 
 void Keeper::schedule(Micros span) {
-  if (stopped_) return;
+  if (stopped_)
+    return;
   due_ = monotonicNow() + span;
   timer_.expires_after(std::chrono::microseconds(span));
   timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e || stopped_ || !spec_.keep) return;
-    if (busy_) return schedule(kSoon);
+    if (e || stopped_ || !spec_.keep)
+      return;
+    if (busy_)
+      return schedule(kSoon);
     busy_ = true;
     due_ = 0;
     book_ = {};
@@ -75,8 +86,10 @@
   survey_(after, kSlice, [this](std::vector<Known> known, const Surveyed& end) {
     book_.known.insert(book_.known.end(), std::make_move_iterator(known.begin()),
                        std::make_move_iterator(known.end()));
-    if (stopped_) return;
-    if (!end.all) return gather(end.after);
+    if (stopped_)
+      return;
+    if (!end.all)
+      return gather(end.after);
     book_.pool = end.pool;
     write();
   });
@@ -110,13 +123,15 @@
     return [this, w = put(path, *book, most)] {
       writing_ = busy_ = false;
       told(w);
-      if (due_ == 0 && spec_.keep) schedule(spec_.interval);
+      if (due_ == 0 && spec_.keep)
+        schedule(spec_.interval);
     };
   });
 }
 
 void Keeper::told(const Written& w) {
-  if (w.wrong.empty()) bytes_ = w.bytes;
+  if (w.wrong.empty())
+    bytes_ = w.bytes;
   if (gave_way_) {
     ::unlink(path_.c_str());
     bytes_ = 0;
@@ -126,14 +141,16 @@
   if (w.wrong.empty())
     log::write(log::Event::knowledge_written,
                {{"records", w.records}, {"left_out", w.left_out}, {"bytes", w.bytes}, {"took_us", w.took}});
-  else if (!failing_) log::write(log::Event::knowledge_write_failed, {{"cause", w.wrong}});
+  else if (!failing_)
+    log::write(log::Event::knowledge_write_failed, {{"cause", w.wrong}});
   failing_ = !w.wrong.empty();
 }
 
 void Keeper::finish(Book book) {
   stopped_ = true;
   timer_.cancel();
-  if (!spec_.keep || writing_) return;  // one that is under way is as new as this one, nearly
+  if (!spec_.keep || writing_)
+    return;  // one that is under way is as new as this one, nearly
   book.sender = sender_;
   book.written = unixNow();
   told(put(path_, book, mostBytes()));
@@ -146,7 +163,8 @@
 
 bool Keeper::giveWay() {
   gave_way_ = writing_;
-  if (writing_) return false;
+  if (writing_)
+    return false;
   ::unlink(path_.c_str());
   bytes_ = 0;
   return true;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -24,11 +24,14 @@
 constexpr const char* kLevels[] = {"debug", "info", "warning", "error", "off"};
 
 // As JSON has it, so that no value can end a line or look like another field.
-std::string quoted(std::string_view v) { return json(v).dump(-1, ' ', true, json::error_handler_t::replace); }
+std::string quoted(std::string_view v) {
+  return json(v).dump(-1, ' ', true, json::error_handler_t::replace);
+}
 
 bool plain(std::string_view v) {
   for (const char c : v)
-    if (c <= ' ' || c >= 127 || c == '"' || c == '=' || c == '\\') return false;
+    if (c <= ' ' || c >= 127 || c == '"' || c == '=' || c == '\\')
+      return false;
   return !v.empty();
 }
 
@@ -52,8 +55,10 @@
   static std::shared_ptr<spdlog::logger> make(const Spec& s) {
     try {
       std::shared_ptr<spdlog::sinks::sink> sink;
-      if (s.file.empty()) sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
-      else sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(s.file);
+      if (s.file.empty())
+        sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
+      else
+        sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(s.file);
       auto l = std::make_shared<spdlog::logger>("grademux", std::move(sink));
       l->set_level(spdlog::level::trace);
       l->flush_on(spdlog::level::trace);
@@ -69,7 +74,8 @@
     logger->log(spdlog::level::info, "{}", shown(e, fields, spec.json));
   }
   void tellLeftOut(Micros now, bool all) {
-    if (!bound.anyLeftOut()) return;
+    if (!bound.anyLeftOut())
+      return;
     for (std::size_t i = 0; i < kCount; ++i)
       if (all || bound.calm(i, now))
         if (const std::size_t n = bound.takeLeftOut(i))
@@ -90,8 +96,12 @@
 
 }  // namespace
 
-const EventSpec& specOf(Event e) { return kEvents[static_cast<std::size_t>(e)]; }
-const char* nameOf(Level l) { return kLevels[static_cast<std::size_t>(l)]; }
+const EventSpec& specOf(Event e) {
+  return kEvents[static_cast<std::size_t>(e)];
+}
+const char* nameOf(Level l) {
+  return kLevels[static_cast<std::size_t>(l)];
+}
 bool levelOf(const std::string& name, Level& out) {
   for (std::size_t i = 0; i < std::size(kLevels); ++i)
     if (name == kLevels[i]) {
@@ -107,30 +117,40 @@
                             : std::string(nameOf(spec.level)) + " " + spec.name;
   for (const Field& f : fields) {
     const auto* text = std::get_if<std::string_view>(&f.value);
-    if (text && text->empty()) continue;
+    if (text && text->empty())
+      continue;
     out += as_json ? ",\"" + std::string(f.name) + "\":" : " " + std::string(f.name) + "=";
-    if (!text) out += std::to_string(std::get<std::int64_t>(f.value));
-    else if (!as_json && plain(*text)) out += *text;
-    else out += quoted(*text);
+    if (!text)
+      out += std::to_string(std::get<std::int64_t>(f.value));
+    else if (!as_json && plain(*text))
+      out += *text;
+    else
+      out += quoted(*text);
   }
   return out;
 }
 
-void configure(const Spec& spec) { log().use(spec); }
+void configure(const Spec& spec) {
+  log().use(spec);
+}
 void finish() {
   Log& l = log();
   const std::lock_guard<std::mutex> hold(l.mutex);
   l.tellLeftOut(0, true);
 }
 
-bool on(Event e) { return log().enabled[static_cast<std::size_t>(e)].load(std::memory_order_relaxed); }
+bool on(Event e) {
+  return log().enabled[static_cast<std::size_t>(e)].load(std::memory_order_relaxed);
+}
 
 void write(Event e, std::initializer_list<Field> fields) {
-  if (!on(e)) return;
+  if (!on(e))
+    return;
   Log& l = log();
   const Micros now = monotonicNow();
   const std::lock_guard<std::mutex> hold(l.mutex);
-  if (!l.bound.allow(static_cast<std::size_t>(e), now)) return;
+  if (!l.bound.allow(static_cast<std::size_t>(e), now))
+    return;
   l.tellLeftOut(now, false);
   l.line(e, fields);
 }
--- a/src/log/rate.h
+++ b/src/log/rate.h
@@ -17,7 +17,8 @@
 
   // Whether a line of this kind may be written at `now`; if not, it is counted.
   bool allow(std::size_t kind, Micros now) {
-    if (rate_ <= 0) return true;
+    if (rate_ <= 0)
+      return true;
     Kind& k = kinds_[kind];
     k.tokens =
         std::min(burst_, k.tokens + static_cast<double>(std::max<Micros>(0, now - k.at)) * rate_ / 1e6);
--- a/src/membership/folder.cpp
+++ b/src/membership/folder.cpp
@@ -32,7 +32,8 @@
 struct Descriptor {
   explicit Descriptor(int n) : fd(n) {}
   ~Descriptor() {
-    if (fd >= 0) ::close(fd);
+    if (fd >= 0)
+      ::close(fd);
   }
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
@@ -45,7 +46,9 @@
          name.compare(name.size() - kEnding, kEnding, ".toml") == 0;
 }
 
-std::int64_t nanos(const timespec& t) { return t.tv_sec * 1'000'000'000LL + t.tv_nsec; }
+std::int64_t nanos(const timespec& t) {
+  return t.tv_sec * 1'000'000'000LL + t.tv_nsec;
+}
 
 }  // namespace
 
@@ -63,20 +66,25 @@
   const Descriptor file(::openat(folder, name.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
   struct stat s {};
   if (file.fd < 0 || ::fstat(file.fd, &s) != 0) {
-    if (file.fd < 0 && errno == ENOENT) return seen_.erase(name) > 0 ? Read::gone : Read::same;
+    if (file.fd < 0 && errno == ENOENT)
+      return seen_.erase(name) > 0 ? Read::gone : Read::same;
     change.mistakes.push_back(
         {0, 0, std::string("a file that can be read is expected: ") + std::strerror(errno)});
-    if (seen_.count(name) && seen_[name] == Stamp{}) return Read::same;  // told already
+    if (seen_.count(name) && seen_[name] == Stamp{})
+      return Read::same;  // told already
     seen_[name] = {};
     return Read::fresh;
   }
-  if (!S_ISREG(s.st_mode)) return Read::same;
+  if (!S_ISREG(s.st_mode))
+    return Read::same;
   const Stamp stamp{s.st_dev, s.st_ino, static_cast<std::uint64_t>(s.st_size),
                     std::max(nanos(s.st_mtim), nanos(s.st_ctim))};
   const auto seen = seen_.find(name);
-  if (seen != seen_.end() && seen->second == stamp) return Read::same;
+  if (seen != seen_.end() && seen->second == stamp)
+    return Read::same;
   const Micros age = unixNow() - nanos(s.st_mtim) / 1000;
-  if (settled && age >= 0 && age < kSettle) return Read::unsettled;
+  if (settled && age >= 0 && age < kSettle)
+    return Read::unsettled;
   seen_[name] = stamp;
   std::string text;
   if (stamp.size > kLongestFile) {
@@ -102,8 +110,10 @@
   UnitChange c;
   switch (readFile(AT_FDCWD, spec_.path, settled, c)) {
     case Read::fresh:
-      if (!c.mistakes.empty() && seen_[spec_.path] == Stamp{}) news.unreadable = c.mistakes[0].what;
-      else news.changes.push_back(std::move(c));
+      if (!c.mistakes.empty() && seen_[spec_.path] == Stamp{})
+        news.unreadable = c.mistakes[0].what;
+      else
+        news.changes.push_back(std::move(c));
       break;
     case Read::unsettled:
       unsettled = true;
@@ -112,7 +122,8 @@
       news.unreadable = "it is gone";
       break;
     case Read::same:
-      if (!seen_.count(spec_.path)) news.unreadable = "it isn't there";
+      if (!seen_.count(spec_.path))
+        news.unreadable = "it isn't there";
       break;
   }
   return news;
@@ -132,7 +143,8 @@
   }
   std::set<std::string> names;
   while (const dirent* e = ::readdir(entries))
-    if (isPartnerFile(e->d_name)) names.insert(e->d_name);
+    if (isPartnerFile(e->d_name))
+      names.insert(e->d_name);
   ::closedir(entries);
   struct stat opened {
   }, now{};
@@ -148,7 +160,8 @@
   };
   // Guards against a folder that is mounted late or emptied by a copy that failed: no partner is lost by it.
   if (names.empty() && !seen_.empty()) {
-    if (replaced()) return false;
+    if (replaced())
+      return false;
     news.empty = true;
     return true;
   }
@@ -166,19 +179,23 @@
     const Read r = readFile(folder.fd, name, settled, c);
     c.gone = r == Read::gone;
     unsettled = unsettled || r == Read::unsettled;
-    if (r == Read::fresh || r == Read::gone) news.changes.push_back(std::move(c));
+    if (r == Read::fresh || r == Read::gone)
+      news.changes.push_back(std::move(c));
   }
-  if (!replaced()) return true;
+  if (!replaced())
+    return true;
   seen_ = before;
   return false;
 }
 
 FolderNews FolderReader::look(bool settled, bool& unsettled) {
   unsettled = false;
-  if (!spec_.folder) return lookAtFile(settled, unsettled);
+  if (!spec_.folder)
+    return lookAtFile(settled, unsettled);
   for (int i = 0; i < kRetries; ++i) {
     FolderNews news;
-    if (lookAtFolder(settled, unsettled, news)) return news;
+    if (lookAtFolder(settled, unsettled, news))
+      return news;
   }
   unsettled = true;  // it is being replaced all the time: later
   return {};
@@ -186,7 +203,8 @@
 
 FolderNews FolderReader::look(const std::set<std::string>& names) {
   bool unsettled = false;
-  if (!spec_.folder) return lookAtFile(false, unsettled);
+  if (!spec_.folder)
+    return lookAtFile(false, unsettled);
   FolderNews news;
   const Descriptor folder(::open(spec_.path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder.fd < 0) {
@@ -197,7 +215,8 @@
     UnitChange c;
     const Read r = readFile(folder.fd, name, false, c);
     c.gone = r == Read::gone;
-    if (r == Read::fresh || r == Read::gone) news.changes.push_back(std::move(c));
+    if (r == Read::fresh || r == Read::gone)
+      news.changes.push_back(std::move(c));
   }
   return news;
 }
@@ -240,15 +259,18 @@
 
 // The folder that the path leads to now, and the one that holds the path: a symbolic link is replaced there.
 void PartnerFolder::watch() {
-  if (!events_.is_open()) return;
+  if (!events_.is_open())
+    return;
   const int fd = events_.native_handle();
-  if (of_folder_ >= 0) ::inotify_rm_watch(fd, of_folder_);
+  if (of_folder_ >= 0)
+    ::inotify_rm_watch(fd, of_folder_);
   of_folder_ = -1;
   if (spec_.folder)
     of_folder_ = ::inotify_add_watch(
         fd, spec_.path.c_str(),
         IN_CLOSE_WRITE | IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE | IN_DELETE | IN_ONLYDIR);
-  if (of_parent_ >= 0) return;
+  if (of_parent_ >= 0)
+    return;
   const std::string parent = std::filesystem::path(spec_.path).parent_path().string();
   of_parent_ = ::inotify_add_watch(fd, parent.empty() ? "." : parent.c_str(),
                                    IN_CLOSE_WRITE | IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE | IN_DELETE);
@@ -256,7 +278,8 @@
 
 void PartnerFolder::readEvents() {
   events_.async_read_some(boost::asio::buffer(buffer_), [this](error_code e, std::size_t size) {
-    if (e) return;
+    if (e)
+      return;
     for (std::size_t at = 0; at + sizeof(inotify_event) <= size;) {
       inotify_event event;
       std::memcpy(&event, buffer_.data() + at, sizeof event);
@@ -274,8 +297,10 @@
           lookForTaken();
           continue;
         }
-        if (event.mask & IN_CREATE) all_ = true;
-        else names_.insert(name);
+        if (event.mask & IN_CREATE)
+          all_ = true;
+        else
+          names_.insert(name);
         soon(kCoalesce);
       } else if (event.wd == of_parent_ && (name == base_ || !spec_.folder)) {
         all_ = true;
@@ -287,11 +312,13 @@
 }
 
 void PartnerFolder::lookForTaken() {
-  if (looking_) return;
+  if (looking_)
+    return;
   looking_ = true;
   taken_timer_.expires_after(std::chrono::microseconds(kTaken));
   taken_timer_.async_wait([this](error_code e) {
-    if (e) return;
+    if (e)
+      return;
     looking_ = false;
     names_.merge(taken_);
     taken_.clear();
@@ -300,18 +327,21 @@
 }
 
 void PartnerFolder::soon(Micros pause) {
-  if (waiting_ || reading_) return;
+  if (waiting_ || reading_)
+    return;
   waiting_ = true;
   timer_.expires_after(std::chrono::microseconds(pause));
   timer_.async_wait([this](error_code e) {
-    if (e) return;
+    if (e)
+      return;
     waiting_ = false;
     go();
   });
 }
 
 void PartnerFolder::go() {
-  if (reading_ || (!all_ && names_.empty())) return;
+  if (reading_ || (!all_ && names_.empty()))
+    return;
   reading_ = true;
   std::set<std::string> names;
   const bool all = all_;
@@ -323,12 +353,14 @@
     names.swap(names_);
   }
   all_ = false;
-  if (all) watch();
+  if (all)
+    watch();
   worker_.run([this, all, names = std::move(names), reader = reader_,
                here = std::weak_ptr<bool>(alive_)]() -> std::function<void()> {
     bool unsettled = false;
     auto news = std::make_shared<FolderNews>();
-    if (!names.empty()) *news = reader->look(names);  // told as written to the end: not left for later
+    if (!names.empty())
+      *news = reader->look(names);  // told as written to the end: not left for later
     if (all) {
       FolderNews more = reader->look(true, unsettled);
       news->changes.insert(news->changes.end(), std::make_move_iterator(more.changes.begin()),
@@ -337,11 +369,14 @@
       news->unreadable = more.unreadable;
     }
     return [this, news, unsettled, here] {
-      if (here.expired()) return;
+      if (here.expired())
+        return;
       reading_ = false;
       heard_(std::move(*news));
-      if (unsettled) all_ = true;
-      if (all_ || !names_.empty()) soon(unsettled ? kSettle : kCoalesce);
+      if (unsettled)
+        all_ = true;
+      if (all_ || !names_.empty())
+        soon(unsettled ? kSettle : kCoalesce);
     };
   });
 }
@@ -350,7 +385,8 @@
   const bool told = events_.is_open() && of_parent_ >= 0 && (!spec_.folder || of_folder_ >= 0);
   rescan_.expires_after(std::chrono::microseconds(told ? spec_.rescan : std::min(spec_.rescan, kUnwatched)));
   rescan_.async_wait([this](error_code e) {
-    if (e) return;
+    if (e)
+      return;
     refresh();
     armRescan();
   });
--- a/src/membership/list.cpp
+++ b/src/membership/list.cpp
@@ -18,7 +18,8 @@
 }
 
 ListedEndpoint entryOf(const json& e) {
-  if (!e.is_object()) bad("an endpoint is not an object");
+  if (!e.is_object())
+    bad("an endpoint is not an object");
   ListedEndpoint l;
   l.endpoint.id = text(e, "name");
   l.endpoint.zone = text(e, "zone", "");
@@ -36,12 +37,15 @@
          a.endpoint.weight == b.endpoint.weight && a.address == b.address;
 }
 
-bool stops(const ListChange& c) { return c.entry.endpoint.state != EndpointState::ready; }
+bool stops(const ListChange& c) {
+  return c.entry.endpoint.state != EndpointState::ready;
+}
 
 }  // namespace
 
 ListAnswer readList(const json& answer) {
-  if (!answer.is_object()) bad("the list is not an object");
+  if (!answer.is_object())
+    bad("the list is not an object");
   ListAnswer a;
   a.index = integer(answer, "index");
   a.whole = truth(answer, "snapshot", false);
@@ -50,7 +54,8 @@
   for (const json& e : endpoints) {
     ListChange c;
     c.entry = entryOf(e);
-    if (c.entry.endpoint.state != EndpointState::gone) c.text = e.dump();
+    if (c.entry.endpoint.state != EndpointState::gone)
+      c.text = e.dump();
     a.changes.push_back(std::move(c));
   }
   return a;
@@ -60,10 +65,12 @@
   if (answer.whole) {
     std::unordered_set<std::string_view> named;
     named.reserve(answer.changes.size());
-    for (const ListChange& c : answer.changes) named.insert(c.entry.endpoint.id);
+    for (const ListChange& c : answer.changes)
+      named.insert(c.entry.endpoint.id);
     std::vector<ListChange> lost;
     for (const auto& [name, e] : known_) {
-      if (named.count(name)) continue;
+      if (named.count(name))
+        continue;
       lost.push_back({e, {}});
       lost.back().entry.endpoint.state = EndpointState::gone;
     }
@@ -73,9 +80,11 @@
     std::sort(lost.begin(), lost.end(), [](const ListChange& a, const ListChange& b) {
       return a.entry.endpoint.id < b.entry.endpoint.id;
     });
-    for (ListChange& c : lost) change(std::move(c));
+    for (ListChange& c : lost)
+      change(std::move(c));
   }
-  for (ListChange& c : answer.changes) change(std::move(c));
+  for (ListChange& c : answer.changes)
+    change(std::move(c));
   index_ = answer.index;
 }
 
@@ -83,7 +92,8 @@
   const Endpoint& e = c.entry.endpoint;
   const auto known = known_.find(e.id);
   const bool gone = e.state == EndpointState::gone;
-  if (known == known_.end() ? gone : same(known->second, c.entry)) return;
+  if (known == known_.end() ? gone : same(known->second, c.entry))
+    return;
   if (known != known_.end()) {  // its place in the list may be another now
     const auto at = destinations_.find(known->second.endpoint.destination);
     if (--at->second == 0) {
@@ -95,8 +105,10 @@
     known_.erase(known);
   } else {
     ++destinations_[e.destination];
-    if (known != known_.end()) known->second = c.entry;
-    else known_.emplace(e.id, c.entry);
+    if (known != known_.end())
+      known->second = c.entry;
+    else
+      known_.emplace(e.id, c.entry);
   }
   (stops(c) ? stops_ : others_).push_back(e.id);
   std::string id = e.id;
@@ -123,12 +135,14 @@
   for (std::deque<std::string>* line : {&stops_, &others_}) {
     for (; !line->empty() && s.changes.size() < most; line->pop_front()) {
       const auto at = waiting_.find(line->front());
-      if (at == waiting_.end() || stops(at->second) != (line == &stops_)) continue;
+      if (at == waiting_.end() || stops(at->second) != (line == &stops_))
+        continue;
       s.changes.push_back(std::move(at->second));
       waiting_.erase(at);
     }
   }
-  if (waiting_.empty()) told_ = index_;
+  if (waiting_.empty())
+    told_ = index_;
   s.index = told_;
   return s;
 }
--- a/src/membership/name_memory.cpp
+++ b/src/membership/name_memory.cpp
@@ -18,7 +18,8 @@
       continue;
     }
     const auto v6 = ip::make_network_v6(t, e);
-    if (e) throw std::invalid_argument("not a network: " + t);
+    if (e)
+      throw std::invalid_argument("not a network: " + t);
     v6_.push_back(v6);
   }
 }
@@ -26,7 +27,8 @@
 bool Networks::allow(const ip::address& a) const {
   if (a.is_unspecified() || a.is_multicast() || (a.is_v4() && a.to_v4() == ip::address_v4::broadcast()))
     return false;
-  if (v4_.empty() && v6_.empty()) return true;
+  if (v4_.empty() && v6_.empty())
+    return true;
   // An address is of a network if the network of its length around it is the same. (Boost's hosts() leaves
   // the first and the last out.)
   if (a.is_v4())
@@ -47,7 +49,8 @@
     : spec_(std::move(spec)), limits_(limits), networks_(spec_.allow), retry_(limits.least_retry) {}
 
 void NameMemory::adopt(const std::vector<std::string>& endpoints) {
-  if (!targets_.empty() || endpoints.empty()) return;
+  if (!targets_.empty() || endpoints.empty())
+    return;
   endpoints_ = endpoints;
   std::sort(endpoints_.begin(), endpoints_.end());
   old_ = true;
@@ -56,8 +59,10 @@
 NameMemory::Heard NameMemory::answered(const DnsAnswer& answer, Micros now) {
   Heard heard;
   const auto trouble = [&](const std::string& name, const DnsRecords& r) {
-    if (r.kind == DnsRecords::Kind::records) return;
-    if (!heard.trouble.empty()) heard.trouble += "; ";
+    if (r.kind == DnsRecords::Kind::records)
+      return;
+    if (!heard.trouble.empty())
+      heard.trouble += "; ";
     heard.trouble += name + ": " + (r.kind == DnsRecords::Kind::no_name ? "no such name" : r.cause);
   };
   Micros ttl = answer.ttl;
@@ -70,13 +75,17 @@
       const auto part = [&](const DnsRecords& r, const Part* known, const char* type) {
         Part p;
         trouble(t.host + " " + type, r);
-        if (r.kind == DnsRecords::Kind::failed) return known ? *known : p;
-        if (!r.addresses.empty()) ttl = std::min(ttl, r.ttl);
+        if (r.kind == DnsRecords::Kind::failed)
+          return known ? *known : p;
+        if (!r.addresses.empty())
+          ttl = std::min(ttl, r.ttl);
         for (const std::string& a : r.addresses) {
           boost::system::error_code e;
           const ip::address parsed = ip::make_address(a, e);
-          if (!e && networks_.allow(parsed)) p.push_back(a);
-          else heard.forbidden.push_back(endpointText(a, t.port));
+          if (!e && networks_.allow(parsed))
+            p.push_back(a);
+          else
+            heard.forbidden.push_back(endpointText(a, t.port));
         }
         return p;
       };
@@ -99,7 +108,8 @@
     query_ = now + retry_;
     retry_ = std::min(2 * retry_, limits_.most_retry);
     next_ = query_;
-    for (const auto& [endpoint, until] : kept_until_) next_ = std::min(next_, until);
+    for (const auto& [endpoint, until] : kept_until_)
+      next_ = std::min(next_, until);
     return heard;
   }
   targets_ = std::move(fresh);
@@ -120,25 +130,33 @@
 bool NameMemory::list(Micros now) {
   int best = INT32_MAX;
   for (const auto& [key, t] : targets_)
-    if (!t.v4.empty() || !t.v6.empty()) best = std::min(best, t.priority);
+    if (!t.v4.empty() || !t.v6.empty())
+      best = std::min(best, t.priority);
   std::set<std::string> named;
   for (const auto& [key, t] : targets_) {
-    if (t.priority != best) continue;
+    if (t.priority != best)
+      continue;
     for (const Part* p : {&t.v4, &t.v6})
       for (const std::string& a : *p)
-        if (named.size() < limits_.most_addresses) named.insert(endpointText(a, key.second));
+        if (named.size() < limits_.most_addresses)
+          named.insert(endpointText(a, key.second));
   }
   if (spec_.keep > 0)
     for (const std::string& e : endpoints_)
-      if (!named.count(e)) kept_until_.emplace(e, now + spec_.keep);
+      if (!named.count(e))
+        kept_until_.emplace(e, now + spec_.keep);
   for (auto it = kept_until_.begin(); it != kept_until_.end();) {
-    if (named.count(it->first) || it->second <= now) it = kept_until_.erase(it);
-    else named.insert((it++)->first);
+    if (named.count(it->first) || it->second <= now)
+      it = kept_until_.erase(it);
+    else
+      named.insert((it++)->first);
   }
   next_ = query_;
-  for (const auto& [endpoint, until] : kept_until_) next_ = std::min(next_, until);
+  for (const auto& [endpoint, until] : kept_until_)
+    next_ = std::min(next_, until);
   std::vector<std::string> all(named.begin(), named.end());
-  if (all == endpoints_) return false;
+  if (all == endpoints_)
+    return false;
   endpoints_ = std::move(all);
   return true;
 }
@@ -150,6 +168,8 @@
   next_ = std::min(next_, query_);
 }
 
-bool NameMemory::expire(Micros now) { return !targets_.empty() && !kept_until_.empty() && list(now); }
+bool NameMemory::expire(Micros now) {
+  return !targets_.empty() && !kept_until_.empty() && list(now);
+}
 
 }  // namespace grademux
--- a/src/membership/partner_file.cpp
+++ b/src/membership/partner_file.cpp
@@ -17,17 +17,20 @@
 constexpr std::size_t kLongestName = 253;  // of a host (RFC 1035, 2.3.4)
 
 bool isHostName(const std::string& s) {
-  if (s.empty() || s.size() > kLongestName) return false;
+  if (s.empty() || s.size() > kLongestName)
+    return false;
   std::size_t label = 0;
   for (const char c : s) {
     if (c == '.') {
-      if (label == 0) return false;
+      if (label == 0)
+        return false;
       label = 0;
       continue;
     }
     const bool good =
         (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
-    if (!good || ++label > 63) return false;
+    if (!good || ++label > 63)
+      return false;
   }
   return true;
 }
@@ -40,7 +43,8 @@
 void readDns(Table& t, Partner& p, const PartnerDefaults& defaults) {
   NameSpec dns;
   const bool host = t.node("dns") != nullptr;
-  if (host && t.node("srv")) t.expected("srv", "dns or srv is expected, not both");
+  if (host && t.node("srv"))
+    t.expected("srv", "dns or srv is expected, not both");
   if (host) {
     const std::string at = t.text("dns", "");
     const std::size_t colon = at.rfind(':');
@@ -53,7 +57,8 @@
       t.expected("dns", "a name and a port are expected, as \"shop.example:9001\"");
   } else {
     dns.srv = t.text("srv", "");
-    if (!isHostName(dns.srv)) t.expected("srv", "a name is expected, as \"_print._tcp.shop.example\"");
+    if (!isHostName(dns.srv))
+      t.expected("srv", "a name is expected, as \"_print._tcp.shop.example\"");
   }
   const std::string family = t.word("family", {"any", "ipv4", "ipv6"}, "any");
   dns.family = family == "ipv4"   ? NameSpec::Family::ipv4
@@ -69,18 +74,23 @@
 void readZones(Table& t, Partner& p, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
                std::vector<Effective>* effective) {
   const auto known = [&](Table& in, const char* key, const std::string& zone) {
-    if (zone.empty() || defaults.regions.empty() || defaults.regions.knows(zone)) return;
+    if (zone.empty() || defaults.regions.empty() || defaults.regions.knows(zone))
+      return;
     std::vector<std::string> names;
-    for (const auto& [name, region] : defaults.regions.of) names.push_back(name);
+    for (const auto& [name, region] : defaults.regions.of)
+      names.push_back(name);
     const std::string meant = nearest(zone, names);
     in.expected(key, "a zone of a [[region]] is expected, not \"" + zone + "\"" +
                          (meant.empty() ? "" : "; " + meant + "?"));
   };
-  if (t.node("zone")) p.zone = t.text("zone", "");
+  if (t.node("zone"))
+    p.zone = t.text("zone", "");
   known(t, "zone", p.zone);
   const toml::node* n = t.node("zones");
-  if (!n) return;
-  if (!n->is_table()) return t.expected("zones", "a table is expected, as { a = [\"127.0.0.1:9001\"] }");
+  if (!n)
+    return;
+  if (!n->is_table())
+    return t.expected("zones", "a table is expected, as { a = [\"127.0.0.1:9001\"] }");
   Table z(*n->as_table(), "partner.zones", mistakes, effective);
   for (const auto& [key, list] : *n->as_table()) {
     const std::string zone(key.str());
@@ -100,17 +110,21 @@
   p.name = t.text("name", "");
   constexpr const char* kNameExpected =
       "printable characters without space, @, comma and =, not digits alone, are expected";
-  if (!p.name.empty() && !isName(p.name)) t.expected("name", kNameExpected);
+  if (!p.name.empty() && !isName(p.name))
+    t.expected("name", kNameExpected);
   if (t.node("formerly")) {
     p.formerly = t.text("formerly", "");
-    if (!p.formerly.empty() && !isName(p.formerly)) t.expected("formerly", kNameExpected);
-    if (!p.name.empty() && p.formerly == p.name) t.expected("formerly", "another name than now is expected");
+    if (!p.formerly.empty() && !isName(p.formerly))
+      t.expected("formerly", kNameExpected);
+    if (!p.name.empty() && p.formerly == p.name)
+      t.expected("formerly", "another name than now is expected");
   }
   p.number = t.whole("number", numberOfName(p.base()), 0, 1LL << 53);
   p.rate = t.real("rate", 0, 0, 1e7);
   if (t.node("dns") || t.node("srv")) {
     for (const char* key : {"endpoints", "draining"})
-      if (t.node(key)) t.expected(key, "a partner has a list of endpoints or a name in DNS, not both");
+      if (t.node(key))
+        t.expected(key, "a partner has a list of endpoints or a name in DNS, not both");
     readDns(t, p, defaults);
   } else {
     p.endpoints = t.texts("endpoints");
@@ -122,12 +136,15 @@
     for (const std::string& e : p.endpoints) {
       if (!isEndpointAddress(e))
         t.expected("endpoints", "an address and a port are expected, not \"" + e + "\"");
-      if (!once.insert(e).second) t.expected("endpoints", e + " stands there twice");
+      if (!once.insert(e).second)
+        t.expected("endpoints", e + " stands there twice");
     }
     for (const std::string& e : p.draining)
-      if (!once.count(e)) t.expected("draining", e + " is not one of the endpoints");
+      if (!once.count(e))
+        t.expected("draining", e + " is not one of the endpoints");
     for (const char* key : {"family", "allow", "keep"})
-      if (t.node(key)) t.expected(key, "this is for a partner with dns or srv");
+      if (t.node(key))
+        t.expected(key, "this is for a partner with dns or srv");
   }
   readZones(t, p, defaults, mistakes, effective);
   t.unknown(" in a partner");
@@ -156,7 +173,8 @@
   for (const toml::table* p : tables) {
     Table t(*p, "partner", mistakes, effective);
     Partner x = readPartner(t, defaults, mistakes, effective);
-    if (!names.insert(x.name).second) t.expected("name", "another partner has this name");
+    if (!names.insert(x.name).second)
+      t.expected("name", "another partner has this name");
     else if (const auto other = numbers.emplace(x.number, x.name); !other.second)
       t.expected("number", "a number of its own is expected, " + other.first->second + " has " +
                                std::to_string(x.number));
@@ -175,7 +193,8 @@
     const toml::table root = toml::parse(text, path);
     Table top(root, "", mistakes);
     all = readPartners(top.tables("partner"), defaults, mistakes);
-    if (all.empty() && mistakes.empty()) mistakes.push_back({1, 1, "one [[partner]] at least is expected"});
+    if (all.empty() && mistakes.empty())
+      mistakes.push_back({1, 1, "one [[partner]] at least is expected"});
     top.unknown(" in a partners' file");
   } catch (const toml::parse_error& e) {
     mistakes.push_back({e.source().begin.line, e.source().begin.column,
--- a/src/membership/partners.cpp
+++ b/src/membership/partners.cpp
@@ -27,7 +27,9 @@
 bool isEndpointAddress(const std::string& s) {
   try {
     return parseAddress(s).port() != 0;
-  } catch (const std::invalid_argument&) { return false; }
+  } catch (const std::invalid_argument&) {
+    return false;
+  }
 }
 
 }  // namespace grademux
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -14,7 +14,8 @@
 
 std::string joined(const std::vector<std::string>& all) {
   std::string s;
-  for (const std::string& a : all) s += (s.empty() ? "" : " ") + a;
+  for (const std::string& a : all)
+    s += (s.empty() ? "" : " ") + a;
   return s;
 }
 
@@ -30,7 +31,8 @@
       timer_(io) {
   for (const std::string& text : kept) {
     KeptEntry k;
-    if (!readKept(text, k)) continue;
+    if (!readKept(text, k))
+      continue;
     kept_addresses_[k.partner].push_back(k.address);
     kept_[k.unit].push_back(std::move(k));
   }
@@ -51,7 +53,8 @@
 void PartnerSources::openFolders() {
   for (const FolderSpec& f : spec_.folders) {
     const auto same = [&](const auto& open) { return open->spec() == f; };
-    if (std::any_of(folders_.begin(), folders_.end(), same)) continue;
+    if (std::any_of(folders_.begin(), folders_.end(), same))
+      continue;
     folders_.push_back(std::make_unique<PartnerFolder>(
         io_, worker_, f, spec_.defaults, [this, f](FolderNews news) { heard(f, std::move(news)); }));
     folders_.back()->start();
@@ -59,7 +62,8 @@
 }
 
 void PartnerSources::refresh() {
-  for (const auto& f : folders_) f->refresh();
+  for (const auto& f : folders_)
+    f->refresh();
   for (auto& [partner, name] : names_)
     if (!name.asking) {
       due_.erase({due_at_[partner], partner});
@@ -80,7 +84,8 @@
     asking_ = 0;
   }
   const bool anew = !(spec.defaults == spec_.defaults);
-  for (auto& [partner, name] : names_) name.memory.setLimits(spec.dns_limits, monotonicNow());
+  for (auto& [partner, name] : names_)
+    name.memory.setLimits(spec.dns_limits, monotonicNow());
   spec_ = std::move(spec);
   // A folder that is named no more takes its partners with it, in the change that brings the others.
   const auto named = [&](const auto& open) {
@@ -107,7 +112,8 @@
 // What an earlier process had of a unit that can't be read now.
 void PartnerSources::adoptUnit(const std::string& unit) {
   const auto at = kept_.find(unit);
-  if (at == kept_.end() || table_.declares(unit)) return;
+  if (at == kept_.end() || table_.declares(unit))
+    return;
   std::map<std::string, Partner> partners;
   for (const KeptEntry& k : at->second) {
     Partner& p = partners[k.partner];
@@ -116,8 +122,10 @@
     p.number = k.number;
     p.rate = k.rate;
     p.endpoints.push_back(k.address);
-    if (!k.zone.empty()) p.zones[k.address] = k.zone;
-    if (k.draining) p.draining.push_back(k.address);
+    if (!k.zone.empty())
+      p.zones[k.address] = k.zone;
+    if (k.draining)
+      p.draining.push_back(k.address);
   }
   std::vector<Partner> all;
   for (auto& [name, p] : partners) {
@@ -131,13 +139,15 @@
   const bool broken = !news.unreadable.empty() || news.empty;
   if (broken) {
     if (unreadable_.insert(source.path).second) {
-      if (news.empty) log::write(log::Event::membership_empty_refused, {{"source", source.path}});
+      if (news.empty)
+        log::write(log::Event::membership_empty_refused, {{"source", source.path}});
       else
         log::write(log::Event::membership_unreadable, {{"source", source.path}, {"cause", news.unreadable}});
     }
     if (!started_)
       for (const auto& [unit, entries] : kept_)
-        if (source.folder ? unit.rfind(source.path + "/", 0) == 0 : unit == source.path) adoptUnit(unit);
+        if (source.folder ? unit.rfind(source.path + "/", 0) == 0 : unit == source.path)
+          adoptUnit(unit);
   } else if (unreadable_.erase(source.path) > 0) {
     log::write(log::Event::membership_readable, {{"source", source.path}});
   }
@@ -146,18 +156,21 @@
     if (!c.mistakes.empty()) {
       log::write(log::Event::membership_file_refused,
                  {{"source", c.unit}, {"cause", c.mistakes[0].in(c.unit)}, {"mistakes", c.mistakes.size()}});
-      if (!started_) adoptUnit(c.unit);
+      if (!started_)
+        adoptUnit(c.unit);
       continue;
     }
     table_.declare(c.unit, std::move(c.partners));
     changed = true;
   }
-  if (started_ && changed) tell(source.path);
+  if (started_ && changed)
+    tell(source.path);
 }
 
 void PartnerSources::tell(const std::string& source, bool whole) {
   PartnerTable::Change change = table_.take();
-  for (const std::string& p : change.partners) follow(p);
+  for (const std::string& p : change.partners)
+    follow(p);
   // Names that an earlier process had resolved are known before the core hears the first list.
   PartnerTable::Change more = table_.take();
   change.entries.insert(change.entries.end(), std::make_move_iterator(more.entries.begin()),
@@ -171,7 +184,8 @@
       log::write(log::Event::membership_endpoint_conflict,
                  {{"partner", c.partner}, {"endpoint", c.endpoint}, {"owner", c.owner}});
   }
-  if (change.entries.empty() && !whole) return;
+  if (change.entries.empty() && !whole)
+    return;
   ListAnswer answer;
   answer.index = version_ + 1;
   answer.whole = whole;
@@ -187,19 +201,23 @@
   const Partner* p = table_.find(partner);
   const bool wanted = p && p->name == partner && p->dns;
   const auto known = names_.find(partner);
-  if (known != names_.end() && wanted && known->second.memory.spec() == *p->dns) return;
+  if (known != names_.end() && wanted && known->second.memory.spec() == *p->dns)
+    return;
   if (known != names_.end()) {
-    if (known->second.asking) --asking_;
+    if (known->second.asking)
+      --asking_;
     due_.erase({due_at_[partner], partner});
     due_at_.erase(partner);
     names_.erase(known);
   }
-  if (!wanted) return;
+  if (!wanted)
+    return;
   Name& name = names_.emplace(partner, Name(*p->dns, spec_.dns_limits)).first->second;
   name.turn = ++turn_;
   const auto kept = kept_addresses_.find(partner);
   if (!started_ || kept == kept_addresses_.end()) {
-    if (!p->endpoints.empty()) name.memory.adopt(p->endpoints);
+    if (!p->endpoints.empty())
+      name.memory.adopt(p->endpoints);
   } else {
     name.memory.adopt(kept->second);
     table_.resolved(partner, name.memory.endpoints());
@@ -236,17 +254,21 @@
     dns_->look(name.memory.spec(),
                [this, partner, turn = name.turn](const DnsAnswer& a) { answered(partner, turn, a); });
   }
-  if (changed) return tell(last);  // comes back here
-  if (due_.empty() || asking_ >= kMostAsking) return;
+  if (changed)
+    return tell(last);  // comes back here
+  if (due_.empty() || asking_ >= kMostAsking)
+    return;
   timer_.expires_after(std::chrono::microseconds(std::max<Micros>(1000, due_.begin()->first - now)));
   timer_.async_wait([this](const boost::system::error_code& e) {
-    if (!e) lookUp();
+    if (!e)
+      lookUp();
   });
 }
 
 void PartnerSources::answered(const std::string& partner, std::uint64_t turn, const DnsAnswer& answer) {
   const auto at = names_.find(partner);
-  if (at == names_.end() || at->second.turn != turn) return lookUp();
+  if (at == names_.end() || at->second.turn != turn)
+    return lookUp();
   Name& name = at->second;
   name.asking = false;
   --asking_;
--- a/src/net/answer_reader.cpp
+++ b/src/net/answer_reader.cpp
@@ -15,7 +15,9 @@
 constexpr int kMostIdleSteps = 3;            // of the parser, which then needs more bytes
 }  // namespace
 
-AnswerReader::AnswerReader(std::size_t body_limit) : body_limit_(body_limit) { begin(); }
+AnswerReader::AnswerReader(std::size_t body_limit) : body_limit_(body_limit) {
+  begin();
+}
 
 void AnswerReader::begin() {
   first_line_.clear();
@@ -29,15 +31,20 @@
 
 AnswerReader::State AnswerReader::take(std::string& in) {
   for (int idle_steps = 0; !in.empty() && idle_steps < kMostIdleSteps;) {
-    if (first_line_.size() < kFirstLineKept) first_line_.append(in, 0, kFirstLineKept - first_line_.size());
+    if (first_line_.size() < kFirstLineKept)
+      first_line_.append(in, 0, kFirstLineKept - first_line_.size());
     error_code error;
     const std::size_t used = parser_->put(boost::asio::buffer(in), error);
     in.erase(0, used);
-    if (error == http::error::need_more) return in.size() > kHeaderLimit ? State::spoilt : State::partial;
-    if (error) return State::spoilt;
+    if (error == http::error::need_more)
+      return in.size() > kHeaderLimit ? State::spoilt : State::partial;
+    if (error)
+      return State::spoilt;
     if (parser_->is_done()) {
-      if (!isInterim()) return State::whole;
-      if (++interim_answers_ > kMostInterimAnswers) return State::spoilt;
+      if (!isInterim())
+        return State::whole;
+      if (++interim_answers_ > kMostInterimAnswers)
+        return State::spoilt;
       begin();
     }
     idle_steps = used == 0 ? idle_steps + 1 : 0;
@@ -46,7 +53,8 @@
 }
 
 AnswerReader::State AnswerReader::end() {
-  if (!parser_->got_some() || !parser_->is_header_done()) return State::spoilt;
+  if (!parser_->got_some() || !parser_->is_header_done())
+    return State::spoilt;
   error_code error;
   parser_->put_eof(error);
   return !error && parser_->is_done() && !isInterim() ? State::whole : State::spoilt;
@@ -58,6 +66,8 @@
          line.compare(8, 4, " 200") == 0 && (line[12] == ' ' || line[12] == '\r' || line[12] == '\n');
 }
 
-bool AnswerReader::headDone() const { return parser_->is_header_done() && !isInterim(); }
+bool AnswerReader::headDone() const {
+  return parser_->is_header_done() && !isInterim();
+}
 
 }  // namespace grademux
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -29,7 +29,8 @@
 
 std::string lower(std::string text) {
   for (char& c : text)
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    if (c >= 'A' && c <= 'Z')
+      c = static_cast<char>(c - 'A' + 'a');
   return text;
 }
 
@@ -39,7 +40,8 @@
   message.method_string(request.method);
   message.target(request.target);
   message.set(http::field::host, host);
-  for (const auto& [name, value] : request.fields) message.set(name, value);
+  for (const auto& [name, value] : request.fields)
+    message.set(name, value);
   message.body() = std::move(request.body);
   message.prepare_payload();
   std::string bytes;
@@ -50,7 +52,8 @@
       bytes += boost::beast::buffers_to_string(buffers);
       serializer.consume(boost::beast::buffer_bytes(buffers));
     });
-    if (error) break;
+    if (error)
+      break;
   }
   return bytes;
 }
@@ -59,7 +62,8 @@
 
 const std::string* HttpAnswer::field(const std::string& name) const {
   for (const auto& [known, value] : fields)
-    if (known == name) return &value;
+    if (known == name)
+      return &value;
   return nullptr;
 }
 
@@ -100,11 +104,14 @@
     written = begun = keep = wait_told = false;
     reused = open;
     const std::uint64_t mine = ++exchange_number;
-    if (!open) return connect(mine, std::min(connect_limit, write_limit));
+    if (!open)
+      return connect(mine, std::min(connect_limit, write_limit));
     setTimer(mine, write_limit);
     asio::post(socket.get_executor(), [self = shared_from_this(), mine, connect_limit] {
-      if (mine != self->exchange_number) return;
-      if (self->quiet()) return self->beginWrite(mine);
+      if (mine != self->exchange_number)
+        return;
+      if (self->quiet())
+        return self->beginWrite(mine);
       // The other side has closed it, or sent half a line, since it was chosen. Nothing was written.
       self->close();
       self->reused = false;
@@ -116,10 +123,13 @@
     setTimer(mine, limit);
     error_code unset;
     socket.open(peer.protocol(), unset);
-    if (!unset) socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBuffer), unset);
+    if (!unset)
+      socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBuffer), unset);
     socket.async_connect(peer, [self = shared_from_this(), mine](error_code error) {
-      if (mine != self->exchange_number) return;
-      if (error) return self->finish(Exchanged::not_written);
+      if (mine != self->exchange_number)
+        return;
+      if (error)
+        return self->finish(Exchanged::not_written);
       self->open = true;
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
@@ -136,17 +146,21 @@
   void setTimer(std::uint64_t mine, Micros span) {
     timer.expires_after(std::chrono::microseconds(std::max<Micros>(0, span)));
     timer.async_wait([self = shared_from_this(), mine, number = ++timer_number](error_code error) {
-      if (error || mine != self->exchange_number || number != self->timer_number) return;
+      if (error || mine != self->exchange_number || number != self->timer_number)
+        return;
       self->timeIsUp(mine);
     });
   }
 
   void timeIsUp(std::uint64_t mine) {
-    if (!written) return finish(Exchanged::not_written);
+    if (!written)
+      return finish(Exchanged::not_written);
     const bool had_begun = begun;
     // This process, not the other side, may have been late.
-    if (readAvailable(mine)) return;
-    if (begun && !had_begun) return setTimer(mine, wait_told ? kWaitAnswerLimit : kAnswerLimit);
+    if (readAvailable(mine))
+      return;
+    if (begun && !had_begun)
+      return setTimer(mine, wait_told ? kWaitAnswerLimit : kAnswerLimit);
     begun ? end(AnswerReader::State::spoilt) : finish(Exchanged::timed_out);
   }
 
@@ -159,7 +173,8 @@
   }
 
   void beginWrite(std::uint64_t mine) {
-    if (may_begin && !may_begin()) return finish(Exchanged::not_written);
+    if (may_begin && !may_begin())
+      return finish(Exchanged::not_written);
     write(mine);
   }
 
@@ -167,11 +182,14 @@
   // that whatever ends the exchange in between knows whether it may have run.
   void write(std::uint64_t mine) {
     while (sent < out.size()) {
-      if (Clock::now() >= write_ends) return finish(Exchanged::not_written);
+      if (Clock::now() >= write_ends)
+        return finish(Exchanged::not_written);
       error_code error;
       sent += socket.write_some(asio::buffer(out.data() + sent, out.size() - sent), error);
-      if (error == asio::error::would_block || error == asio::error::try_again) return writeLater(mine);
-      if (error) return finish(Exchanged::not_written);
+      if (error == asio::error::would_block || error == asio::error::try_again)
+        return writeLater(mine);
+      if (error)
+        return finish(Exchanged::not_written);
     }
     written = true;
     out = {};
@@ -181,16 +199,20 @@
 
   void writeLater(std::uint64_t mine) {
     socket.async_wait(tcp::socket::wait_write, [self = shared_from_this(), mine](error_code error) {
-      if (mine != self->exchange_number) return;
+      if (mine != self->exchange_number)
+        return;
       error ? self->finish(Exchanged::not_written) : self->write(mine);
     });
   }
 
   void read(std::uint64_t mine) {
     socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), mine](error_code error) {
-      if (mine != self->exchange_number) return;
-      if (error) return self->end(AnswerReader::State::spoilt);
-      if (!self->readAvailable(mine)) self->read(mine);
+      if (mine != self->exchange_number)
+        return;
+      if (error)
+        return self->end(AnswerReader::State::spoilt);
+      if (!self->readAvailable(mine))
+        self->read(mine);
     });
   }
 
@@ -200,7 +222,8 @@
     for (int pieces = 0; pieces < kMostPieces; ++pieces) {
       error_code error;
       const std::size_t size = socket.read_some(asio::buffer(piece), error);
-      if (error == asio::error::would_block || error == asio::error::try_again) return false;
+      if (error == asio::error::would_block || error == asio::error::try_again)
+        return false;
       if (error) {
         end(error == asio::error::eof ? reader->end() : AnswerReader::State::spoilt);
         return true;
@@ -242,10 +265,12 @@
     reader.reset();
     in.clear();
     out = {};
-    if (!keep) close();
+    if (!keep)
+      close();
     Done then = std::move(done);
     done = nullptr;
-    if (then) then(answer);
+    if (then)
+      then(answer);
   }
 
   HttpAnswer answerNow(Exchanged how, bool whole) const {
@@ -259,16 +284,20 @@
       for (const auto& field : reader->head())
         answer.fields.emplace_back(lower(std::string(field.name_string())), std::string(field.value()));
     }
-    if (how == Exchanged::answered) answer.status = whole ? answer.head_status : 200;
-    if (whole) answer.body = reader->head().body();
+    if (how == Exchanged::answered)
+      answer.status = whole ? answer.head_status : 200;
+    if (whole)
+      answer.body = reader->head().body();
     return answer;
   }
 
   HttpAnswer abandon() {
     HttpAnswer last;
     done = [&last](const HttpAnswer& answer) { last = answer; };
-    if (!written) finish(Exchanged::not_written);
-    else if (!readAvailable(exchange_number)) finish(Exchanged::timed_out);
+    if (!written)
+      finish(Exchanged::not_written);
+    else if (!readAvailable(exchange_number))
+      finish(Exchanged::timed_out);
     return last;
   }
 
@@ -295,14 +324,19 @@
   state_->begin(std::move(request), connect_limit, limit, std::move(done));
 }
 
-HttpAnswer HttpConnection::abandon() { return state_->abandon(); }
+HttpAnswer HttpConnection::abandon() {
+  return state_->abandon();
+}
 
-bool HttpConnection::written() const { return state_->written; }
+bool HttpConnection::written() const {
+  return state_->written;
+}
 
 // What the other side has closed, or sent unasked, shows as something to read. Guards against a request
 // written to a connection that is gone: it would end as a reset and might have run.
 bool HttpConnection::reusable() const {
-  if (!state_->open || state_->done) return false;
+  if (!state_->open || state_->done)
+    return false;
   error_code error;
   state_->socket.non_blocking(true, error);
   return !error && state_->quiet();
--- a/src/operate/door.cpp
+++ b/src/operate/door.cpp
@@ -38,13 +38,18 @@
 
   void read() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open) return;
-      if (self->answered) return e ? self->close() : self->read();  // the rest is thrown away
+      if (!self->open)
+        return;
+      if (self->answered)
+        return e ? self->close() : self->read();  // the rest is thrown away
       self->in.append(self->piece.data(), n);
       const auto end = self->in.find('\n');
-      if (end != std::string::npos) return self->call(self->in.substr(0, end));
-      if (self->in.size() >= kLine) return self->answer({false, "a line of 128 bytes at most is expected"});
-      if (e == asio::error::eof && !self->in.empty()) return self->call(self->in);  // without its end
+      if (end != std::string::npos)
+        return self->call(self->in.substr(0, end));
+      if (self->in.size() >= kLine)
+        return self->answer({false, "a line of 128 bytes at most is expected"});
+      if (e == asio::error::eof && !self->in.empty())
+        return self->call(self->in);  // without its end
       e ? self->close() : self->read();
     });
   }
@@ -61,8 +66,10 @@
     since = monotonicNow();
     out = (v.yes ? "ACK " : "NAK ") + v.why + "\n";
     asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open) return;
-      if (e) return self->close();
+      if (!self->open)
+        return;
+      if (e)
+        return self->close();
       error_code ignored;  // a close with input unread would take the answer with it
       self->socket.shutdown(tcp::socket::shutdown_send, ignored);
       self->read();
@@ -70,7 +77,8 @@
   }
 
   void close() {
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     error_code ignored;
     socket.close(ignored);
@@ -78,7 +86,8 @@
   }
 
   void checkLimit(Micros now) {
-    if (answered && now - since >= kLinger) return close();
+    if (answered && now - since >= kLinger)
+      return close();
     if (!answered && now - since >= kPatience) {
       socket.cancel();
       answer({false, "no whole line came in 5 s"});
@@ -95,23 +104,30 @@
 
 OperatorsDoor::~OperatorsDoor() {
   const auto all = callers_;
-  for (const auto& c : all) c->close();
+  for (const auto& c : all)
+    c->close();
 }
 
 void OperatorsDoor::accept() {
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted) return;
+    if (e == asio::error::operation_aborted)
+      return;
     const Micros now = monotonicNow();
     const bool full = callers_.size() >= kCallers;
-    if (!e && full && now - callers_.front()->since >= kGrace) callers_.front()->close();
-    if (!e) admit(std::move(s));
+    if (!e && full && now - callers_.front()->since >= kGrace)
+      callers_.front()->close();
+    if (!e)
+      admit(std::move(s));
     // With one over the bound, who comes next waits in the backlog until somebody may make room.
     const Micros rest = e ? 20'000 : callers_.size() > kCallers ? kGrace : 0;
-    if (rest == 0) return accept();
+    if (rest == 0)
+      return accept();
     pause_.expires_after(std::chrono::microseconds(rest));
     pause_.async_wait([this](error_code stopped) {
-      if (stopped) return;
-      if (callers_.size() > kCallers) callers_.front()->close();
+      if (stopped)
+        return;
+      if (callers_.size() > kCallers)
+        callers_.front()->close();
       accept();
     });
   });
@@ -127,16 +143,19 @@
 }
 
 void OperatorsDoor::sweep() {
-  if (sweeping_ || callers_.empty()) return;
+  if (sweeping_ || callers_.empty())
+    return;
   sweeping_ = true;
   sweeper_.expires_after(std::chrono::microseconds(kSweep));
   sweeper_.async_wait([this](error_code stopped) {
-    if (stopped) return;
+    if (stopped)
+      return;
     sweeping_ = false;
     const Micros now = monotonicNow();
     const auto all = callers_;
     for (const auto& c : all)
-      if (c->open) c->checkLimit(now);
+      if (c->open)
+        c->checkLimit(now);
     sweep();
   });
 }
--- a/src/operate/state.h
+++ b/src/operate/state.h
@@ -30,20 +30,28 @@
 
 // The call that one line names, without its end; false: none. Words are as the page of the platform has them.
 inline bool readCall(std::string_view line, Call& call) {
-  if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-  if (line == "status") call = Call::status;
-  else if (line == "standby") call = Call::standby;
-  else if (line == "active") call = Call::active;
-  else return false;
+  if (!line.empty() && line.back() == '\r')
+    line.remove_suffix(1);
+  if (line == "status")
+    call = Call::status;
+  else if (line == "standby")
+    call = Call::standby;
+  else if (line == "active")
+    call = Call::active;
+  else
+    return false;
   return true;
 }
 
 class State {
  public:
   Phase phase() const {
-    if (stopping_) return Phase::stopping;
-    if (!ready_) return Phase::starting;
-    if (shut_out_) return Phase::shut_out;
+    if (stopping_)
+      return Phase::stopping;
+    if (!ready_)
+      return Phase::starting;
+    if (shut_out_)
+      return Phase::shut_out;
     return standby_ ? Phase::standby : Phase::serving;
   }
   // Clients are to go elsewhere: PING says no, and connections end between requests.
@@ -61,7 +69,8 @@
   void letIn() { shut_out_ = false; }
   // Never taken back.
   void stop(std::string why) {
-    if (!stopping_) why_ = std::move(why);
+    if (!stopping_)
+      why_ = std::move(why);
     stopping_ = true;
   }
   // An earlier process was in standby, and this one takes its place.
@@ -70,20 +79,27 @@
   // `listed`: a list of endpoints is known. What changes by the call is to be carried out by the caller, who
   // compares phase() before and after.
   Verdict on(Call call, bool listed) {
-    if (call == Call::status) return status(listed);
-    if (stopping_) return {false, "stopping: " + why_};
+    if (call == Call::status)
+      return status(listed);
+    if (stopping_)
+      return {false, "stopping: " + why_};
     standby_ = call == Call::standby;
-    if (!ready_) return {true, standby_ ? "standby, once it has started" : "active, once it has started"};
+    if (!ready_)
+      return {true, standby_ ? "standby, once it has started" : "active, once it has started"};
     return {true, standby_ ? "standby: clients are sent away" : "active"};
   }
 
  private:
   // Whether this process can serve, which it can in standby too.
   Verdict status(bool listed) const {
-    if (stopping_) return {false, "stopping: " + why_};
-    if (!ready_) return {false, "starting"};
-    if (shut_out_) return {false, "shut out: " + shut_why_};
-    if (!listed) return {false, "no list of endpoints yet"};
+    if (stopping_)
+      return {false, "stopping: " + why_};
+    if (!ready_)
+      return {false, "starting"};
+    if (shut_out_)
+      return {false, "shut out: " + shut_why_};
+    if (!listed)
+      return {false, "no list of endpoints yet"};
     return {true, standby_ ? "standby" : "serving"};
   }
 
--- a/src/replay/losses.cpp
+++ b/src/replay/losses.cpp
@@ -52,24 +52,30 @@
     settings_.push_back(std::make_unique<Settings>(std::move(h.settings)));
     begun_ = -1;
     for (auto& [id, a] : open_) {  // out when the process ended: nobody heard
-      if (a.out > 0) spend(a, Part::failed, last_);
+      if (a.out > 0)
+        spend(a, Part::failed, last_);
       a.out = 0;
-      for (Call& c : a.calls) c.out = false;
+      for (Call& c : a.calls)
+        c.out = false;
     }
   }
 
   void turn(const Turn& t) {
     now_ = t.now;
-    if (begun_ < 0) begun_ = now_;
-    for (const Event& e : t.events) std::visit([this](const auto& x) { on(x); }, e);
-    for (const Action& a : t.actions) std::visit([this](const auto& x) { on(x); }, a);
+    if (begun_ < 0)
+      begun_ = now_;
+    for (const Event& e : t.events)
+      std::visit([this](const auto& x) { on(x); }, e);
+    for (const Action& a : t.actions)
+      std::visit([this](const auto& x) { on(x); }, a);
     last_ = now_;
   }
 
   void finish() {
     for (auto& [id, a] : open_) {
       // One that may still come in time is no loss.
-      if (now_ - a.handed_in > a.cls->aim) close(a, "unfinished", lostAt(a, now_));
+      if (now_ - a.handed_in > a.cls->aim)
+        close(a, "unfinished", lostAt(a, now_));
     }
   }
 
@@ -78,9 +84,12 @@
   double lostAt(const Account& a, Micros at) const {
     const double span = static_cast<double>(at - a.handed_in), aim = static_cast<double>(a.cls->aim),
                  deadline = static_cast<double>(a.cls->deadline);
-    if (span <= aim) return 0;
-    if (settings().late == LateRule::halves) return a.cls->worth * (1 - std::exp2(-(span - aim) / aim));
-    if (span >= deadline) return a.cls->worth;
+    if (span <= aim)
+      return 0;
+    if (settings().late == LateRule::halves)
+      return a.cls->worth * (1 - std::exp2(-(span - aim) / aim));
+    if (span >= deadline)
+      return a.cls->worth;
     return a.cls->worth * (1 - a.cls->late_worth) * (span - aim) / std::max(1.0, deadline - aim);
   }
 
@@ -102,8 +111,10 @@
   void close(Account& a, std::string cause, double lost) {
     look(a);
     l_.lost += lost;
-    if (lost <= 0 && cause.empty()) ++l_.in_time;
-    if (lost <= 0) return;
+    if (lost <= 0 && cause.empty())
+      ++l_.in_time;
+    if (lost <= 0)
+      return;
     if (cause.empty()) {
       const auto longest = std::max_element(std::begin(a.parts), std::end(a.parts)) - std::begin(a.parts);
       cause = std::string("late: ") + kPartNames[longest];
@@ -113,7 +124,8 @@
       loss->worth += lost;
       loss->ailing += a.ailing;
       loss->started += a.started;
-      for (std::size_t i = 0; i < kParts; ++i) loss->parts[i] += a.parts[i];
+      for (std::size_t i = 0; i < kParts; ++i)
+        loss->parts[i] += a.parts[i];
     }
   }
 
@@ -124,7 +136,8 @@
   Account* arrive(const Arrival& e) {
     const auto c = std::find_if(settings().classes.begin(), settings().classes.end(),
                                 [&](const MessageClass& k) { return k.name == e.message_class; });
-    if (c == settings().classes.end()) return nullptr;
+    if (c == settings().classes.end())
+      return nullptr;
     Account& a = open_[e.id];
     a.cls = &*c;
     a.destination = e.destination;
@@ -144,24 +157,31 @@
   }
   void on(const Resumed& e) {
     Account* a = find(e.message.id);
-    if (!a) a = arrive(e.message);  // taken on before the record begins
-    if (!a) return;
+    if (!a)
+      a = arrive(e.message);  // taken on before the record begins
+    if (!a)
+      return;
     for (const MessageClass& c : settings().classes)
-      if (c.name == e.message.message_class) a->cls = &c;
-    if (e.rules) a->cls = versions_.emplace_back(e.rules).get();
+      if (c.name == e.message.message_class)
+        a->cls = &c;
+    if (e.rules)
+      a->cls = versions_.emplace_back(e.rules).get();
     spend(*a, Part::away, now_);
     a->tried = a->tried || !e.attempts.empty();
     a->calls.resize(e.attempts.size());
-    for (Call& c : a->calls) c.out = false;
+    for (Call& c : a->calls)
+      c.out = false;
     look(*a);
   }
   void on(const Gone& e) { open_.erase(e.id); }
   void on(const Retuned& e) { settings_.push_back(std::make_unique<Settings>(e.settings)); }
   void on(const Outcome& e) {
     Account* a = find(e.id);
-    if (!a || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= a->calls.size()) return;
+    if (!a || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= a->calls.size())
+      return;
     Call& c = a->calls[static_cast<std::size_t>(e.attempt)];
-    if (!c.out) return;
+    if (!c.out)
+      return;
     c.out = false;
     --a->out;
     const bool over = e.finished || e.result == Result::ok;
@@ -175,8 +195,10 @@
   }
   void on(const Send& s) {
     Account* a = find(s.id);
-    if (!a) return;
-    if (a->out == 0) spendHeld(*a);
+    if (!a)
+      return;
+    if (a->out == 0)
+      spendHeld(*a);
     a->calls.push_back({now_, true});
     ++a->out;
     a->tried = true;
@@ -184,7 +206,8 @@
   }
   void end(const std::string& id, const std::string& how) {
     Account* a = find(id);
-    if (!a) return;
+    if (!a)
+      return;
     a->out > 0 ? spend(*a, Part::failed, now_) : spendHeld(*a);
     close(*a, how, a->cls->worth);
     open_.erase(id);
@@ -196,7 +219,8 @@
   }
   void on(const Fail& f) { end(f.id, "given up"); }
   void on(const Ailment& a) {
-    if (a.endpoint.empty()) ailing_[a.destination] = {a.down, a.cold_since};
+    if (a.endpoint.empty())
+      ailing_[a.destination] = {a.down, a.cold_since};
   }
   template <class Other>
   void on(const Other&) {}
@@ -224,7 +248,8 @@
 template <class Map>
 auto mostFirst(const Map& map) {
   std::vector<std::pair<typename Map::key_type, const Loss*>> all;
-  for (const auto& [key, l] : map) all.emplace_back(key, &l);
+  for (const auto& [key, l] : map)
+    all.emplace_back(key, &l);
   std::stable_sort(all.begin(), all.end(),
                    [](const auto& a, const auto& b) { return a.second->worth > b.second->worth; });
   return all;
@@ -238,25 +263,32 @@
   std::string line;
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     const nlohmann::json j = nlohmann::json::parse(line, nullptr, false);
-    if (j.is_discarded()) continue;  // cut short by a kill; a replay tells of others
+    if (j.is_discarded())
+      continue;  // cut short by a kill; a replay tells of others
     try {
-      if (isHead(j)) reader.head(readHead(j));
-      else if (l.runs == 0) throw std::runtime_error("a head is expected first");
-      else reader.turn(readTurn(j));
+      if (isHead(j))
+        reader.head(readHead(j));
+      else if (l.runs == 0)
+        throw std::runtime_error("a head is expected first");
+      else
+        reader.turn(readTurn(j));
     } catch (const std::exception& e) {
       l.unreadable = "line " + std::to_string(number) + ": " + e.what();
       return l;
     }
   }
-  if (l.runs == 0) l.unreadable = "line 1: a head is expected first";
+  if (l.runs == 0)
+    l.unreadable = "line 1: a head is expected first";
   reader.finish();
   return l;
 }
 
 nlohmann::json shown(const Losses& l) {
   nlohmann::json causes = nlohmann::json::object(), destinations = nlohmann::json::object();
-  for (const auto& [cause, loss] : l.by_cause) causes[cause] = shown(loss);
-  for (const auto& [d, loss] : l.by_destination) destinations[std::to_string(d)] = shown(loss);
+  for (const auto& [cause, loss] : l.by_cause)
+    causes[cause] = shown(loss);
+  for (const auto& [d, loss] : l.by_destination)
+    destinations[std::to_string(d)] = shown(loss);
   return {{"runs", l.runs},       {"messages", l.messages},
           {"in_time", l.in_time}, {"worth", l.worth},
           {"lost", l.lost},       {"by_cause", std::move(causes)},
@@ -279,13 +311,16 @@
       << std::setprecision(1) << l.worth << ", lost " << l.lost << "\n  " << std::left << std::setw(38)
       << "cause" << std::right << "messages    worth  of all  ailing after start   before    first    again"
       << "   failed     away   answer (mean ms)\n";
-  for (const auto& [cause, loss] : mostFirst(l.by_cause)) row(cause, *loss);
+  for (const auto& [cause, loss] : mostFirst(l.by_cause))
+    row(cause, *loss);
   out << "  destinations\n";
   std::size_t n = 0;
   for (const auto& [d, loss] : mostFirst(l.by_destination))
-    if (++n <= kMostShown) row(std::to_string(d), *loss);
+    if (++n <= kMostShown)
+      row(std::to_string(d), *loss);
   out << "  calls that did not deliver:";
-  for (const auto& [result, count] : l.results) out << ' ' << result << ' ' << count;
+  for (const auto& [result, count] : l.results)
+    out << ' ' << result << ' ' << count;
   out << '\n';
 }
 
--- a/src/replay/main.cpp
+++ b/src/replay/main.cpp
@@ -20,7 +20,9 @@
       "the last line is JSON");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) { return app.exit(e) == 0 ? 0 : 2; }
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e) == 0 ? 0 : 2;
+  }
   std::ifstream in(file, std::ios::binary);
   if (!in) {
     std::cerr << "grademux_replay: can't be read: " << file << '\n';
@@ -28,13 +30,15 @@
   }
   if (where) {
     const grademux::replay::Losses l = grademux::replay::losses(in);
-    if (!l.unreadable.empty()) std::cerr << file << ": " << l.unreadable << '\n';
+    if (!l.unreadable.empty())
+      std::cerr << file << ": " << l.unreadable << '\n';
     print(l, std::cout);
     std::cout << shown(l).dump() << '\n';
     return l.unreadable.empty() ? 0 : 2;
   }
   const grademux::replay::Report r = grademux::replay::replay(in);
-  if (!r.unreadable.empty()) std::cerr << file << ": " << r.unreadable << '\n';
+  if (!r.unreadable.empty())
+    std::cerr << file << ": " << r.unreadable << '\n';
   if (r.difference) {
     const auto& d = *r.difference;
     std::cout << file << ":" << d.line << ": at " << d.now << " us, action " << d.action
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -13,7 +13,8 @@
 
 bool endsWithinALine(const std::string& path) {
   std::ifstream in(path, std::ios::binary | std::ios::ate);
-  if (!in || in.tellg() <= 0) return false;
+  if (!in || in.tellg() <= 0)
+    return false;
   in.seekg(-1, std::ios::end);
   return in.get() != '\n';
 }
@@ -25,16 +26,19 @@
     : path_(path), most_(most_bytes) {
   const bool torn = endsWithinALine(path);  // of a process that was killed
   out_.open(path, std::ios::binary | std::ios::app);
-  if (!out_) throw std::runtime_error("the record " + path + " can't be written");
+  if (!out_)
+    throw std::runtime_error("the record " + path + " can't be written");
   bytes_ = static_cast<std::uint64_t>(std::max<std::streamoff>(0, out_.tellp()));
   write((torn ? "\n" : "") + headLine(settings, seed));
   out_.flush();
 }
 
 void Recorder::turn(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions) {
-  if (ended_) return;
+  if (ended_)
+    return;
   write(turnLine(now, events, actions));
-  if (now - flushed_ < kFlush) return;
+  if (now - flushed_ < kFlush)
+    return;
   flushed_ = now;
   out_.flush();
 }
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -17,8 +17,10 @@
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     try {
       const json j = json::parse(line, nullptr, false);
-      if (!torn.empty() && !isHead(j)) bad(torn);
-      if (!torn.empty()) ++r.cut;
+      if (!torn.empty() && !isHead(j))
+        bad(torn);
+      if (!torn.empty())
+        ++r.cut;
       torn.clear();
       if (j.is_discarded()) {
         torn = "JSON is expected, or the line before was cut short in the middle of a run";
@@ -31,9 +33,11 @@
         ++r.runs;
         continue;
       }
-      if (!sender) bad("a head is expected first");
+      if (!sender)
+        bad("a head is expected first");
       const Turn t = readTurn(j);
-      if (t.now < latest) bad("its time is before that of the turn before");
+      if (t.now < latest)
+        bad("its time is before that of the turn before");
       latest = t.now;
       const std::vector<Action> decided = sender->decide(t.now, t.events);
       ++r.turns;
@@ -51,8 +55,10 @@
       return r;
     }
   }
-  if (!torn.empty()) ++r.cut;
-  if (r.runs == 0) r.unreadable = "line 1: a head is expected first";
+  if (!torn.empty())
+    ++r.cut;
+  if (r.runs == 0)
+    r.unreadable = "line 1: a head is expected first";
   return r;
 }
 
--- a/src/replay/stream_codec.cpp
+++ b/src/replay/stream_codec.cpp
@@ -165,11 +165,17 @@
   v("pool", x.pool);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Stopping) { v("at", x.at); }
+GRADEMUX_FIELDS(Stopping) {
+  v("at", x.at);
+}
 GRADEMUX_END;
-GRADEMUX_FIELDS(Gone) { v("id", x.id); }
+GRADEMUX_FIELDS(Gone) {
+  v("id", x.id);
+}
 GRADEMUX_END;
-GRADEMUX_FIELDS(Retuned) { v("settings", x.settings); }
+GRADEMUX_FIELDS(Retuned) {
+  v("settings", x.settings);
+}
 GRADEMUX_END;
 GRADEMUX_FIELDS(Outcome) {
   v("id", x.id);
@@ -206,27 +212,49 @@
   v("pause", x.pause);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Fail) { v("id", x.id); }
+GRADEMUX_FIELDS(Fail) {
+  v("id", x.id);
+}
 GRADEMUX_END;
 GRADEMUX_FIELDS(Watch) {}
 GRADEMUX_END;
-GRADEMUX_FIELDS(CloseIdle) { v("endpoint", x.endpoint); }
+GRADEMUX_FIELDS(CloseIdle) {
+  v("endpoint", x.endpoint);
+}
 GRADEMUX_END;
-GRADEMUX_FIELDS(WakeIn) { v("span", x.span); }
+GRADEMUX_FIELDS(WakeIn) {
+  v("span", x.span);
+}
 GRADEMUX_END;
 
 #undef GRADEMUX_FIELDS
 #undef GRADEMUX_END
 
 // The last of each enumeration.
-constexpr Effect lastOf(Effect) { return Effect::unsafe; }
-constexpr RepeatGroup lastOf(RepeatGroup) { return RepeatGroup::cell; }
-constexpr LateRule lastOf(LateRule) { return LateRule::halves; }
-constexpr WeightKind lastOf(WeightKind) { return WeightKind::rough; }
-constexpr ListMode lastOf(ListMode) { return ListMode::ask; }
-constexpr EndpointState lastOf(EndpointState) { return EndpointState::gone; }
-constexpr Result lastOf(Result) { return Result::not_sent; }
-constexpr ListKind lastOf(ListKind) { return ListKind::failed; }
+constexpr Effect lastOf(Effect) {
+  return Effect::unsafe;
+}
+constexpr RepeatGroup lastOf(RepeatGroup) {
+  return RepeatGroup::cell;
+}
+constexpr LateRule lastOf(LateRule) {
+  return LateRule::halves;
+}
+constexpr WeightKind lastOf(WeightKind) {
+  return WeightKind::rough;
+}
+constexpr ListMode lastOf(ListMode) {
+  return ListMode::ask;
+}
+constexpr EndpointState lastOf(EndpointState) {
+  return EndpointState::gone;
+}
+constexpr Result lastOf(Result) {
+  return Result::not_sent;
+}
+constexpr ListKind lastOf(ListKind) {
+  return ListKind::failed;
+}
 
 // ---- both directions
 
@@ -247,21 +275,25 @@
   // A field that records of earlier versions lack: absent is as new.
   template <class T>
   void later(const char* name, const T& x) {
-    if (x != T{}) out[name] = encode(x);
+    if (x != T{})
+      out[name] = encode(x);
   }
 };
 
 template <class T>
 json encode(const std::vector<T>& all) {
   json a = json::array();
-  for (const T& x : all) a.push_back(encode(x));
+  for (const T& x : all)
+    a.push_back(encode(x));
   return a;
 }
 template <class T>
 json encode(const std::optional<T>& x) {
   return x ? encode(*x) : json();
 }
-json encode(const ClassVersion& x) { return x ? encode(*x) : json(); }
+json encode(const ClassVersion& x) {
+  return x ? encode(*x) : json();
+}
 template <class T>
 json encode(const T& x) {
   if constexpr (std::is_enum_v<T>) {
@@ -275,7 +307,9 @@
   }
 }
 
-[[noreturn]] void unfit(const char* name) { bad(std::string("can't be used: ") + name); }
+[[noreturn]] void unfit(const char* name) {
+  bad(std::string("can't be used: ") + name);
+}
 
 template <class T>
 void decode(const json& in, const char* name, T& x);
@@ -294,20 +328,24 @@
   template <class T>
   void later(const char* name, T& x) {
     const auto at = in.find(name);
-    if (at != in.end()) decode(*at, name, x);
+    if (at != in.end())
+      decode(*at, name, x);
   }
 };
 
 template <class T>
 void decode(const json& in, const char* name, std::vector<T>& all) {
-  if (!in.is_array()) unfit(name);
+  if (!in.is_array())
+    unfit(name);
   all.clear();
-  for (const json& i : in) decode(i, name, all.emplace_back());
+  for (const json& i : in)
+    decode(i, name, all.emplace_back());
 }
 template <class T>
 void decode(const json& in, const char* name, std::optional<T>& x) {
   x.reset();
-  if (!in.is_null()) decode(in, name, x.emplace());
+  if (!in.is_null())
+    decode(in, name, x.emplace());
 }
 void decode(const json& in, const char* name, ClassVersion& x) {
   MessageClass c;
@@ -317,13 +355,16 @@
 template <class T>
 void decode(const json& in, const char* name, T& x) {
   if constexpr (std::is_same_v<T, bool>) {
-    if (!in.is_boolean()) unfit(name);
+    if (!in.is_boolean())
+      unfit(name);
     x = in.get<bool>();
   } else if constexpr (std::is_enum_v<T>) {
-    if (!in.is_number_integer() || in < 0 || in > static_cast<int>(lastOf(T{}))) unfit(name);
+    if (!in.is_number_integer() || in < 0 || in > static_cast<int>(lastOf(T{})))
+      unfit(name);
     x = static_cast<T>(in.get<int>());
   } else if constexpr (std::is_floating_point_v<T>) {
-    if (!in.is_number()) unfit(name);
+    if (!in.is_number())
+      unfit(name);
     x = in.get<T>();
   } else if constexpr (std::is_integral_v<T>) {
     if (!in.is_number_integer() || in.get<std::int64_t>() > std::numeric_limits<T>::max() ||
@@ -331,10 +372,12 @@
       unfit(name);
     x = in.get<T>();
   } else if constexpr (std::is_same_v<T, std::string>) {
-    if (!in.is_string()) unfit(name);
+    if (!in.is_string())
+      unfit(name);
     x = in.get<std::string>();
   } else {
-    if (!in.is_object()) unfit(name);
+    if (!in.is_object())
+      unfit(name);
     Decoder d{in};
     Fields<T>::visit(d, x);
   }
@@ -350,14 +393,17 @@
   if constexpr (I == std::variant_size_v<V>) {
     bad("unknown kind: " + (in.is_object() && !in.empty() ? in.begin().key() : std::string("none")));
   } else {
-    if (!in.is_object() || !in.contains(names[I])) return decodeKind<V, I + 1>(in, names);
+    if (!in.is_object() || !in.contains(names[I]))
+      return decodeKind<V, I + 1>(in, names);
     std::variant_alternative_t<I, V> x;
     decode(in[names[I]], names[I], x);
     return x;
   }
 }
 
-std::string lineOf(const json& j) { return j.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string lineOf(const json& j) {
+  return j.dump(-1, ' ', false, json::error_handler_t::replace);
+}
 
 }  // namespace
 
@@ -369,14 +415,20 @@
 
 std::string turnLine(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions) {
   json e = json::array(), a = json::array();
-  for (const Event& x : events) e.push_back(encodeKind(x, kEvents));
-  for (const Action& x : actions) a.push_back(actionJson(x));
+  for (const Event& x : events)
+    e.push_back(encodeKind(x, kEvents));
+  for (const Action& x : actions)
+    a.push_back(actionJson(x));
   return lineOf({{"now", now}, {"events", std::move(e)}, {"actions", std::move(a)}});
 }
 
-json actionJson(const Action& a) { return encodeKind(a, kActions); }
+json actionJson(const Action& a) {
+  return encodeKind(a, kActions);
+}
 
-bool isHead(const json& line) { return line.is_object() && line.contains("grademux_decisions"); }
+bool isHead(const json& line) {
+  return line.is_object() && line.contains("grademux_decisions");
+}
 
 Head readHead(const json& line) {
   const std::int64_t format = integer(line, "grademux_decisions");
@@ -392,11 +444,14 @@
 }
 
 Turn readTurn(const json& line) {
-  if (!line.is_object()) bad("a turn is not an object");
+  if (!line.is_object())
+    bad("a turn is not an object");
   Turn t;
   t.now = integer(line, "now");
-  for (const json& e : array(line, "events")) t.events.push_back(decodeKind<Event>(e, kEvents));
-  for (const json& a : array(line, "actions")) t.actions.push_back(decodeKind<Action>(a, kActions));
+  for (const json& e : array(line, "events"))
+    t.events.push_back(decodeKind<Event>(e, kEvents));
+  for (const json& a : array(line, "actions"))
+    t.actions.push_back(decodeKind<Action>(a, kActions));
   return t;
 }
 
--- a/src/sim/simhost.cpp
+++ b/src/sim/simhost.cpp
@@ -37,40 +37,53 @@
  public:
   std::string turn(const std::string& line) {
     json batch = json::parse(line, nullptr, false);
-    if (batch.is_discarded()) bad("not JSON");
-    if (!batch.is_object()) bad("not an object");
+    if (batch.is_discarded())
+      bad("not JSON");
+    if (!batch.is_object())
+      bad("not an object");
     const Micros now = span(batch, "SimTimeMs");
     touched_.clear();
     faults_.clear();
-    for (const json& e : array(batch, "arrivals")) take(e);
+    for (const json& e : array(batch, "arrivals"))
+      take(e);
     json cmds = json::array();
-    for (std::int64_t who : touched_) answer(who, now, cmds);
-    for (const auto& [who, words] : faults_) cmds.push_back({{"Fatal", {{"Who", who}, {"Words", words}}}});
+    for (std::int64_t who : touched_)
+      answer(who, now, cmds);
+    for (const auto& [who, words] : faults_)
+      cmds.push_back({{"Fatal", {{"Who", who}, {"Words", words}}}});
     return json{{"cmds", std::move(cmds)}}.dump();
   }
 
  private:
   void take(const json& e) {
-    if (!e.is_object() || e.size() != 1) bad("an event is an object of one key");
+    if (!e.is_object() || e.size() != 1)
+      bad("an event is an object of one key");
     const std::string name = e.begin().key();
     try {
       takeNamed(name, e.begin().value());
-    } catch (const BadInput& b) { bad(name + ": " + b.what()); }
+    } catch (const BadInput& b) {
+      bad(name + ": " + b.what());
+    }
   }
 
   void takeNamed(const std::string& name, const json& f) {
-    if (!f.is_object()) bad("not an object");
-    if (name == "Roster") return roster(f);
+    if (!f.is_object())
+      bad("not an object");
+    if (name == "Roster")
+      return roster(f);
     const std::int64_t who = integer(f, "Who");
-    if (name == "Attach") return attach(who, f);
+    if (name == "Attach")
+      return attach(who, f);
     auto it = instances_.find(who);
-    if (it == instances_.end()) bad("instance never attached: " + std::to_string(who));
+    if (it == instances_.end())
+      bad("instance never attached: " + std::to_string(who));
     if (name == "PowerOff") {
       instances_.erase(it);
       return;
     }
     Instance& i = it->second;
-    if (std::find(touched_.begin(), touched_.end(), who) == touched_.end()) touched_.push_back(who);
+    if (std::find(touched_.begin(), touched_.end(), who) == touched_.end())
+      touched_.push_back(who);
     if (name == "Members") {
       i.events.push_back(members(f));
     } else if (name == "Call") {
@@ -94,14 +107,17 @@
 
   void attach(std::int64_t who, const json& f) {
     const json& seed = field(f, "RandomSeed");
-    if (!seed.is_number_integer()) bad("not a whole number: RandomSeed");
+    if (!seed.is_number_integer())
+      bad("not a whole number: RandomSeed");
     const json& o = object(f, "Options");
     int x0 = -1, x1 = -1, at = 0;
     const json& stats = optionalObject(o, "Stats");
     if (!absent(stats, "Fields"))
       for (const json& n : array(stats, "Fields")) {
-        if (n == "x0") x0 = at;
-        if (n == "x1") x1 = at;
+        if (n == "x0")
+          x0 = at;
+        if (n == "x1")
+          x1 = at;
         ++at;
       }
     Settings s = readSettings(o);
@@ -109,7 +125,9 @@
     try {
       instances_.emplace(std::piecewise_construct, std::forward_as_tuple(who),
                          std::forward_as_tuple(std::move(s), seed.get<std::uint64_t>(), x0, x1));
-    } catch (const std::invalid_argument& e) { bad(e.what()); }
+    } catch (const std::invalid_argument& e) {
+      bad(e.what());
+    }
   }
 
   void roster(const json& f) {
@@ -121,7 +139,8 @@
       e.kind = text(m, "Hw", "");
       e.destination = integer(m, "Cell");
       const std::int64_t mode = integer(m, "Mode");
-      if (mode < 1 || mode > 3) bad("unknown value of Mode");
+      if (mode < 1 || mode > 3)
+        bad("unknown value of Mode");
       e.state = mode == 3 ? EndpointState::ready : mode == 2 ? EndpointState::draining : EndpointState::gone;
       e.weight = number(m, "Share", 0);
       list.push_back(std::move(e));
@@ -131,14 +150,17 @@
 
   ListUpdate members(const json& f) {
     const std::int64_t kind = integer(f, "Kind");
-    if (kind < 0 || kind > 3) bad("unknown value of Kind");
+    if (kind < 0 || kind > 3)
+      bad("unknown value of Kind");
     const ListKind kinds[] = {ListKind::delta, ListKind::full, ListKind::cached, ListKind::failed};
     ListUpdate u;
     u.kind = kinds[kind];
-    if (u.kind == ListKind::failed) return u;
+    if (u.kind == ListKind::failed)
+      return u;
     const std::int64_t sheet = integer(f, "Sheet");
     auto it = sheets_.find(sheet);
-    if (it == sheets_.end()) bad("list number never given: " + std::to_string(sheet));
+    if (it == sheets_.end())
+      bad("list number never given: " + std::to_string(sheet));
     u.endpoints = it->second;
     return u;
   }
@@ -147,7 +169,8 @@
     Arrival a;
     a.id = text(f, "OpId");
     a.message_class = text(f, "TierClass");
-    if (!absent(f, "Billing") && f["Billing"].is_string()) a.tenant = text(f, "Billing");
+    if (!absent(f, "Billing") && f["Billing"].is_string())
+      a.tenant = text(f, "Billing");
     a.order_key = text(f, "RouteKey", "");
     a.destination = static_cast<std::int64_t>(number(f, "FarEnd"));
     a.give_up_at = span(f, "GiveUpAtMs");
@@ -157,14 +180,16 @@
   }
 
   static std::optional<LimitReport> gauge(const Instance& i, const json& f) {
-    if (absent(f, "Gauge")) return std::nullopt;
+    if (absent(f, "Gauge"))
+      return std::nullopt;
     const json& row = array(f, "Gauge");
     auto at = [&](int k) {
       return k >= 0 && k < static_cast<int>(row.size()) && row[static_cast<std::size_t>(k)].is_number()
                  ? row[static_cast<std::size_t>(k)].get<double>()
                  : 0.0;
     };
-    if (i.x0 < 0 && i.x1 < 0) return std::nullopt;
+    if (i.x0 < 0 && i.x1 < 0)
+      return std::nullopt;
     return LimitReport{at(i.x0), at(i.x1)};
   }
 
@@ -174,7 +199,8 @@
     o.attempt = static_cast<int>(integer(f, "Attempt"));
     o.result = readResult(f);
     o.finished = truth(f, "Finished", false);
-    if (o.result == Result::full) o.wait = span(f, "Detail", 0);
+    if (o.result == Result::full)
+      o.wait = span(f, "Detail", 0);
     o.rtt = span(f, "RttMs", 0);
     o.report = gauge(i, f);
     return o;
@@ -182,15 +208,20 @@
 
   void answer(std::int64_t who, Micros now, json& cmds) {
     auto it = instances_.find(who);
-    if (it == instances_.end()) return;
+    if (it == instances_.end())
+      return;
     Instance& i = it->second;
     std::vector<Event> events;
     events.swap(i.events);
-    if (events.empty()) return;
+    if (events.empty())
+      return;
     try {
       for (const Action& a : i.sender.decide(now, events))
-        if (json c = command(i, who, a); !c.is_null()) cmds.push_back(std::move(c));
-    } catch (const std::exception& e) { faults_.emplace_back(who, e.what()); }
+        if (json c = command(i, who, a); !c.is_null())
+          cmds.push_back(std::move(c));
+    } catch (const std::exception& e) {
+      faults_.emplace_back(who, e.what());
+    }
   }
 
   static json command(Instance& i, std::int64_t who, const Action& action) {
--- a/src/transport/http/answer_outcome.cpp
+++ b/src/transport/http/answer_outcome.cpp
@@ -21,16 +21,20 @@
   const auto dot = s.find('.');
   const bool digits = s.find_first_not_of("0123456789.") == std::string::npos && dot == s.rfind('.') &&
                       s.size() <= kLongestNumber && s.find_first_of("0123456789") != std::string::npos;
-  if (!digits) return std::nullopt;
+  if (!digits)
+    return std::nullopt;
   return std::strtod(s.c_str(), nullptr);
 }
 
 }  // namespace
 
 Result resultOf(const HttpAnswer& answer) {
-  if (answer.how == Exchanged::not_written) return Result::connect_failed;
-  if (answer.how == Exchanged::broken) return Result::reset;
-  if (answer.how == Exchanged::timed_out) return Result::timeout;
+  if (answer.how == Exchanged::not_written)
+    return Result::connect_failed;
+  if (answer.how == Exchanged::broken)
+    return Result::reset;
+  if (answer.how == Exchanged::timed_out)
+    return Result::timeout;
   switch (answer.status) {
     case kOk:
       return Result::ok;
@@ -49,32 +53,40 @@
 Micros waitOf(const HttpAnswer& answer) {
   const bool refusal = answer.head_status == kTooManyRequests ||
                        (answer.head_status == kUnavailable && !answer.field("x-egress-full"));
-  if (!refusal) return 0;
+  if (!refusal)
+    return 0;
   const std::string* told = answer.field("retry-after");
   const auto seconds = told ? numberIn(*told) : std::nullopt;
-  if (!seconds) return 0;
+  if (!seconds)
+    return 0;
   return static_cast<Micros>(std::ceil(std::min(*seconds * 1e6, static_cast<double>(kLongestWait))));
 }
 
 // "x0=0.4,x1=25"; one that can't be read throughout is no report: zeros would say that there is no limit.
 std::optional<LimitReport> reportOf(const HttpAnswer& answer) {
   const std::string* told = answer.field("x-pressure");
-  if (!told) return std::nullopt;
+  if (!told)
+    return std::nullopt;
   std::optional<double> left, limit;
   for (std::size_t at = 0; at <= told->size();) {
     const std::size_t end = std::min(told->find(',', at), told->size());
     const std::string item = told->substr(at, end - at);
     at = end + 1;
     const auto equals = item.find('=');
-    if (equals == std::string::npos) return std::nullopt;
+    if (equals == std::string::npos)
+      return std::nullopt;
     std::string value = item.substr(equals + 1);
     const bool negative = value.size() > 1 && value[0] == '-';  // noise around nothing left
     const auto v = numberIn(negative ? value.substr(1) : value);
-    if (!v) return std::nullopt;
-    if (item.compare(0, equals, "x0") == 0) left = negative ? 0 : *v;
-    if (item.compare(0, equals, "x1") == 0) limit = negative ? 0 : *v;
+    if (!v)
+      return std::nullopt;
+    if (item.compare(0, equals, "x0") == 0)
+      left = negative ? 0 : *v;
+    if (item.compare(0, equals, "x1") == 0)
+      limit = negative ? 0 : *v;
   }
-  if (!left || !limit || *limit > kMostLimit) return std::nullopt;
+  if (!left || !limit || *limit > kMostLimit)
+    return std::nullopt;
   return LimitReport{*left, *limit};
 }
 
--- a/src/transport/http/http_transport.cpp
+++ b/src/transport/http/http_transport.cpp
@@ -19,7 +19,8 @@
 constexpr std::size_t kBodyLimit = 65536;
 
 void logEnd(const CallId& id, const std::string& endpoint, Result result) {
-  if (!log::on(log::Event::attempt_ended)) return;
+  if (!log::on(log::Event::attempt_ended))
+    return;
   log::write(
       log::Event::attempt_ended,
       {{"message", id.first}, {"endpoint", endpoint}, {"attempt", id.second}, {"outcome", nameOf(result)}});
@@ -32,7 +33,8 @@
 
 void HttpTransport::address(const std::string& endpoint, const std::string& address) {
   std::string& known = addresses_[endpoint];
-  if (known == address) return;
+  if (known == address)
+    return;
   known = address;
   closeIdle(endpoint);
 }
@@ -49,13 +51,15 @@
 // The freshest that is still good; null: there is none.
 std::unique_ptr<HttpConnection> HttpTransport::takeIdle(const std::string& endpoint) {
   const auto pool = idle_.find(endpoint);
-  if (pool == idle_.end()) return nullptr;
+  if (pool == idle_.end())
+    return nullptr;
   auto& idle = pool->second;
   while (!idle.empty()) {
     std::unique_ptr<HttpConnection> freshest = std::move(idle.back().connection);
     idle.pop_back();
     --idle_count_;
-    if (freshest->reusable()) return freshest;
+    if (freshest->reusable())
+      return freshest;
   }
   return nullptr;
 }
@@ -66,12 +70,15 @@
   http.method = "POST";
   http.target = "/hook";
   http.fields.emplace_back("X-Txn", message.id);
-  if (!message.idempotency_key.empty()) http.fields.emplace_back("Idempotency-Key", message.idempotency_key);
+  if (!message.idempotency_key.empty())
+    http.fields.emplace_back("Idempotency-Key", message.idempotency_key);
   http.fields.emplace_back("X-Remaining-Ms", std::to_string(std::max<Micros>(1, request.timeout / 1000)));
-  if (!request.stamp.empty()) http.fields.emplace_back("X-Fleet-Version", request.stamp);
+  if (!request.stamp.empty())
+    http.fields.emplace_back("X-Fleet-Version", request.stamp);
   http.body = message.body;
   http.write_within = request.write_within;
-  if (may_) http.may_begin = [this, endpoint = request.endpoint] { return may_(endpoint); };
+  if (may_)
+    http.may_begin = [this, endpoint = request.endpoint] { return may_(endpoint); };
   return http;
 }
 
@@ -80,9 +87,11 @@
   Call call;
   call.endpoint = request.endpoint;
   const auto listed = addresses_.find(request.endpoint);
-  if (listed != addresses_.end()) call.address = listed->second;
+  if (listed != addresses_.end())
+    call.address = listed->second;
   call.began = monotonicNow();
-  if (request.write_within != kNoWriteLimit) call.write_by = call.began + request.write_within;
+  if (request.write_within != kNoWriteLimit)
+    call.write_by = call.began + request.write_within;
   call.connection = takeIdle(request.endpoint);
   try {
     if (!call.connection)
@@ -103,7 +112,8 @@
 void HttpTransport::withholdUnwritten(const std::function<bool(const Call&)>& concerned) {
   std::vector<CallId> unwritten;
   for (const auto& [id, call] : calls_)
-    if (!call.connection->written() && concerned(call)) unwritten.push_back(id);
+    if (!call.connection->written() && concerned(call))
+      unwritten.push_back(id);
   for (const CallId& id : unwritten) {
     const auto call = calls_.find(id);
     Outcome outcome = outcomeOf(id, call->second, {});
@@ -122,7 +132,8 @@
   outcome.attempt = id.second;
   outcome.result = resultOf(answer);
   // It is no sign of the endpoint that there was no time left to write it.
-  if (answer.how == Exchanged::not_written && now >= call.write_by) outcome.result = Result::not_sent;
+  if (answer.how == Exchanged::not_written && now >= call.write_by)
+    outcome.result = Result::not_sent;
   outcome.finished =
       answer.how == Exchanged::answered && (answer.status == kDelivered || answer.status == kOver);
   outcome.wait = waitOf(answer);
@@ -134,7 +145,8 @@
 
 // `endpoint` has told to wait for so long, or not (0).
 void HttpTransport::heedWait(const std::string& endpoint, Micros wait) {
-  if (wait == 0 || !scope_of_) return;
+  if (wait == 0 || !scope_of_)
+    return;
   const std::string scope = scope_of_(endpoint);
   withholdUnwritten([&](const Call& other) { return scope_of_(other.endpoint) == scope; });
 }
@@ -144,13 +156,15 @@
   // The module keeps its own count of idle connections: one is kept after the same outcomes as there.
   const bool kept =
       outcome.result == Result::ok || outcome.result == Result::error || outcome.result == Result::full;
-  if (kept) keep(call);
+  if (kept)
+    keep(call);
   return outcome;
 }
 
 void HttpTransport::over(const CallId& id, const HttpAnswer& answer) {
   const auto known = calls_.find(id);
-  if (known == calls_.end()) return;
+  if (known == calls_.end())
+    return;
   Call call = std::move(known->second);
   calls_.erase(known);
   Outcome outcome = settle(id, call, answer);
@@ -171,12 +185,14 @@
 void HttpTransport::cancel(const std::string& id, int attempt) {
   const CallId call_id{id, attempt};
   const auto known = calls_.find(call_id);
-  if (known == calls_.end()) return;
+  if (known == calls_.end())
+    return;
   Call call = std::move(known->second);
   calls_.erase(known);
   const HttpAnswer last = call.connection->abandon();
   Outcome outcome = settle(call_id, call, last);
-  if (last.how != Exchanged::answered) outcome.result = Result::cancelled;
+  if (last.how != Exchanged::answered)
+    outcome.result = Result::cancelled;
   logEnd(call_id, call.endpoint, outcome.result);
   const Micros wait = outcome.wait;
   reportLater(std::move(outcome));  // ahead of those that the wait ends
@@ -185,7 +201,8 @@
 
 std::vector<CallId> HttpTransport::outCalls() const {
   std::vector<CallId> all(reporting_.begin(), reporting_.end());
-  for (const auto& [id, call] : calls_) all.push_back(id);
+  for (const auto& [id, call] : calls_)
+    all.push_back(id);
   return all;
 }
 
@@ -196,15 +213,18 @@
 
 void HttpTransport::closeIdle(const std::string& endpoint) {
   auto it = idle_.find(endpoint);
-  if (it == idle_.end()) return;
+  if (it == idle_.end())
+    return;
   idle_count_ -= it->second.size();
   idle_.erase(it);
 }
 
 void HttpTransport::keep(Call& call) {
   const auto listed = addresses_.find(call.endpoint);
-  if (listed == addresses_.end() || call.address != listed->second || !call.connection->reusable()) return;
-  if (idle_count_ >= limits_.max_idle) return;
+  if (listed == addresses_.end() || call.address != listed->second || !call.connection->reusable())
+    return;
+  if (idle_count_ >= limits_.max_idle)
+    return;
   idle_[call.endpoint].push_back({std::move(call.connection), monotonicNow()});
   ++idle_count_;
   sweep();
@@ -212,7 +232,8 @@
 
 // Closes what has idled almost as long as an endpoint allows. Guards against a call that crosses the close.
 void HttpTransport::sweep() {
-  if (sweeping_ || limits_.conn_idle <= 0) return;
+  if (sweeping_ || limits_.conn_idle <= 0)
+    return;
   const Micros most = limits_.conn_idle - limits_.conn_idle / 20;
   Micros next = 0;
   const Micros now = monotonicNow();
@@ -221,13 +242,16 @@
       idle.pop_front();
       --idle_count_;
     }
-    if (!idle.empty() && (next == 0 || idle.front().since + most < next)) next = idle.front().since + most;
+    if (!idle.empty() && (next == 0 || idle.front().since + most < next))
+      next = idle.front().since + most;
   }
-  if (next == 0) return;
+  if (next == 0)
+    return;
   sweeping_ = true;
   sweeper_.expires_after(std::chrono::microseconds(next - now));
   sweeper_.async_wait([this](const boost::system::error_code& e) {
-    if (e) return;
+    if (e)
+      return;
     sweeping_ = false;
     sweep();
   });
--- a/src/zones/desk.cpp
+++ b/src/zones/desk.cpp
@@ -10,7 +10,9 @@
 const State kIn;
 
 // So coarse that a report is no news each second.
-double rounded(double traffic) { return traffic < 0.01 ? 0 : std::exp2(std::round(std::log2(traffic))); }
+double rounded(double traffic) {
+  return traffic < 0.01 ? 0 : std::exp2(std::round(std::log2(traffic)));
+}
 }  // namespace
 
 const State& Desk::stateOf(const std::string& zone) const {
@@ -22,7 +24,8 @@
 Desk::Kept Desk::usual(const std::string& zone, Micros now) const {
   Kept k;
   const auto add = [&k](const std::string& id, const Used& used) {
-    if (used.rate <= 0) return;
+    if (used.rate <= 0)
+      return;
     k.endpoints[id] = used;
     auto& [sum, of] = k.destinations[used.destination];
     sum += used.rate;
@@ -33,30 +36,36 @@
     for (const std::string& id : z->second)
       add(id, {listed_.at(id)->destination, evidence_.usual(now, zone, id)});
   if (const auto r = remembered_.find(zone); r != remembered_.end() && k.all <= 0)
-    for (const auto& [id, used] : r->second) add(id, used);
+    for (const auto& [id, used] : r->second)
+      add(id, used);
   return k;
 }
 
 Parts Desk::parts() const {
   Parts all;
   for (const auto& [zone, k] : kept_)
-    if (!k.endpoints.empty()) all[zone] = k.endpoints;
+    if (!k.endpoints.empty())
+      all[zone] = k.endpoints;
   return all;
 }
 
 bool Desk::follow(const States& states, Micros now) {
   bool other = false;
   std::set<std::string> names;
-  for (const auto& [zone, s] : states_) names.insert(zone);
-  for (const auto& [zone, s] : states) names.insert(zone);
+  for (const auto& [zone, s] : states_)
+    names.insert(zone);
+  for (const auto& [zone, s] : states)
+    names.insert(zone);
   for (const std::string& zone : names) {
     const State before = stateOf(zone);
     const auto at = states.find(zone);
     const State next = at == states.end() ? kIn : at->second;
-    if (next == before) continue;
+    if (next == before)
+      continue;
     other = true;
     dirty_.insert(zone);
-    if (before.way == Way::in && next.way != Way::in) kept_[zone] = usual(zone, now);
+    if (before.way == Way::in && next.way != Way::in)
+      kept_[zone] = usual(zone, now);
     if (next.way == Way::in) {
       kept_.erase(zone);
       remembered_.erase(zone);
@@ -74,8 +83,10 @@
             const auto late = static_cast<Micros>(std::hash<std::string>()(name_ + id) % kKnockAgain);
             knocks_[listed_.at(id)->destination] = {now + late - kKnockAgain, 0};
           }
-          if (next.way != Way::in) unproven_.erase(id);
-          if (next.way != before.way) well_.erase(id);
+          if (next.way != Way::in)
+            unproven_.erase(id);
+          if (next.way != before.way)
+            well_.erase(id);
         }
     }
   }
@@ -94,11 +105,14 @@
     const Endpoint& before = *at->second;
     const auto z = by_zone_.find(before.zone);
     z->second.erase(e.id);
-    if (z->second.empty()) by_zone_.erase(z);
+    if (z->second.empty())
+      by_zone_.erase(z);
     const auto d = by_destination_.find(before.destination);
     d->second.erase(e.id);
-    if (d->second.empty()) by_destination_.erase(d);
-    if (before.zone != e.zone) valves_.erase(e.id);
+    if (d->second.empty())
+      by_destination_.erase(d);
+    if (before.zone != e.zone)
+      valves_.erase(e.id);
     listed_.erase(at);
   }
   if (e.state == EndpointState::gone) {
@@ -123,13 +137,16 @@
 double Desk::rateOf(const Endpoint& e, const State& s) const {
   if (s.stage == 0) {
     const auto z = by_zone_.find(e.zone);
-    if (!s.carriers.count(name_) || z == by_zone_.end()) return 0;
+    if (!s.carriers.count(name_) || z == by_zone_.end())
+      return 0;
     return kTrialRate / static_cast<double>(s.carriers.size()) / static_cast<double>(z->second.size());
   }
   const auto k = kept_.find(e.zone);
-  if (k == kept_.end()) return 0;
+  if (k == kept_.end())
+    return 0;
   const auto own = k->second.endpoints.find(e.id);
-  if (own != k->second.endpoints.end()) return s.share * own->second.rate;
+  if (own != k->second.endpoints.end())
+    return s.share * own->second.rate;
   // One that was not there then: as much as the others of its destination.
   const auto d = k->second.destinations.find(e.destination);
   return d == k->second.destinations.end() ? 0 : s.share * d->second.first / d->second.second;
@@ -138,7 +155,8 @@
 Valve& Desk::valveOf(const Endpoint& e, Micros now) {
   Valve& v = valves_[e.id];
   const double rate = rateOf(e, stateOf(e.zone));
-  if (rate != v.rate()) v.set(now, rate);
+  if (rate != v.rate())
+    v.set(now, rate);
   return v;
 }
 
@@ -150,25 +168,29 @@
   }
   EndpointState state = e.state;
   const bool opens = s.way == Way::back && leased_ && valveOf(e, now).open(now);
-  if (state == EndpointState::ready && !opens) state = EndpointState::draining;
+  if (state == EndpointState::ready && !opens)
+    state = EndpointState::draining;
   shown_[e.id] = state;
   return state;
 }
 
 bool Desk::begins(const CallId& id, const Endpoint& e, bool repeatable, Micros now) {
   const State& s = stateOf(e.zone);
-  if (s.way == Way::out || (s.way == Way::back && !leased_)) return false;
+  if (s.way == Way::out || (s.way == Way::back && !leased_))
+    return false;
   if (s.way == Way::back) {
     const bool may = valveOf(e, now).take(now);
     knocked(e, now);
     // What may not run twice does not try; it has used the turn up, or it would come back at once.
-    if (!may || (s.stage == 0 && !repeatable)) return false;
+    if (!may || (s.stage == 0 && !repeatable))
+      return false;
   }
   if (unproven_.count(e.id)) {
     const auto k = knocks_.find(e.destination);
     const bool knocks = k != knocks_.end() && now < k->second.until;
     knocked(e, now);
-    if (knocks && !repeatable) return false;
+    if (knocks && !repeatable)
+      return false;
   }
   const auto listed = listed_.find(e.id);
   out_[id] = listed != listed_.end() ? listed->second : std::make_shared<const Endpoint>(e);
@@ -177,28 +199,33 @@
 
 // Its turn is over.
 void Desk::knocked(const Endpoint& e, Micros now) {
-  if (const auto k = knocks_.find(e.destination); k != knocks_.end()) k->second.until = now;
+  if (const auto k = knocks_.find(e.destination); k != knocks_.end())
+    k->second.until = now;
 }
 
 bool Desk::still(const std::string& endpoint) const {
   const auto e = listed_.find(endpoint);
-  if (e == listed_.end()) return true;
+  if (e == listed_.end())
+    return true;
   const State& s = stateOf(e->second->zone);
   return s.way == Way::in || (s.way == Way::back && leased_);
 }
 
 void Desk::ended(const Outcome& o, Micros now) {
   const auto at = out_.find({o.id, o.attempt});
-  if (at == out_.end()) return;
+  if (at == out_.end())
+    return;
   const Listed e = std::move(at->second);
   out_.erase(at);
   const Way way = stateOf(e->zone).way;
   if (o.result == Result::ok) {
-    if (way == Way::back) well_.insert(e->id);
+    if (way == Way::back)
+      well_.insert(e->id);
     unproven_.erase(e->id);
   }
   // Of a zone that is left it may be no more than that.
-  if (way == Way::in || (way == Way::back && leased_)) evidence_.ended(now, *e, o);
+  if (way == Way::in || (way == Way::back && leased_))
+    evidence_.ended(now, *e, o);
 }
 
 bool Desk::hidden(const Endpoint& e, Micros now) const {
@@ -208,13 +235,15 @@
 
 void Desk::knock(const Endpoint& e, Micros now, Micros again) {
   Knock& k = knocks_[e.destination];
-  if (now - k.begun >= again) k = {now, now + kKnock};
+  if (now - k.begun >= again)
+    k = {now, now + kKnock};
 }
 
 void Desk::knock(Micros now) {
   for (const auto& [zone, s] : states_) {
     const auto z = by_zone_.find(zone);
-    if (s.way != Way::back || !leased_ || z == by_zone_.end()) continue;
+    if (s.way != Way::back || !leased_ || z == by_zone_.end())
+      continue;
     const bool enough = evidence_.enough(zone);
     for (const std::string& id : z->second) {
       const Endpoint& e = *listed_.at(id);
@@ -223,15 +252,18 @@
     }
   }
   for (const auto& [id, again] : unproven_)
-    if (const Endpoint& e = *listed_.at(id); e.state == EndpointState::ready) knock(e, now, again);
+    if (const Endpoint& e = *listed_.at(id); e.state == EndpointState::ready)
+      knock(e, now, again);
 }
 
 void Desk::sweep(Micros now) {
   evidence_.sweep(now);
   for (const auto& [zone, ids] : by_zone_) {
-    if (stateOf(zone).way != Way::in) continue;
+    if (stateOf(zone).way != Way::in)
+      continue;
     const auto struck = evidence_.struck(zone);
-    if (struck.size() < static_cast<std::size_t>(kStruck)) continue;
+    if (struck.size() < static_cast<std::size_t>(kStruck))
+      continue;
     for (const std::string& id : ids)
       if (const auto d = struck.find(listed_.at(id)->destination);
           d != struck.end() && now - d->second >= kLookAgain)
@@ -243,7 +275,8 @@
   const Endpoint& e = *listed_.at(id);
   const auto was = shown_.find(id);
   const EndpointState before = was == shown_.end() ? e.state : was->second;
-  if (shows(e, now) != before) changed.push_back(id);
+  if (shows(e, now) != before)
+    changed.push_back(id);
 }
 
 std::vector<std::string> Desk::changed(Micros now) {
@@ -251,14 +284,17 @@
   knock(now);
   std::set<std::string> zones = std::move(dirty_);
   dirty_.clear();
-  for (const auto& [zone, s] : states_) zones.insert(zone);
+  for (const auto& [zone, s] : states_)
+    zones.insert(zone);
   for (const std::string& zone : zones)
     if (const auto z = by_zone_.find(zone); z != by_zone_.end())
-      for (const std::string& id : z->second) lookAt(id, now, all);
+      for (const std::string& id : z->second)
+        lookAt(id, now, all);
   for (auto k = knocks_.begin(); k != knocks_.end();) {
     if (const auto d = by_destination_.find(k->first); d != by_destination_.end())
       for (const std::string& id : d->second)
-        if (stateOf(listed_.at(id)->zone).way == Way::in) lookAt(id, now, all);
+        if (stateOf(listed_.at(id)->zone).way == Way::in)
+          lookAt(id, now, all);
     k = now - k->second.begun >= 2 * kLookAgain ? knocks_.erase(k) : std::next(k);
   }
   return all;
@@ -277,9 +313,12 @@
              : s.way == Way::back ? evidence_.within(now, zone)
                                   : Vote();
     // Who has seen it fail for a while sends little there now, and has a say for what it used to send.
-    if (s.way != Way::in) held_.erase(zone);
-    else if (v.sight == Sight::fine) held_[zone] = v.traffic;
-    else if (const auto h = held_.find(zone); h != held_.end()) v.traffic = std::max(v.traffic, h->second);
+    if (s.way != Way::in)
+      held_.erase(zone);
+    else if (v.sight == Sight::fine)
+      held_[zone] = v.traffic;
+    else if (const auto h = held_.find(zone); h != held_.end())
+      v.traffic = std::max(v.traffic, h->second);
     const auto k = kept_.find(zone);
     v.traffic = rounded(k == kept_.end() ? v.traffic : k->second.all);
     all[zone] = v;
--- a/src/zones/evidence.h
+++ b/src/zones/evidence.h
@@ -64,27 +64,35 @@
 class Evidence {
  public:
   void ended(Micros now, const Endpoint& e, const Outcome& o) {
-    if (o.result == Result::cancelled || o.result == Result::not_sent) return;
-    if (o.result == Result::reset && o.stale) return;
+    if (o.result == Result::cancelled || o.result == Result::not_sent)
+      return;
+    if (o.result == Result::reset && o.stale)
+      return;
     Cell& c = seen_[e.destination][e.zone];
     const bool bad = pointsAtZone(o);
     begun_ = std::min(begun_, now);
     c.calls.add(now, 1, kRecent);
-    if (bad) c.bad.add(now, 1, kRecent);
+    if (bad)
+      c.bad.add(now, 1, kRecent);
     c.last_bad = bad;
-    if (bad) c.bad_at = now;
-    if (bad) c.good_since = INT64_MAX;
-    else c.good_since = std::min(c.good_since, now);
+    if (bad)
+      c.bad_at = now;
+    if (bad)
+      c.good_since = INT64_MAX;
+    else
+      c.good_since = std::min(c.good_since, now);
     ++c.all;
     c.wrong += bad;
     c.last = now;
-    if (o.result == Result::ok) usual_[e.zone][e.id].add(now, 1, kUsual);
+    if (o.result == Result::ok)
+      usual_[e.zone][e.id].add(now, 1, kUsual);
   }
 
   // In good times, calls a second to this endpoint that were delivered.
   double usual(Micros now, const std::string& zone, const std::string& endpoint) const {
     const auto z = usual_.find(zone);
-    if (z == usual_.end()) return 0;
+    if (z == usual_.end())
+      return 0;
     const auto e = z->second.find(endpoint);
     return e == z->second.end() ? 0 : perSecond(now, e->second);
   }
@@ -92,14 +100,16 @@
     double all = 0;
     const auto z = usual_.find(zone);
     if (z != usual_.end())
-      for (const auto& [id, sum] : z->second) all += perSecond(now, sum);
+      for (const auto& [id, sum] : z->second)
+        all += perSecond(now, sum);
     return all;
   }
   // Whether calls enough have ended there since forget() for a word on it.
   bool enough(const std::string& zone) const {
     std::int64_t calls = 0;
     for (const auto& [destination, cells] : seen_)
-      if (const auto here = cells.find(zone); here != cells.end()) calls += here->second.all;
+      if (const auto here = cells.find(zone); here != cells.end())
+        calls += here->second.all;
     return static_cast<double>(calls) >= kEnough;
   }
 
@@ -110,23 +120,28 @@
     int told = 0, fine = 0;
     for (const auto& [destination, cells] : seen_) {
       const auto here = cells.find(zone);
-      if (here == cells.end()) continue;
+      if (here == cells.end())
+        continue;
       int others = 0, well = 0;
       for (const auto& [name, c] : cells) {
-        if (name == zone || regions.together(name, zone) || !c.tells(now)) continue;
+        if (name == zone || regions.together(name, zone) || !c.tells(now))
+          continue;
         // One that was not yet seen well when this zone failed has no say: after a common trouble one zone
         // may only be the last to be tried.
-        if (c.fine(now) && here->second.failing(now) && c.good_since > here->second.bad_at) continue;
+        if (c.fine(now) && here->second.failing(now) && c.good_since > here->second.bad_at)
+          continue;
         ++others;
         well += c.fine(now);
       }
-      if (2 * well <= others || !here->second.tells(now)) continue;
+      if (2 * well <= others || !here->second.tells(now))
+        continue;
       ++told;
       v.struck += here->second.failing(now);
       fine += here->second.fine(now);
     }
     v.sight = sightOf(told, v.struck, fine);
-    if (v.struck < kStruck && v.sight == Sight::failing) v.sight = Sight::nothing;  // one may be a chance
+    if (v.struck < kStruck && v.sight == Sight::failing)
+      v.sight = Sight::nothing;  // one may be a chance
     return v;
   }
 
@@ -137,14 +152,17 @@
     std::int64_t calls = 0, wrong = 0;
     for (const auto& [destination, cells] : seen_) {
       const auto here = cells.find(zone);
-      if (here == cells.end()) continue;
+      if (here == cells.end())
+        continue;
       calls += here->second.all;
       wrong += here->second.wrong;
       v.struck += here->second.failing(now);
     }
     const auto all = static_cast<double>(calls), bad = static_cast<double>(wrong);
-    if (v.struck > 0 && bad >= kFails * all) v.sight = Sight::failing;
-    else if (all >= kEnough && bad <= kWorks * all) v.sight = Sight::fine;
+    if (v.struck > 0 && bad >= kFails * all)
+      v.sight = Sight::failing;
+    else if (all >= kEnough && bad <= kWorks * all)
+      v.sight = Sight::fine;
     return v;
   }
 
@@ -201,7 +219,8 @@
     return sum.at(now, kUsual) / constant / (1 - std::exp(-age / constant)) * 1e6;
   }
   static Sight sightOf(int told, int struck, int fine) {
-    if (told > 0 && 2 * struck > told) return Sight::failing;
+    if (told > 0 && 2 * struck > told)
+      return Sight::failing;
     return told > 0 && 2 * fine > told ? Sight::fine : Sight::nothing;
   }
   std::unordered_map<std::int64_t, std::map<std::string, Cell>> seen_;
--- a/src/zones/valve.h
+++ b/src/zones/valve.h
@@ -27,7 +27,8 @@
   }
   // A call begins; false: it may not.
   bool take(Micros now) {
-    if (!open(now)) return false;
+    if (!open(now))
+      return false;
     tokens_ -= 1;
     return true;
   }
--- a/src/zones/verdict.h
+++ b/src/zones/verdict.h
@@ -46,8 +46,10 @@
 
 inline void apply(const Verdict& v, States& states) {
   for (const auto& [zone, s] : v) {
-    if (s == State()) states.erase(zone);
-    else states[zone] = s;
+    if (s == State())
+      states.erase(zone);
+    else
+      states[zone] = s;
   }
 }
 
@@ -59,10 +61,13 @@
 inline Sum sumOf(const std::vector<Voter>& voters) {
   Sum s;
   for (const Voter& v : voters) {
-    if (!v.live) continue;
+    if (!v.live)
+      continue;
     const double weight = std::max(v.vote.traffic, 0.01);  // who sends little has a small say, not none
-    if (v.vote.sight == Sight::failing) s.failing += weight, s.struck = std::max(s.struck, v.vote.struck);
-    if (v.vote.sight == Sight::fine) s.fine += weight;
+    if (v.vote.sight == Sight::failing)
+      s.failing += weight, s.struck = std::max(s.struck, v.vote.struck);
+    if (v.vote.sight == Sight::fine)
+      s.fine += weight;
   }
   return s;
 }
@@ -77,10 +82,12 @@
 std::set<std::string> carriers(const std::vector<Voter>& voters, const Rules& rules, const Rank& rank) {
   std::vector<std::string> all;
   for (const Voter& v : voters)
-    if (v.live && v.vote.traffic > 0) all.push_back(v.name);
+    if (v.live && v.vote.traffic > 0)
+      all.push_back(v.name);
   if (all.empty())
     for (const Voter& v : voters)
-      if (v.live) all.push_back(v.name);
+      if (v.live)
+        all.push_back(v.name);
   const auto by_rank = [&](const std::string& a, const std::string& b) { return rank(a) < rank(b); };
   std::sort(all.begin(), all.end(), by_rank);
   return {all.begin(), all.begin() + static_cast<long>(std::min(all.size(), rules.carriers))};
@@ -92,15 +99,18 @@
 Verdict verdict(const std::map<std::string, Zone>& zones, const Rules& rules, const Rank& rank) {
   double out = 0;
   for (const auto& [name, z] : zones)
-    if (z.state.way != Way::in) out += z.endpoints;
+    if (z.state.way != Way::in)
+      out += z.endpoints;
   Verdict leave;  // comes before returning
   for (const auto& [name, z] : zones) {
-    if (z.state.way != Way::in || z.state.held) continue;
+    if (z.state.way != Way::in || z.state.held)
+      continue;
     const detail::Sum s = detail::sumOf(z.voters);
     if (s.failing <= 0 || s.failing < rules.agree * (s.failing + s.fine) || s.struck < rules.destinations ||
         out + z.endpoints > rules.most_out)
       continue;
-    if (!leave.empty() && !rules.regions.together(name, leave.begin()->first)) continue;
+    if (!leave.empty() && !rules.regions.together(name, leave.begin()->first))
+      continue;
     // A region and the one that stands by for it are never away both, not even in part.
     if (std::any_of(zones.begin(), zones.end(), [&, &zone = name](const auto& other) {
           return other.second.state.way != Way::in && rules.regions.paired(zone, other.first);
@@ -112,16 +122,20 @@
     next.why = detail::percent(s.failing, s.failing + s.fine) + " of the traffic there sees it fail";
     leave[name] = next;
   }
-  if (!leave.empty()) return leave;
+  if (!leave.empty())
+    return leave;
   for (const auto& [name, z] : zones) {
-    if (z.state.way == Way::in || z.state.held) continue;
+    if (z.state.way == Way::in || z.state.held)
+      continue;
     State next = z.state;
     next.why.clear();
     if (z.state.way == Way::out) {
       const Micros pause = std::min(rules.most_pause, rules.least_out << std::min(z.state.failed, 20));
-      if (z.since < pause) continue;
+      if (z.since < pause)
+        continue;
       const auto able = carriers(z.voters, rules, rank);
-      if (able.empty()) continue;
+      if (able.empty())
+        continue;
       next.way = Way::back;
       next.stage = 0;
       next.share = 0;
@@ -146,11 +160,13 @@
     }
     if (z.state.stage == 0 && s.fine <= 0 && z.since >= rules.patience * rules.stage) {
       next.carriers = carriers(z.voters, rules, rank);
-      if (next.carriers.empty() || next.carriers == z.state.carriers) continue;
+      if (next.carriers.empty() || next.carriers == z.state.carriers)
+        continue;
       next.why = "those who tried have told nothing";
       return {{name, next}};
     }
-    if (z.since < rules.stage || s.fine <= 0) continue;
+    if (z.since < rules.stage || s.fine <= 0)
+      continue;
     next.carriers.clear();
     next.stage = z.state.stage + 1;
     if (next.stage > rules.stages) {
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -32,7 +32,8 @@
 
 struct Chain {
   explicit Chain(const std::vector<Step::Take>& steps) : admission(io, core, kPatience, kPause) {
-    for (const auto& s : steps) admission.add(std::make_unique<Step>(s));
+    for (const auto& s : steps)
+      admission.add(std::make_unique<Step>(s));
   }
   void submit(const std::string& id = "m") {
     Submission s;
@@ -43,7 +44,8 @@
   // Runs until so many answers have come.
   void answered(std::size_t count) {
     io.restart();
-    while (answers.size() < count && io.run_one_for(std::chrono::seconds(60)) > 0) {}
+    while (answers.size() < count && io.run_one_for(std::chrono::seconds(60)) > 0) {
+    }
     ASSERT_EQ(count, answers.size());
   }
   boost::asio::io_context io;
@@ -52,7 +54,9 @@
   std::vector<Answer> answers;
 };
 
-void pass(const std::shared_ptr<Submission>&, const AdmissionStep::Next& next) { next(Verdict::pass()); }
+void pass(const std::shared_ptr<Submission>&, const AdmissionStep::Next& next) {
+  next(Verdict::pass());
+}
 
 TEST(Admission, AnEmptyChainHandsOnAtOnce) {
   Chain c({});
@@ -147,7 +151,8 @@
 
 TEST(Admission, ADrainRefusesWhatWaitsAndWhatWouldHaveTo) {
   Chain c({[](auto& s, auto next) {
-    if (s->message.id == "quick") next(Verdict::pass());
+    if (s->message.id == "quick")
+      next(Verdict::pass());
   }});
   c.submit("first");
   c.admission.drain();
--- a/tests/audit/trail_test.cpp
+++ b/tests/audit/trail_test.cpp
@@ -31,9 +31,12 @@
 void write(const std::string& folder, int from, int to, Budget budget = {},
            const std::string& sender = "s1") {
   Trail t(folder, sender, budget);
-  for (int i = from; i <= to; ++i) EXPECT_TRUE(t.write({{"kind", "standing"}, {"n", i}}, 1000 * i));
+  for (int i = from; i <= to; ++i)
+    EXPECT_TRUE(t.write({{"kind", "standing"}, {"n", i}}, 1000 * i));
+}
+std::string segment(const std::string& folder, std::int64_t n) {
+  return folder + "/" + segmentName(n);
 }
-std::string segment(const std::string& folder, std::int64_t n) { return folder + "/" + segmentName(n); }
 std::string bytesOf(const std::string& path) {
   std::ifstream f(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(f), {}};
@@ -109,7 +112,8 @@
       ASSERT_TRUE(t.write({{"kind", "standing"}, {"text", std::string(50, 'x')}}, i));
   }
   std::uint64_t sum = 0;
-  for (const auto& e : fs::directory_iterator(folder)) sum += e.file_size();
+  for (const auto& e : fs::directory_iterator(folder))
+    sum += e.file_size();
   EXPECT_LE(sum, budget.bytes + budget.bytes / 8);
   const Read r = all(folder);
   ASSERT_FALSE(r.entries.empty());
@@ -163,7 +167,8 @@
   EXPECT_TRUE(u.write({{"kind", "standing"}}, 4000));
   const Read r = all(f.path() + "/u");
   bool told = false;
-  for (const Gap& g : r.gaps) told = told || g.why == "2 records could not be written";
+  for (const Gap& g : r.gaps)
+    told = told || g.why == "2 records could not be written";
   EXPECT_TRUE(told);
 }
 
--- a/tests/core/backoff_test.cpp
+++ b/tests/core/backoff_test.cpp
@@ -28,7 +28,8 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Backoff b(seed);
     Micros pause = 0;
-    for (int i = 0; i < 30; ++i) pause = b.next(100, 100'000);
+    for (int i = 0; i < 30; ++i)
+      pause = b.next(100, 100'000);
     tenths.insert(pause / 10'001);
   }
   EXPECT_EQ(tenths.size(), 10u);
--- a/tests/core/host_test.cpp
+++ b/tests/core/host_test.cpp
@@ -151,17 +151,20 @@
       }
     for (const Action& a : actions)
       if (const auto* s = std::get_if<Send>(&a))
-        if (heard < 20'000) sent_between.push_back(s->id);
+        if (heard < 20'000)
+          sent_between.push_back(s->id);
   });
   json all = json::array({loopback::listed("e1", "127.0.0.1:1", 7)});
   for (int i = 2; i <= 20'000; ++i)
     all.push_back(loopback::listed("e" + std::to_string(i), "127.0.0.1:1", 100 + i));
   EXPECT_EQ(2, c.host.list(readList(json{{"index", 2}, {"snapshot", true}, {"endpoints", all}})));
   const auto& answers = c.submit("m1");
-  for (int i = 0; i < 2000 && heard < 20'000; ++i) c.run();
+  for (int i = 0; i < 2000 && heard < 20'000; ++i)
+    c.run();
   EXPECT_EQ(heard, 20'000u);
   EXPECT_EQ(slices.size(), 20u);
-  for (const std::size_t s : slices) EXPECT_LE(s, 1000u);
+  for (const std::size_t s : slices)
+    EXPECT_LE(s, 1000u);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, Answer::Kind::accepted);
   EXPECT_EQ(sent_between, std::vector<std::string>{"m1"});
@@ -195,7 +198,8 @@
     std::size_t pools = 0;
     c.host.tap([&](Micros, const std::vector<Event>& events, const std::vector<Action>&) {
       for (const Event& e : events) {
-        if (const auto* l = std::get_if<Lesson>(&e)) heard.push_back(*l);
+        if (const auto* l = std::get_if<Lesson>(&e))
+          heard.push_back(*l);
         pools += std::holds_alternative<Experience>(e);
       }
     });
@@ -223,7 +227,9 @@
     EXPECT_EQ(heard[0].endpoint, "");
     EXPECT_NEAR(static_cast<double>(monotonicNow() - heard[0].heard), 1e6, 5e5);
     EXPECT_EQ(pools, 1u);
-    if (same) { EXPECT_EQ(heard[1].endpoint, "e1"); }
+    if (same) {
+      EXPECT_EQ(heard[1].endpoint, "e1");
+    }
   }
 }
 
@@ -303,7 +309,8 @@
   EXPECT_EQ(Answer::Kind::refused, c.submit("b").at(0).kind);
   EXPECT_EQ(Status::State::open, c.host.status("a").state);
   c.host.open();
-  for (int i = 0; i < 200 && c.transport.called.size() < 2; ++i) c.run();
+  for (int i = 0; i < 200 && c.transport.called.size() < 2; ++i)
+    c.run();
   EXPECT_EQ(2u, c.transport.called.size());
 }
 
--- a/tests/core/journal_test.cpp
+++ b/tests/core/journal_test.cpp
@@ -140,7 +140,8 @@
 
 std::uint64_t onDisk(const std::string& folder) {
   std::uint64_t sum = 0;
-  for (const auto& f : std::filesystem::directory_iterator(folder)) sum += (f.file_size() + 511) / 512 * 512;
+  for (const auto& f : std::filesystem::directory_iterator(folder))
+    sum += (f.file_size() + 511) / 512 * 512;
   return sum;
 }
 
@@ -162,7 +163,8 @@
       ++taken;
       j.accepted(m);
       open.push_back(m.id);
-      for (int a = 0; a < 12; ++a) j.attempted(m.id, {"s-5be2a07c", i, false});
+      for (int a = 0; a < 12; ++a)
+        j.attempted(m.id, {"s-5be2a07c", i, false});
     }
     ASSERT_TRUE(j.flush()) << i;
     ASSERT_LE(onDisk(t.path()), budget);
@@ -179,7 +181,8 @@
   const Past delivered{{Ending::delivered, 5, 0}, 77, 1000}, back{{Ending::handed_back, 6, 250}, 78, 2000};
   {
     Journal j(t.path(), 3'000'000);
-    for (const char* id : {"a", "b", "c"}) j.accepted(message(id));
+    for (const char* id : {"a", "b", "c"})
+      j.accepted(message(id));
     j.over("a", delivered);
     j.noticeOwed("b", {true, 1, 9});
     j.drop("c");
@@ -229,7 +232,8 @@
       j.over(m.id, {{}, 1, i + 5000});
     }
     ASSERT_TRUE(j.flush()) << i;
-    if (i % 50 == 0) ASSERT_LE(onDisk(t.path()), budget);
+    if (i % 50 == 0)
+      ASSERT_LE(onDisk(t.path()), budget);
   }
   EXPECT_GT(taken, 5000);
   EXPECT_GT(refused, 100);
@@ -349,7 +353,8 @@
   TempFolder t;
   const std::string path = t.path() + "/journal";
   Changes many;
-  for (int i = 0; i < 3000; ++i) many.emplace_back("e" + std::to_string(i), listed(i));
+  for (int i = 0; i < 3000; ++i)
+    many.emplace_back("e" + std::to_string(i), listed(i));
   {
     Journal j(t.path(), 30'000'000);
     j.listed({{"e7", listed(1)}, {"old", listed(2)}}, 1, true);
@@ -368,9 +373,12 @@
     writeFile(path, all.substr(0, size));
     const Journal j(t.path(), 30'000'000);
     const std::size_t entries = j.recovered().list.size();
-    if (j.recovered().list_index == 3) EXPECT_EQ(entries, 3000u) << size;
-    else if (j.recovered().list_index == 2) EXPECT_EQ(entries, 3001u) << size;
-    else EXPECT_EQ(j.recovered().list_index, 1) << size;
+    if (j.recovered().list_index == 3)
+      EXPECT_EQ(entries, 3000u) << size;
+    else if (j.recovered().list_index == 2)
+      EXPECT_EQ(entries, 3001u) << size;
+    else
+      EXPECT_EQ(j.recovered().list_index, 1) << size;
     EXPECT_EQ(j.recovered().list_index == 3, size == all.size()) << size;
   }
 }
@@ -409,7 +417,8 @@
 TEST(JournalList, ChangesCostWhatChangedAndACompactionKeepsTheWhole) {
   TempFolder t;
   Changes many;
-  for (int i = 0; i < 20'000; ++i) many.emplace_back("e" + std::to_string(i), listed(i));
+  for (int i = 0; i < 20'000; ++i)
+    many.emplace_back("e" + std::to_string(i), listed(i));
   {
     Journal j(t.path(), 20'000'000);
     ASSERT_TRUE(j.listed(many, 1, true));
@@ -436,7 +445,8 @@
   TempFolder t;
   Journal j(t.path(), 1'000'000);
   Changes many;
-  for (int i = 0; i < 20'000; ++i) many.emplace_back("e" + std::to_string(i), listed(i));
+  for (int i = 0; i < 20'000; ++i)
+    many.emplace_back("e" + std::to_string(i), listed(i));
   EXPECT_FALSE(j.listed(many, 1, true));
   EXPECT_TRUE(j.listed({{"e1", listed(5)}}, 2, false));  // said once
   ASSERT_TRUE(j.flush());
@@ -451,7 +461,8 @@
   TempFolder t;
   const std::string text = R"({"index":5,"snapshot":true,"endpoints":[{"group":1,"name":"e1"}]})";
   std::string payload = "L";
-  for (int i = 0; i < 8; ++i) payload.push_back(static_cast<char>(text.size() >> (8 * i)));
+  for (int i = 0; i < 8; ++i)
+    payload.push_back(static_cast<char>(text.size() >> (8 * i)));
   payload += text;
   std::string record = "\xA7GJ1";
   const std::uint32_t words[] = {
@@ -459,7 +470,8 @@
       static_cast<std::uint32_t>(::crc32(0, reinterpret_cast<const unsigned char*>(payload.data()),
                                          static_cast<unsigned>(payload.size())))};
   for (const std::uint32_t w : words)
-    for (int i = 0; i < 4; ++i) record.push_back(static_cast<char>(w >> (8 * i)));
+    for (int i = 0; i < 4; ++i)
+      record.push_back(static_cast<char>(w >> (8 * i)));
   writeFile(t.path() + "/journal", record + payload);
   const Journal j(t.path(), 3'000'000);
   EXPECT_EQ(j.recovered().list_index, 5);
@@ -480,7 +492,8 @@
   ASSERT_EQ(j.recovered().ailments.size(), 2u);
   j.forgetAilments(500);
   j.accepted(message("a"));
-  for (int i = 0; i < 20'000; ++i) j.attempted("a", {"e", i, false});
+  for (int i = 0; i < 20'000; ++i)
+    j.attempted("a", {"e", i, false});
   j.over("a", {});
   j.flush();
   j.accepted(message("b"));
@@ -505,14 +518,17 @@
       TakenOn m;
       m.id = "m" + std::to_string(n);
       m.body.assign(50'000, 'x');
-      if (!j.reserve(m)) break;
+      if (!j.reserve(m))
+        break;
       j.accepted(m);
       EXPECT_TRUE(j.flush());
       std::error_code e;
       const auto size = std::filesystem::file_size(folder.path() + "/journal", e);
       EXPECT_LE(size, asked > 0 && gives_way ? 2'000'000u : 1'000'000u);
     }
-    if (gives_way) { EXPECT_LT(j.spare(), 200'000u); }
+    if (gives_way) {
+      EXPECT_LT(j.spare(), 200'000u);
+    }
     return n;
   };
   int stays = 0, goes = 0;
--- a/tests/daemon/daemon_file_test.cpp
+++ b/tests/daemon/daemon_file_test.cpp
@@ -10,7 +10,8 @@
   std::vector<Mistake> mistakes;
   readDaemonText(text, "f.toml", mistakes);
   std::vector<std::string> lines;
-  for (const Mistake& m : mistakes) lines.push_back(m.in("f.toml"));
+  for (const Mistake& m : mistakes)
+    lines.push_back(m.in("f.toml"));
   return lines;
 }
 
@@ -40,7 +41,8 @@
 TEST(DaemonFile, TheExampleThatComesWithItIsGood) {
   std::vector<Mistake> mistakes;
   const DaemonFile f = readDaemonFile(GRADEMUX_SOURCE "/deploy/daemon.toml", mistakes);
-  for (const Mistake& m : mistakes) ADD_FAILURE() << m.in("deploy/daemon.toml");
+  for (const Mistake& m : mistakes)
+    ADD_FAILURE() << m.in("deploy/daemon.toml");
   EXPECT_FALSE(f.doors.empty());
 }
 
--- a/tests/daemon/knowledge_test.cpp
+++ b/tests/daemon/knowledge_test.cpp
@@ -29,10 +29,12 @@
   // Delivers some messages and waits until what was learned of the destination is kept.
   void teach(const std::string& prefix = "m") {
     Client c(program.port());
-    for (int i = 0; i < 12; ++i) EXPECT_EQ(c.put(prefix + std::to_string(i), "notice", 7), "+OK");
+    for (int i = 0; i < 12; ++i)
+      EXPECT_EQ(c.put(prefix + std::to_string(i), "notice", 7), "+OK");
     EXPECT_TRUE(eventually([&] {
       for (const knowledge::Known& k : knowledge::readBook(path(), "n0").book.known)
-        if (k.lesson.endpoint.empty() && k.lesson.samples >= 12) return true;
+        if (k.lesson.endpoint.empty() && k.lesson.samples >= 12)
+          return true;
       return false;
     })) << program.log();
   }
@@ -43,7 +45,8 @@
   int count(const std::string& word) const {
     const std::string log = program.log();
     int n = 0;
-    for (std::size_t p = log.find(word); p != std::string::npos; p = log.find(word, p + 1)) ++n;
+    for (std::size_t p = log.find(word); p != std::string::npos; p = log.find(word, p + 1))
+      ++n;
     return n;
   }
   TempFolder folder;
@@ -52,7 +55,9 @@
   Program program;
 };
 
-Act deliver(const Seen&) { return {answer("200 OK", "X-Pressure: x0=0.9,x1=42\r\n")}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK", "X-Pressure: x0=0.9,x1=42\r\n")};
+}
 
 TEST(Knowledge, OutlastsAKillAndCanBeShownAndForgotten) {
   Fleet f(deliver);
@@ -162,7 +167,8 @@
   Fleet f(deliver, "[knowledge]\nkeep = true\ninterval = \"1 h\"\n");
   {
     Client c(f.program.port());
-    for (int i = 0; i < 5; ++i) EXPECT_EQ(c.put("m" + std::to_string(i), "notice", 7), "+OK");
+    for (int i = 0; i < 5; ++i)
+      EXPECT_EQ(c.put("m" + std::to_string(i), "notice", 7), "+OK");
     EXPECT_TRUE(f.endpoint.waitFor(5));
     c.ask({"PING"});
   }
@@ -202,7 +208,8 @@
           told = monotonicNow();
           return Act{answer("503 Busy", "Retry-After: 4\r\n")};
         }
-        if (called == 0) called = monotonicNow();
+        if (called == 0)
+          called = monotonicNow();
         return Act{answer("200 OK")};
       },
       "");
--- a/tests/daemon/reload_test.cpp
+++ b/tests/daemon/reload_test.cpp
@@ -6,8 +6,12 @@
 
 using namespace loopback;
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
-Act stayOut(const Seen&) { return {}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
+Act stayOut(const Seen&) {
+  return {};
+}
 
 // Risk: SIGHUP ends the process. Watch and notices move to the agent that the file names, what is owed with
 // them, and the list there is asked for whole.
@@ -49,7 +53,8 @@
   for (const std::string& text :
        {std::string("{"), std::string(), std::string("[]"), std::string(R"({"discovery":"127.0.0.1:1"})")}) {
     program.writeConfig(text);
-    for (int i = 0; i < 3; ++i) program.signal(SIGHUP);
+    for (int i = 0; i < 3; ++i)
+      program.signal(SIGHUP);
     agent.tell(json::array({listed("e1", endpoint.address(), 7)}));
     EXPECT_TRUE(agent.waitForWatch(++index));
     Client c(program.port());
--- a/tests/daemon/retune_test.cpp
+++ b/tests/daemon/retune_test.cpp
@@ -13,7 +13,8 @@
 }
 json& classNamed(json& settings, const std::string& name) {
   for (json& c : settings["Categories"])
-    if (c["Name"] == name) return c;
+    if (c["Name"] == name)
+      return c;
   throw std::runtime_error("no class " + name);
 }
 void addClass(json& settings, const std::string& name, const std::string& effect) {
@@ -24,7 +25,8 @@
 }
 void dropClass(json& settings, const std::string& name) {
   json& all = settings["Categories"];
-  for (auto it = all.begin(); it != all.end();) it = (*it)["Name"] == name ? all.erase(it) : std::next(it);
+  for (auto it = all.begin(); it != all.end();)
+    it = (*it)["Name"] == name ? all.erase(it) : std::next(it);
 }
 
 struct Tuned {
@@ -34,7 +36,8 @@
   std::size_t lines(const std::string& event) const {
     std::size_t n = 0;
     const std::string all = program.log();
-    for (auto at = all.find(event); at != std::string::npos; at = all.find(event, at + 1)) ++n;
+    for (auto at = all.find(event); at != std::string::npos; at = all.find(event, at + 1))
+      ++n;
     return n;
   }
   // Carried out once the log says so.
@@ -53,7 +56,9 @@
   Program program;
 };
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
 
 TEST(Retune, AClassComesAndGoes) {
   Tuned t(deliver);
@@ -142,7 +147,8 @@
   EXPECT_TRUE(t.agent.waitForNotice("now-unsafe"));
   ASSERT_TRUE(t.endpoint.waitFor(6));
   std::map<std::string, int> calls;
-  for (const Seen& s : t.endpoint.seen()) ++calls[s.field("X-Txn")];
+  for (const Seen& s : t.endpoint.seen())
+    ++calls[s.field("X-Txn")];
   EXPECT_EQ(1, calls["unsafe"]);
   EXPECT_EQ(1, calls["now-unsafe"]);
   EXPECT_GE(calls["safe"], 2);
@@ -167,14 +173,16 @@
   EXPECT_TRUE(t.agent.waitForNotice("old"));
   ASSERT_TRUE(t.endpoint.waitFor(2));
   for (const Seen& s : t.endpoint.seen())
-    if (s.field("X-Txn") == "old") EXPECT_EQ(0u, s.on_it + s.connection);  // the first call alone
+    if (s.field("X-Txn") == "old")
+      EXPECT_EQ(0u, s.on_it + s.connection);  // the first call alone
 }
 
 // Risk: fewer attempts than a message has already made end it, or it is held to the new number.
 TEST(Retune, AttemptsAreCountedByTheClassThatAMessageCameUnder) {
   std::atomic<int> calls{0};
   Tuned t([&](const Seen& s) {
-    if (s.field("X-Txn") != "old") return Act{answer("500 Error")};
+    if (s.field("X-Txn") != "old")
+      return Act{answer("500 Error")};
     return Act{answer(++calls < 4 ? "500 Error" : "200 OK")};
   });
   Client c(t.program.port());
@@ -185,7 +193,8 @@
   EXPECT_TRUE(t.agent.waitForNotice("new"));
   EXPECT_TRUE(eventually([&] { return calls >= 4; }));
   int fresh = 0;
-  for (const Seen& s : t.endpoint.seen()) fresh += s.field("X-Txn") == "new";
+  for (const Seen& s : t.endpoint.seen())
+    fresh += s.field("X-Txn") == "new";
   EXPECT_EQ(1, fresh);
 }
 
--- a/tests/daemon/sender_test.cpp
+++ b/tests/daemon/sender_test.cpp
@@ -20,8 +20,12 @@
   Program program;
 };
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
-Act stayOut(const Seen&) { return {}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
+Act stayOut(const Seen&) {
+  return {};
+}
 
 TEST(SenderProgram, TakesAMessageOnAndDeliversItUnchanged) {
   Fleet f(deliver);
@@ -85,7 +89,8 @@
   ASSERT_TRUE(f.agent.waitForNotice("unsafe"));
   EXPECT_EQ("given_up", f.agent.notice("unsafe")["outcome"]);
   std::map<std::string, int> sends;
-  for (const Seen& s : f.endpoint.seen()) ++sends[s.field("X-Txn")];
+  for (const Seen& s : f.endpoint.seen())
+    ++sends[s.field("X-Txn")];
   EXPECT_EQ(2, sends["safe"]);
   EXPECT_EQ(2, sends["keyed"]);
   EXPECT_EQ(1, sends["unsafe"]);
@@ -144,7 +149,8 @@
   ASSERT_TRUE(f.agent.waitForWatch(2));
   for (int life = 0; life < 2; ++life) {
     Client c(f.program.port());
-    for (int i = 0; i < 5; ++i) ASSERT_EQ("+OK", c.put("m" + std::to_string(10 * life + i), "notice", 7));
+    for (int i = 0; i < 5; ++i)
+      ASSERT_EQ("+OK", c.put("m" + std::to_string(10 * life + i), "notice", 7));
     ASSERT_TRUE(other.waitFor(static_cast<std::size_t>(5 * (life + 1))));
     EXPECT_EQ(0u, f.endpoint.seen().size());
     f.program.kill();
@@ -158,8 +164,10 @@
   int taken = 0, refused = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string reply = c.put("m" + std::to_string(i), "notice", 7, std::string(8000, 'x'));
-    if (reply == "+OK") ++taken;
-    else if (reply.rfind("-BUSY", 0) == 0) ++refused;
+    if (reply == "+OK")
+      ++taken;
+    else if (reply.rfind("-BUSY", 0) == 0)
+      ++refused;
   }
   EXPECT_EQ(40, taken + refused);
   EXPECT_GT(taken, 3);
@@ -180,20 +188,24 @@
   std::thread traffic([&] {
     for (int i = 0; !stop; ++i) {
       Client c(f.program.port());
-      if (!c.connected()) continue;
+      if (!c.connected())
+        continue;
       const std::string id = "m" + std::to_string(i);
       ++asked;
-      if (c.put(id, "payment", 7) == "+OK") taken.push_back(id);
+      if (c.put(id, "payment", 7) == "+OK")
+        taken.push_back(id);
       std::this_thread::sleep_for(5ms);
     }
   });
-  while (asked < 20) std::this_thread::sleep_for(1ms);
+  while (asked < 20)
+    std::this_thread::sleep_for(1ms);
   Client idle(f.program.port());
   ASSERT_EQ("+PONG", idle.ask({"PING"}));
   f.program.signal(SIGTERM);
   EXPECT_TRUE(idle.ended());  // an idle connection is closed between requests
   const int before = asked;
-  while (asked < before + 5) std::this_thread::sleep_for(1ms);  // late ones are served
+  while (asked < before + 5)
+    std::this_thread::sleep_for(1ms);  // late ones are served
   stop = true;
   traffic.join();
   const int status = f.program.wait();
@@ -201,8 +213,10 @@
   f.program.start();
   ASSERT_TRUE(f.endpoint.waitFor(taken.size()));
   std::map<std::string, int> sends;
-  for (const Seen& s : f.endpoint.seen()) ++sends[s.field("X-Txn")];
-  for (const std::string& id : taken) EXPECT_EQ(1, sends[id]) << id;
+  for (const Seen& s : f.endpoint.seen())
+    ++sends[s.field("X-Txn")];
+  for (const std::string& id : taken)
+    EXPECT_EQ(1, sends[id]) << id;
   EXPECT_EQ(0u, f.agent.noticeCount());
 }
 
--- a/tests/daemon/standing_alone_test.cpp
+++ b/tests/daemon/standing_alone_test.cpp
@@ -24,7 +24,8 @@
 
 TEST(Site, TheStarterIsGoodAndSaysWhatItSays) {
   const Read r(kStarter);
-  for (const Mistake& m : r.mistakes) ADD_FAILURE() << m.in("starter");
+  for (const Mistake& m : r.mistakes)
+    ADD_FAILURE() << m.in("starter");
   ASSERT_TRUE(r.file.site);
   const Site& s = *r.file.site;
   EXPECT_EQ(s.disk_bytes, 256u << 20);
@@ -138,7 +139,8 @@
   // The state of a message once it has ended.
   std::string end(const std::string& id) const {
     Client c(port);
-    if (c.ask({"MSG.WAIT", id, "25000"}) == "*-1") return "unknown";
+    if (c.ask({"MSG.WAIT", id, "25000"}) == "*-1")
+      return "unknown";
     c.line(), c.line(), c.line();
     return c.line();
   }
@@ -147,7 +149,9 @@
   rig::Child child;
 };
 
-Act taken(const Seen&) { return {answer("200 OK")}; }
+Act taken(const Seen&) {
+  return {answer("200 OK")};
+}
 
 TEST(StandingAlone, DeliversToAPartnerByNameAndRemembersOverAKill) {
   Server shop(taken);
@@ -324,7 +328,8 @@
 TEST(StandingAlone, PaymentsOutlastARenameASplitAndASecondListing) {
   std::atomic<bool> hold{true};
   const auto slow = [&](const Seen&) {
-    while (hold) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    while (hold)
+      std::this_thread::sleep_for(std::chrono::milliseconds(1));
     return Act{answer("200 OK")};
   };
   Server shop(slow), other(taken);
--- a/tests/daemon/two_doors_test.cpp
+++ b/tests/daemon/two_doors_test.cpp
@@ -7,8 +7,12 @@
 
 using namespace loopback;
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
-Act stayOut(const Seen&) { return {}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
+Act stayOut(const Seen&) {
+  return {};
+}
 
 std::string respPut(const std::string& id, const std::string& cls, const std::string& body = "body") {
   return Client::request({"MSG.PUT", "0000000000000000", id, "c=" + cls + ",d=28000,dest=7", body});
@@ -23,16 +27,20 @@
                                                 messageDocument("payment", 7));
     Client resp(f.program.port());
     HttpClient http(f.http);
-    if (i % 2 == 0) resp.send(respPut(id, "payment"));
+    if (i % 2 == 0)
+      resp.send(respPut(id, "payment"));
     http.send(put);
-    if (i % 2 == 1) resp.send(respPut(id, "payment"));
+    if (i % 2 == 1)
+      resp.send(respPut(id, "payment"));
     EXPECT_EQ("+OK", resp.line());
     EXPECT_EQ("delivered", http.reply().document()["state"]);
   }
   std::map<std::string, int> runs;
-  for (const Seen& s : f.endpoint.seen()) ++runs[s.field("X-Txn")];
+  for (const Seen& s : f.endpoint.seen())
+    ++runs[s.field("X-Txn")];
   EXPECT_EQ(20u, runs.size());
-  for (const auto& [id, n] : runs) EXPECT_EQ(1, n) << id;
+  for (const auto& [id, n] : runs)
+    EXPECT_EQ(1, n) << id;
 }
 
 TEST(TwoDoors, AnIdOfOtherContentIsAConflictAtBoth) {
@@ -82,7 +90,8 @@
   ASSERT_TRUE(f.waitForState("unsafe", "given_up"));
   ASSERT_TRUE(f.agent.waitForNotice("unsafe"));
   int runs = 0;
-  for (const Seen& s : f.endpoint.seen()) runs += s.field("X-Txn") == "unsafe";
+  for (const Seen& s : f.endpoint.seen())
+    runs += s.field("X-Txn") == "unsafe";
   EXPECT_EQ(1, runs);
   // An end by notice is remembered over a kill, too.
   f.program.kill();
@@ -105,7 +114,8 @@
         const std::string id = "d" + std::to_string(d) + "-" + std::to_string(i);
         if (d % 2 == 0) {
           resp.send(respPut(id, "notice"));
-          if (resp.line().empty()) break;
+          if (resp.line().empty())
+            break;
         } else if (http.ask("PUT", "/v1/messages/" + id, "", messageDocument("notice", 7)).status == 0) {
           break;
         }
@@ -121,7 +131,8 @@
   ASSERT_TRUE(other.waitFor(elsewhere + 50));
   EXPECT_EQ(begun, f.endpoint.seen().size());
   stop = true;
-  for (auto& t : floods) t.join();
+  for (auto& t : floods)
+    t.join();
 }
 
 // Risk: a request that is open at SIGTERM ends without an answer, or its message is lost.
@@ -158,7 +169,8 @@
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   const Journal kept(f.folder.path(), 3'000'000);
   std::set<std::string> ids;
-  for (const auto& e : kept.recovered().entries) ids.insert(e.message.id);
+  for (const auto& e : kept.recovered().entries)
+    ids.insert(e.message.id);
   EXPECT_EQ((std::set<std::string>{"l1", "waits"}), ids);
 }
 
@@ -177,7 +189,8 @@
   const std::string path = t.path() + "-config.json", daemon = t.path() + "-daemon.toml",
                     log = t.path() + "-log";
   for (const bool second : {false, true}) {
-    if (second) config["listen"] = taken.address();
+    if (second)
+      config["listen"] = taken.address();
     std::ofstream(path) << config.dump();
     std::ofstream(daemon) << httpDoor(second ? rig::ownPort() : taken.port);
     std::filesystem::remove(log);
@@ -192,7 +205,8 @@
     EXPECT_EQ(torn, (std::string{std::istreambuf_iterator<char>(j), {}}));
     EXPECT_TRUE(std::filesystem::exists(t.path() + "/journal.new"));
   }
-  for (const std::string& f : {path, daemon, log}) std::filesystem::remove(f);
+  for (const std::string& f : {path, daemon, log})
+    std::filesystem::remove(f);
 }
 
 TEST(TwoDoors, SighupAddsMovesAndRemovesADoorWhileRequestsAreOpen) {
@@ -223,7 +237,8 @@
     ASSERT_TRUE(eventually([&] {
       const std::string log = f.program.log();
       int n = 0;
-      for (std::size_t at = 0; (at = log.find("daemon.file_refused", at)) != std::string::npos; ++at) ++n;
+      for (std::size_t at = 0; (at = log.find("daemon.file_refused", at)) != std::string::npos; ++at)
+        ++n;
       return n == before;
     })) << text;
     EXPECT_EQ(202, f.put("still" + std::to_string(before), messageDocument("notice", 7)).status);
