--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -15,14 +15,17 @@
   s.classes[1].worth = 4;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
-  for (int i = 0; i < 4; ++i) r.arrive("cheap" + std::to_string(i), "safe", 1);
+  for (int i = 0; i < 4; ++i)
+    r.arrive("cheap" + std::to_string(i), "safe", 1);
   std::vector<std::string> refused;
   for (int i = 0; i < 8; ++i) {
     r.arrive("dear" + std::to_string(i), "keyed", 1);
-    for (const auto& x : r.got<Refuse>()) refused.push_back(x.id);
+    for (const auto& x : r.got<Refuse>())
+      refused.push_back(x.id);
   }
   ASSERT_GE(refused.size(), 2u);
-  for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(refused[i].substr(0, 5), "cheap");
+  for (std::size_t i = 0; i < 2; ++i)
+    EXPECT_EQ(refused[i].substr(0, 5), "cheap");
 }
 
 TEST(Admission, AMessageWhoseTimeIsOverIsAnsweredAndNeverSent) {
@@ -63,7 +66,8 @@
     s.slots = 4;
     Rig r(s);
     std::vector<Endpoint> all;
-    for (int d = 0; d < 50; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+    for (int d = 0; d < 50; ++d)
+      all.push_back(makeEndpoint("e" + std::to_string(d), d));
     r.list(all);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "w" + std::to_string(i);
@@ -72,7 +76,8 @@
     }
     std::vector<Event> heap;
     for (int i = 0; i < 40; ++i)
-      if (busy || i < 4) heap.push_back(r.arrival("m" + std::to_string(i), "safe", i));
+      if (busy || i < 4)
+        heap.push_back(r.arrival("m" + std::to_string(i), "safe", i));
     r.run(heap);
     return r.got<Refuse>().size();
   };
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -29,7 +29,8 @@
     r.at(r.now + 20 * kMs).end(id, 0, Result::ok, 20 * kMs);
     return closed;
   };
-  for (int i = 0; i < 10; ++i) play("w" + std::to_string(i), "safe");
+  for (int i = 0; i < 10; ++i)
+    play("w" + std::to_string(i), "safe");
   EXPECT_FALSE(play("p0", "unsafe"));
   for (int i = 0; i < 8; ++i) {  // more in a row than an outage takes
     const std::string id = "s" + std::to_string(i), two = std::to_string(i);
@@ -40,7 +41,8 @@
     dead.stale = true;
     Ids again = r.at(r.now + kMs).run({dead});
     EXPECT_TRUE(r.got<Ailment>().empty());
-    for (int k = 0; k < 40 && again.empty(); ++k) again = r.at(r.now + 20 * kMs).wake();
+    for (int k = 0; k < 40 && again.empty(); ++k)
+      again = r.at(r.now + 20 * kMs).wake();
     ASSERT_EQ(again, Ids{id});
     EXPECT_EQ(r.got<CloseIdle>().size(), 1u) << i;  // a further try
     r.at(r.now + 20 * kMs).end(id, 1, Result::ok, 20 * kMs);
@@ -48,7 +50,8 @@
   }
   EXPECT_TRUE(play("p1", "unsafe"));
   r.at(r.now + 31 * kS);
-  for (int i = 0; i < 10; ++i) play("x" + std::to_string(i), "safe");
+  for (int i = 0; i < 10; ++i)
+    play("x" + std::to_string(i), "safe");
   EXPECT_FALSE(play("p2", "unsafe"));  // long ago
 }
 
@@ -57,7 +60,8 @@
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("p", "unsafe", 1);
   Ids sent = r.at(kS).end("p", 0, Result::connect_failed);
-  for (int i = 1; i < 40 && sent.empty(); ++i) sent = r.at(kS + i * 100 * kMs).wake();
+  for (int i = 1; i < 40 && sent.empty(); ++i)
+    sent = r.at(kS + i * 100 * kMs).wake();
   EXPECT_EQ(sent, Ids{"p"});
 }
 
@@ -67,7 +71,8 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "batch")});  // three messages a call
   std::vector<Event> all;
-  for (int i = 0; i < 4; ++i) all.push_back(r.arrival("m" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 4; ++i)
+    all.push_back(r.arrival("m" + std::to_string(i), "safe", 1));
   EXPECT_EQ(r.run(all).size(), 3u);
   r.at(50 * kMs).end("m0", 0, Result::ok);
   r.end("m1", 0, Result::ok);
@@ -103,7 +108,8 @@
       const std::string id = "m" + std::to_string(i);
       r.at(r.now + gap).arrive(id, "safe", 1);
       r.at(r.now + 50 * kMs).end(id, 0, Result::ok, 50 * kMs);
-      if (i >= 20) n += r.got<CloseIdle>().size();
+      if (i >= 20)
+        n += r.got<CloseIdle>().size();
     }
     return n;
   };
@@ -123,7 +129,8 @@
   r.arrive("m", "safe", 1);
   r.at(100 * kMs).end("m", 0, Result::error);
   Ids sent;
-  while (sent.empty() && r.now < 19 * kS) sent = r.at(r.now + 50 * kMs).wake();
+  while (sent.empty() && r.now < 19 * kS)
+    sent = r.at(r.now + 50 * kMs).wake();
   EXPECT_EQ(sent, Ids{"m"});
   EXPECT_GE(r.now, 100 * kMs + s.classes[0].aim);
 }
@@ -145,11 +152,13 @@
       r.at(r.now + 50 * kMs).end(id, 0, result, 50 * kMs);
       return r.got<CloseIdle>().empty();
     };
-    for (int i = 0; i < 200; ++i) call(Result::ok);
+    for (int i = 0; i < 200; ++i)
+      call(Result::ok);
     EXPECT_TRUE(call(Result::ok));  // busy enough to be worth keeping
     call(Result::connect_failed);
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(r.now + 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(r.now + 50 * kMs).wake();
     r.at(r.now + 50 * kMs).end(sent[0], 1, Result::ok, 50 * kMs);
     return r.got<CloseIdle>().empty();
   };
@@ -169,7 +178,8 @@
     r.list({makeEndpoint("e1", 1)});
     r.arrive("m", "safe", 1);
     r.at(50 * kMs).end("m", 0, Result::connect_failed, 50 * kMs);
-    while (r.at(r.now + 10 * kMs).wake().empty() && r.now < 19 * kS) continue;
+    while (r.at(r.now + 10 * kMs).wake().empty() && r.now < 19 * kS)
+      continue;
     EXPECT_GE(r.now, 2 * kS);  // an aim
     back.insert(r.now / (500 * kMs));
   }
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -17,7 +17,8 @@
   EXPECT_TRUE(r.at(790 * kMs).wake().empty());
   Ids later;
   for (int i = 0; i < 100; ++i)
-    for (const auto& id : r.at(800 * kMs + i * 50 * kMs).wake()) later.push_back(id);
+    for (const auto& id : r.at(800 * kMs + i * 50 * kMs).wake())
+      later.push_back(id);
   EXPECT_EQ(later.size(), 2u);
 }
 
@@ -31,11 +32,13 @@
   s.classes[0].deadline = 100 * kS;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
-  for (int i = 0; i < 60; ++i) r.arrive("m" + std::to_string(i), "safe", 1);
+  for (int i = 0; i < 60; ++i)
+    r.arrive("m" + std::to_string(i), "safe", 1);
   std::map<std::string, int> tries;
   std::vector<Micros> sent_at;
   std::vector<std::string> out;
-  for (auto& [id, e] : r.where) out.push_back(id);
+  for (auto& [id, e] : r.where)
+    out.push_back(id);
   const Micros back = 8 * kS;
   for (Micros t = 100 * kMs; t < 40 * kS; t += 20 * kMs) {
     std::vector<Event> events{Wake{}};
@@ -44,7 +47,8 @@
       events.push_back(r.outcome(id, tries[id]++, t < back ? Result::connect_failed : Result::ok, 20 * kMs));
     out = r.run(events);
     for (std::size_t i = 0; i < out.size(); ++i)
-      if (t >= back) sent_at.push_back(t);
+      if (t >= back)
+        sent_at.push_back(t);
   }
   ASSERT_GT(sent_at.size(), 20u);
   // Within the first span after the return, and one trial more for chance.
@@ -65,8 +69,10 @@
     r.arrive("x", "safe", 1);
     r.at(100 * kMs).end("x", 0, refused ? Result::full : Result::ok);
     std::size_t n = 0;
-    for (int i = 0; i < 100; ++i) n += r.arrive("m" + std::to_string(i), "safe", 1).size();
-    for (int i = 0; i < 40; ++i) n += r.at(200 * kMs + i * 50 * kMs).wake().size();
+    for (int i = 0; i < 100; ++i)
+      n += r.arrive("m" + std::to_string(i), "safe", 1).size();
+    for (int i = 0; i < 40; ++i)
+      n += r.at(200 * kMs + i * 50 * kMs).wake().size();
     return n;
   };
   EXPECT_LT(count(true), count(false));
@@ -80,8 +86,10 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 4)});
   std::size_t n = 0;
-  for (int i = 0; i < 100; ++i) n += r.arrive("m" + std::to_string(i), "safe", 1).size();
-  for (int i = 1; i <= 60; ++i) n += r.at(i * 50 * kMs).wake().size();
+  for (int i = 0; i < 100; ++i)
+    n += r.arrive("m" + std::to_string(i), "safe", 1).size();
+  for (int i = 1; i <= 60; ++i)
+    n += r.at(i * 50 * kMs).wake().size();
   EXPECT_GE(n, 12u);
   EXPECT_LE(n, 16u);  // 4 a second for 3 s, and half a second's burst
 }
@@ -98,7 +106,8 @@
   r.arrive("m1", "safe", 1);
   r.at(kS).end("m1", 0, Result::timeout, kS);
   std::size_t n = 0;
-  for (int i = 0; i < 10; ++i) n += r.at(r.now + 200 * kMs).arrive("x" + std::to_string(i), "safe", 1).size();
+  for (int i = 0; i < 10; ++i)
+    n += r.at(r.now + 200 * kMs).arrive("x" + std::to_string(i), "safe", 1).size();
   EXPECT_LE(n, 1u);  // a trial at most
 }
 
@@ -124,7 +133,8 @@
   r.at(r.now + 10 * kMs).arrive("patient", "safe", 1);
   Ids sent;
   const Micros from = r.now;
-  while (sent.empty() && r.now < from + 40 * kS) sent = r.at(r.now + 50 * kMs).wake();
+  while (sent.empty() && r.now < from + 40 * kS)
+    sent = r.at(r.now + 50 * kMs).wake();
   EXPECT_LT(r.now - from, 15 * kS);
 }
 
@@ -178,7 +188,8 @@
     r.arrive("m", "safe", 1);
     r.at(50 * kMs).end("m", 0, Result::full, 50 * kMs, 3 * kS);
     Ids sent;
-    for (Micros t = 100 * kMs; sent.empty() && t < 19 * kS; t += 50 * kMs) sent = r.at(t).wake();
+    for (Micros t = 100 * kMs; sent.empty() && t < 19 * kS; t += 50 * kMs)
+      sent = r.at(t).wake();
     EXPECT_GE(r.now, 3 * kS + 50 * kMs);
     back.push_back(r.now);
   }
@@ -198,7 +209,8 @@
   r.at(kS).end("m", 0, Result::timeout, kS);
   int tries = 1;
   while (r.now < 19 * kS)
-    if (!r.at(r.now + 50 * kMs).wake().empty()) r.end("m", tries++, Result::timeout, 50 * kMs);
+    if (!r.at(r.now + 50 * kMs).wake().empty())
+      r.end("m", tries++, Result::timeout, 50 * kMs);
   EXPECT_LE(tries, 2);
 }
 
@@ -229,10 +241,12 @@
   s.classes[0].deadline = 100 * kS;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
-  for (int i = 0; i < 200; ++i) r.arrive("m" + std::to_string(i), "safe", 1);  // 20 a second
+  for (int i = 0; i < 200; ++i)
+    r.arrive("m" + std::to_string(i), "safe", 1);  // 20 a second
   std::map<std::string, int> tries;
   Ids out;
-  for (auto& [id, e] : r.where) out.push_back(id);
+  for (auto& [id, e] : r.where)
+    out.push_back(id);
   int calls = 0;
   for (Micros t = 20 * kMs; t < 4 * kS; t += 20 * kMs) {
     std::vector<Event> events{Wake{}};
@@ -275,11 +289,13 @@
     l.part = 0.3;
     l.heard = l.came = kS;
     r.run({l});
-    if (cold) r.run({Ailment{"", 1, false, kS, 0, kS}});
+    if (cold)
+      r.run({Ailment{"", 1, false, kS, 0, kS}});
     r.at(6 * kS).arrive("m", "safe", 1);
     r.run({Survey{INT64_MIN, 10}});
     for (const Lesson& known : r.got<Lesson>())
-      if (known.endpoint.empty()) return known.part;
+      if (known.endpoint.empty())
+        return known.part;
     return -1.0;
   };
   EXPECT_DOUBLE_EQ(part_after(true), 0.3);
--- a/tests/decision/containers_test.cpp
+++ b/tests/decision/containers_test.cpp
@@ -28,9 +28,11 @@
         it = it->second.second <= until ? plain.erase(it) : std::next(it);
     }
     ASSERT_EQ(plain.size(), median.size()) << now;
-    if (plain.empty()) continue;
+    if (plain.empty())
+      continue;
     std::vector<double> sorted;
-    for (const auto& [k, v] : plain) sorted.push_back(v.first);
+    for (const auto& [k, v] : plain)
+      sorted.push_back(v.first);
     std::sort(sorted.begin(), sorted.end());
     ASSERT_EQ(sorted[sorted.size() / 2], median.median()) << now;
   }
@@ -54,7 +56,8 @@
     }
     ASSERT_EQ(plain.size(), index.size());
     ASSERT_EQ(plain.empty(), index.empty());
-    if (i % 50) continue;
+    if (i % 50)
+      continue;
     std::vector<std::pair<double, std::int64_t>> first, second;
     for (const auto& [k, v] : plain) {
       first.emplace_back(v.first, k);
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -14,7 +14,8 @@
   s.conn_idle = 60 * kS;
   Rig r(s);
   std::vector<Endpoint> all;
-  for (int d = 1; d <= 6; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 1; d <= 6; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   Micros t = 0;
   int n = 0;
@@ -26,13 +27,15 @@
     t += rtt + 10 * kMs;
   };
   for (int i = 0; i < 10; ++i)
-    for (int d = 1; d <= 6; ++d) call(d, Result::ok, 100 * kMs);
+    for (int d = 1; d <= 6; ++d)
+      call(d, Result::ok, 100 * kMs);
   EXPECT_TRUE(r.got<CloseIdle>().empty());
   for (int d = 1; d <= 5; ++d) {
     t += kS;
     call(d, Result::timeout, 900 * kMs);  // lost on the reused connection
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(t += 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(t += 50 * kMs).wake();
     r.at(t += 100 * kMs).end(sent[0], 1, Result::ok);  // its further try, on a fresh one
   }
   t = r.now + kS;
@@ -51,7 +54,8 @@
   Rig r(s);
   std::vector<Endpoint> all;
   for (int d = 1; d <= 3; ++d)
-    for (const char* e : {"a", "b"}) all.push_back(makeEndpoint(e + std::to_string(d), d));
+    for (const char* e : {"a", "b"})
+      all.push_back(makeEndpoint(e + std::to_string(d), d));
   r.list(all);
   int n = 0;
   auto call = [&](int d, Result result, Micros rtt) {
@@ -63,13 +67,15 @@
   };
   // Busy enough that connections are worth keeping.
   for (int i = 0; i < 200; ++i)
-    for (int d = 1; d <= 3; ++d) call(d, Result::ok, 20 * kMs);
+    for (int d = 1; d <= 3; ++d)
+      call(d, Result::ok, 20 * kMs);
   for (int d = 1; d <= 2; ++d) {
     r.at(r.now + 2 * kS);
     const std::string lost = call(d, Result::timeout, 900 * kMs);
     const std::string first = r.where[lost];
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(r.now + 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(r.now + 50 * kMs).wake();
     EXPECT_NE(r.where[lost], first);
     r.at(r.now + 50 * kMs).end(sent[0], 1, Result::ok, 50 * kMs);
   }
@@ -111,7 +117,8 @@
   s.slots = 4;
   Rig r(s);
   std::vector<Endpoint> all;
-  for (int d = 1; d <= 6; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 1; d <= 6; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   for (int d = 1; d <= 6; ++d) {
     const std::string id = "w" + std::to_string(d);
@@ -129,7 +136,8 @@
 TEST(Health, AToldWaitIsHeededWhateverBecameOfTheCall) {
   for (const Result result : {Result::full, Result::reset, Result::timeout, Result::cancelled}) {
     for (const bool stale : {false, true}) {
-      if (stale && result != Result::reset) continue;
+      if (stale && result != Result::reset)
+        continue;
       SCOPED_TRACE(static_cast<int>(result));
       Rig rig;
       rig.list({makeEndpoint("e", 7)});
@@ -141,7 +149,8 @@
       EXPECT_TRUE(rig.at(200 * kMs).arrive("n", "safe", 7).empty());
       Micros first = 0;
       for (Micros t = 250 * kMs; t < 15 * kS && first == 0; t += 50 * kMs)
-        if (!rig.at(t).wake().empty()) first = t;
+        if (!rig.at(t).wake().empty())
+          first = t;
       EXPECT_GE(first, 1000 * kMs);  // and it is sent at all
     }
   }
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -42,7 +42,8 @@
   void step() {
     std::vector<Event> events;
     now_ += set_.tick * (1 + below(20));
-    if (below(400) == 0) now_ += 3 * kS;  // the host was away
+    if (below(400) == 0)
+      now_ += 3 * kS;  // the host was away
     if (wake_ > 0 && now_ >= wake_) {
       wake_ = 0;
       events.push_back(Wake{});
@@ -56,15 +57,20 @@
       for (std::size_t i = 0; i < m.tries.size(); ++i)
         if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
           events.push_back(end(id, static_cast<int>(i), Result::timeout));
-    for (int n = below(4); n > 0; --n) arrive(events);
+    for (int n = below(4); n > 0; --n)
+      arrive(events);
     for (auto& [id, m] : msgs_)
       for (std::size_t i = 0; i < m.tries.size(); ++i)
         if (m.tries[i].out && below(12) == 0)
           events.push_back(end(id, static_cast<int>(i), anyResult(m.dest)));
-    if (below(60) == 0) changeList(events);
-    if (below(90) == 0) events.push_back(ListUpdate{ListKind::failed, {}});
-    if (below(50) == 0) events.push_back(Outcome{});  // names nothing
-    if (!events.empty()) turn(events);
+    if (below(60) == 0)
+      changeList(events);
+    if (below(90) == 0)
+      events.push_back(ListUpdate{ListKind::failed, {}});
+    if (below(50) == 0)
+      events.push_back(Outcome{});  // names nothing
+    if (!events.empty())
+      turn(events);
   }
 
   void drain() {
@@ -80,9 +86,11 @@
         for (std::size_t i = 0; i < m.tries.size(); ++i)
           if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
             events.push_back(end(id, static_cast<int>(i), Result::timeout));
-      if (!events.empty()) turn(events);
+      if (!events.empty())
+        turn(events);
     }
-    for (auto& [id, m] : msgs_) EXPECT_TRUE(m.ended) << id;
+    for (auto& [id, m] : msgs_)
+      EXPECT_TRUE(m.ended) << id;
   }
 
   int answered = 0;
@@ -99,13 +107,16 @@
 
   void arrive(std::vector<Event>& events) {
     int open = 0;
-    for (auto& [id, m] : msgs_) open += !m.ended;
-    if (open >= set_.max_open) return;
+    for (auto& [id, m] : msgs_)
+      open += !m.ended;
+    if (open >= set_.max_open)
+      return;
     const std::string id = "m" + std::to_string(++count_);
     Msg m;
     m.cls = &set_.classes[static_cast<std::size_t>(below(static_cast<int>(set_.classes.size())))];
     m.dest = below(6);  // the last has no endpoint
-    if (m.cls->ordered && below(4)) m.key = "k" + std::to_string(below(3));
+    if (m.cls->ordered && below(4))
+      m.key = "k" + std::to_string(below(3));
     m.give_up = now_ + (below(5) ? m.cls->deadline : Micros{below(800)} * kMs);  // some come with little time
     m.order = static_cast<std::uint64_t>(count_);
     Arrival a;
@@ -132,7 +143,8 @@
     o.attempt = i;
     o.result = r;
     o.rtt = now_ - t.sent;
-    if (r == Result::ok) m.ended = true;
+    if (r == Result::ok)
+      m.ended = true;
     o.finished = m.ended;
     // A head may tell to wait though its body breaks off, or is read as the call is called off.
     const bool broken = r == Result::reset || r == Result::timeout || r == Result::cancelled;
@@ -142,7 +154,8 @@
       Micros& w = waits_[apart ? t.endpoint : "d" + std::to_string(m.dest)];
       w = std::max(w, now_ + o.wait);
     }
-    if (below(2)) o.report = LimitReport{0.5, 1.0 + below(30)};
+    if (below(2))
+      o.report = LimitReport{0.5, 1.0 + below(30)};
     return o;
   }
 
@@ -150,7 +163,8 @@
     for (const Endpoint& e : list_)
       if (e.id == endpoint)
         for (const Kind& k : set_.kinds)
-          if (k.name == e.kind) return k;
+          if (k.name == e.kind)
+            return k;
     return set_.kinds[0];
   }
 
@@ -169,24 +183,29 @@
         onSend(*s);
         ++sent_to[s->endpoint];
       }
-      if (const auto* r = std::get_if<Refuse>(&a)) final(r->id, true);
-      if (const auto* f = std::get_if<Fail>(&a)) final(f->id, false);
+      if (const auto* r = std::get_if<Refuse>(&a))
+        final(r->id, true);
+      if (const auto* f = std::get_if<Fail>(&a))
+        final(f->id, false);
       if (const auto* w = std::get_if<WakeIn>(&a))
         wake_ = wake_ > now_ ? std::min(wake_, now_ + w->span) : now_ + w->span;
-      if (const auto* c = std::get_if<Cancel>(&a)) due_[{c->id, c->attempt}] = now_;
+      if (const auto* c = std::get_if<Cancel>(&a))
+        due_[{c->id, c->attempt}] = now_;
     }
     int slots = 0;
     std::map<std::pair<std::string, Micros>, int> calls;
     for (auto& [id, m] : msgs_)
       for (const Try& t : m.tries)
-        if (t.out) ++calls[{t.endpoint, t.sent}];
+        if (t.out)
+          ++calls[{t.endpoint, t.sent}];
     for (auto& [call, n] : calls) {
       const int per = kindOf(call.first).per_call;
       slots += (n + per - 1) / per;
     }
     EXPECT_LE(slots, set_.slots);
     for (auto& [id, m] : msgs_)
-      if (!m.ended) EXPECT_LE(now_, m.give_up + 20 * kMs + 4 * kS) << id;  // the host may be away
+      if (!m.ended)
+        EXPECT_LE(now_, m.give_up + 20 * kMs + 4 * kS) << id;  // the host may be away
   }
 
   void final(const std::string& id, bool refuse) {
@@ -195,10 +214,13 @@
     EXPECT_FALSE(m.ended) << "two answers for " << id;
     m.ended = true;
     ++answered;
-    if (!refuse) return;
+    if (!refuse)
+      return;
     const bool ran = std::any_of(m.tries.begin(), m.tries.end(), [](const Try& t) { return t.may_have_run; });
-    if (ran && m.cls->effect == Effect::unsafe) ADD_FAILURE() << "refused what may have run: " << id;
-    if (ran && m.cls->effect == Effect::keyed) EXPECT_EQ(m.cls->group, RepeatGroup::all) << id;
+    if (ran && m.cls->effect == Effect::unsafe)
+      ADD_FAILURE() << "refused what may have run: " << id;
+    if (ran && m.cls->effect == Effect::keyed)
+      EXPECT_EQ(m.cls->group, RepeatGroup::all) << id;
   }
 
   void onSend(const Send& s) {
@@ -208,32 +230,42 @@
     EXPECT_LT(static_cast<int>(m.tries.size()), set_.max_attempts);
     const Endpoint* e = nullptr;
     for (const Endpoint& x : list_)
-      if (x.id == s.endpoint) e = &x;
+      if (x.id == s.endpoint)
+        e = &x;
     ASSERT_NE(e, nullptr);
     EXPECT_EQ(e->destination, m.dest);
     EXPECT_GT(s.timeout, 0);
     EXPECT_LE(now_ + s.timeout, m.give_up);
-    if (off_.count(e->id) && off_[e->id] >= 0) EXPECT_LE(now_, off_[e->id] + set_.drain_grace) << e->id;
+    if (off_.count(e->id) && off_[e->id] >= 0)
+      EXPECT_LE(now_, off_[e->id] + set_.drain_grace) << e->id;
     const std::string scope = kindOf(e->id).routes_apart ? e->id : "d" + std::to_string(m.dest);
-    if (waits_.count(scope)) EXPECT_GE(now_, waits_[scope]) << "wait of " << scope;
-    if (m.tries.empty()) EXPECT_EQ(0, s.write_within);
+    if (waits_.count(scope))
+      EXPECT_GE(now_, waits_[scope]) << "wait of " << scope;
+    if (m.tries.empty())
+      EXPECT_EQ(0, s.write_within);
     for (const Try& t : m.tries) {
-      if (t.out) EXPECT_TRUE(set_.may_copy) << s.id;
-      if (!t.may_have_run) continue;
+      if (t.out)
+        EXPECT_TRUE(set_.may_copy) << s.id;
+      if (!t.may_have_run)
+        continue;
       EXPECT_NE(m.cls->effect, Effect::unsafe) << "unsafe sent twice: " << s.id;
-      if (m.cls->effect != Effect::keyed) continue;
+      if (m.cls->effect != Effect::keyed)
+        continue;
       EXPECT_GT(s.write_within, 0);  // its connection may come up late
       EXPECT_LE(now_ + s.write_within, t.sent + m.cls->memory);
       for (const Endpoint& x : list_)
-        if (x.id == t.endpoint && m.cls->group == RepeatGroup::zone) EXPECT_EQ(x.zone, e->zone);
+        if (x.id == t.endpoint && m.cls->group == RepeatGroup::zone)
+          EXPECT_EQ(x.zone, e->zone);
     }
     if (!m.key.empty()) {
       for (auto& [id, o] : msgs_) {
-        if (o.key != m.key || o.order >= m.order) continue;
+        if (o.key != m.key || o.order >= m.order)
+          continue;
         const bool out = std::any_of(o.tries.begin(), o.tries.end(), [](const Try& t) { return t.out; });
         EXPECT_TRUE(o.ended && !out) << s.id << " before " << id;
       }
-      if (m.tries.empty() && quiet_.count(m.key)) EXPECT_GE(now_, quiet_[m.key]) << m.key;
+      if (m.tries.empty() && quiet_.count(m.key))
+        EXPECT_GE(now_, quiet_[m.key]) << m.key;
     }
     m.tries.push_back({s.endpoint, now_, true, true, Result::ok});
     due_[{s.id, static_cast<int>(m.tries.size()) - 1}] = now_ + s.timeout;
@@ -264,11 +296,14 @@
     s.late = variant % 2 ? LateRule::halves : LateRule::line;
     s.senders = variant % 4 == 3 ? 200 : 1 + variant % 4;
     s.order_pause = 300 * kMs;
-    if (variant % 2) s.tenants = {{"t", 2.0, 0.5}};
+    if (variant % 2)
+      s.tenants = {{"t", 2.0, 0.5}};
     s.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
-    if (variant % 4 == 1) s.classes[1].group = RepeatGroup::zone;
+    if (variant % 4 == 1)
+      s.classes[1].group = RepeatGroup::zone;
     World w(s, static_cast<std::uint64_t>(variant) + 1);
-    for (int i = 0; i < 1500; ++i) w.step();
+    for (int i = 0; i < 1500; ++i)
+      w.step();
     w.drain();
     EXPECT_GT(w.answered, 0);
   }
--- a/tests/decision/recall_test.cpp
+++ b/tests/decision/recall_test.cpp
@@ -24,10 +24,12 @@
   q.most = most;
   for (;;) {
     r.run({q});
-    for (const Lesson& l : r.got<Lesson>()) all.push_back(l);
+    for (const Lesson& l : r.got<Lesson>())
+      all.push_back(l);
     const auto end = r.got<Surveyed>();
     EXPECT_EQ(end.size(), 1u);
-    if (end.empty() || end[0].all) return all;
+    if (end.empty() || end[0].all)
+      return all;
     q.after = end[0].after;
   }
 }
@@ -39,16 +41,20 @@
   Rig r;
   r.at(100 * kS);
   std::vector<Endpoint> all;
-  for (int d = 1; d <= 7; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 1; d <= 7; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
-  for (int d = 1; d <= 6; ++d) teach(r, d, 5);  // nothing is known of the seventh
+  for (int d = 1; d <= 6; ++d)
+    teach(r, d, 5);  // nothing is known of the seventh
   for (const int most : {1, 2, 3, 1000}) {
     const std::vector<Lesson> lessons = lessonsOf(r, most);
     EXPECT_EQ(lessons.size(), 12u) << most;  // each destination, and its endpoint
     for (const Lesson& l : lessons) {
       EXPECT_EQ(l.usual, 20 * kMs);
       EXPECT_EQ(l.endpoint.empty(), l.told);
-      if (l.endpoint.empty()) { EXPECT_EQ(l.limit, 60); }
+      if (l.endpoint.empty()) {
+        EXPECT_EQ(l.limit, 60);
+      }
     }
   }
 }
@@ -73,7 +79,8 @@
     Rig next;
     next.at(first.now + kS).list(twoOf(1));
     std::vector<Event> events(told.begin(), told.end());
-    for (Event& e : events) std::get<Lesson>(e).limit = std::get<Lesson>(e).part = 0;  // no limit known
+    for (Event& e : events)
+      std::get<Lesson>(e).limit = std::get<Lesson>(e).part = 0;  // no limit known
     events.emplace_back(Ailment{"", 1, false, next.now - kS, 0, next.now});
     for (int i = 0; i < 60; ++i)
       events.emplace_back(Resumed{next.arrival("r" + std::to_string(i), "safe", 1), {}, nullptr});
@@ -82,7 +89,8 @@
     for (int k = 0; k < 100; ++k) {
       sent += out.size();
       std::vector<Event> ends;
-      for (const std::string& id : out) ends.emplace_back(next.outcome(id, 0, Result::ok, 20 * kMs));
+      for (const std::string& id : out)
+        ends.emplace_back(next.outcome(id, 0, Result::ok, 20 * kMs));
       ends.emplace_back(Wake{});
       out = next.at(next.now + 20 * kMs).run(ends);
     }
@@ -145,7 +153,8 @@
   teach(r, 1, 12, 50);
   double limit = 0;
   for (const Lesson& known : lessonsOf(r))
-    if (known.endpoint.empty()) limit = known.limit;
+    if (known.endpoint.empty())
+      limit = known.limit;
   EXPECT_LT(limit, 55);
 }
 
@@ -202,7 +211,8 @@
     std::stable_sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
       return std::make_pair(a.first, a.second.first) < std::make_pair(b.first, b.second.first);
     });
-    while (!calls.empty() && calls.front() <= t - s.fall_span) calls.pop_front();
+    while (!calls.empty() && calls.front() <= t - s.fall_span)
+      calls.pop_front();
     const double warmth = std::min(1.0, static_cast<double>(t - s.fall_span / 2 - returned) / 1e7);
     const double share = s.cold_share + (1 - s.cold_share) * std::max(0.0, warmth);
     over = over || static_cast<double>(calls.size()) > s.overload_factor * kTakes * share * 2;
--- a/tests/decision/reference_tags_test.cpp
+++ b/tests/decision/reference_tags_test.cpp
@@ -27,11 +27,13 @@
   void arrive(std::int64_t id, double aim, double now) {
     double least = 1e300;
     for (auto& [d, l] : lines)
-      if (!l.tags.empty()) least = std::min(least, l.tags.front().second);
+      if (!l.tags.empty())
+        least = std::min(least, l.tags.front().second);
     if (least < 1e300)
       for (auto& [d, l] : lines) {
         l.global += now - least;
-        for (auto& t : l.tags) t.second += now - least;
+        for (auto& t : l.tags)
+          t.second += now - least;
       }
     Line& l = lines[id];
     l.aims.insert(aim);
@@ -46,15 +48,18 @@
   void raise(std::int64_t id, double served) {
     Line& l = lines[id];
     const double by = std::max(0.0, served - 1e6 - l.tags.front().second);
-    for (auto& t : l.tags) t.second += by;
+    for (auto& t : l.tags)
+      t.second += by;
     l.global += by;
   }
   // Whose tag is next, and whether it is a global one.
   std::pair<std::int64_t, bool> next(double now) const {
     std::pair<double, std::int64_t> local{1e300, -1}, global{1e300, -1};
     for (const auto& [d, l] : lines) {
-      if (l.tags.empty()) continue;
-      if (l.tags.front().first <= now) local = std::min(local, {l.tags.front().first, d});
+      if (l.tags.empty())
+        continue;
+      if (l.tags.front().first <= now)
+        local = std::min(local, {l.tags.front().first, d});
       global = std::min(global, {l.tags.front().second, d});
     }
     return local.second >= 0 ? std::make_pair(local.second, false) : std::make_pair(global.second, true);
@@ -69,8 +74,10 @@
       l.local -= l.period;
       l.global -= 1e6;
     }
-    if (!by_global) return;
-    for (auto& t : l.tags) t.first -= l.period;
+    if (!by_global)
+      return;
+    for (auto& t : l.tags)
+      t.first -= l.period;
     l.local -= l.period;
   }
 };
@@ -113,7 +120,8 @@
       }
       Message& m = **(d->held.begin() + static_cast<std::ptrdiff_t>(random() % d->held.size()));
       tags.unhold(m, started);
-      if (started && global) tags.dropLocalTags(*d);
+      if (started && global)
+        tags.dropLocalTags(*d);
       plain.leave(id, static_cast<double>(m.cls->aim), started, started && global);
       starts += started;
       by_global += started && global;
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -30,7 +30,8 @@
   EXPECT_EQ((std::set<std::string>{"safe", "keyed", "untried", "refused"}),
             std::set<std::string>(sent.begin(), sent.end()));
   std::set<std::string> failed;
-  for (const Fail& f : rig.got<Fail>()) failed.insert(f.id);
+  for (const Fail& f : rig.got<Fail>())
+    failed.insert(f.id);
   EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
   ASSERT_EQ(1u,
             rig.got<Refuse>().size());  // repeats are dropped at all of its endpoints: harmless to hand in
@@ -64,7 +65,8 @@
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   EXPECT_EQ(rig.run({rig.arrival("old", "unsafe", 1)}).size(), 1u);
   Settings other = rig.set;
-  for (MessageClass& c : other.classes) c.effect = c.name == "unsafe" ? Effect::safe : c.effect;
+  for (MessageClass& c : other.classes)
+    c.effect = c.name == "unsafe" ? Effect::safe : c.effect;
   other.classes.erase(other.classes.begin());  // "safe" is dropped
   other.max_attempts = 2;
   rig.run({Retuned{other}});
@@ -110,7 +112,8 @@
     first.arrive("m" + std::to_string(i), "safe", 1);
     for (const Send& s : first.got<Send>()) {
       first.at(first.now + 10 * kMs).end(s.id, 0, Result::connect_failed);
-      for (const Ailment& a : first.got<Ailment>()) kept.push_back(a);
+      for (const Ailment& a : first.got<Ailment>())
+        kept.push_back(a);
     }
   }
   ASSERT_FALSE(kept.empty());
@@ -120,8 +123,10 @@
     Rig next;
     next.at(first.now + kS).list({makeEndpoint("e", 1, "shared", 10)});
     std::vector<Event> events;
-    if (told) events.push_back(kept.back());
-    for (int i = 0; i < 8; ++i) events.push_back(resumed(next, "r" + std::to_string(i), "safe", {}));
+    if (told)
+      events.push_back(kept.back());
+    for (int i = 0; i < 8; ++i)
+      events.push_back(resumed(next, "r" + std::to_string(i), "safe", {}));
     return next.run(events).size();
   };
   EXPECT_EQ(1u, sends(true));
@@ -138,7 +143,8 @@
     EXPECT_EQ(1u, next.arrive("first", "safe", 1).size());
     next.at(next.now + 100 * kMs).end("first", 0, Result::ok);
     std::vector<Event> backlog;
-    for (int i = 0; i < 8; ++i) backlog.push_back(next.arrival("m" + std::to_string(i), "safe", 1));
+    for (int i = 0; i < 8; ++i)
+      backlog.push_back(next.arrival("m" + std::to_string(i), "safe", 1));
     next.at(next.now + 500 * kMs);
     return next.run(backlog).size();
   };
--- a/tests/decision/retention_test.cpp
+++ b/tests/decision/retention_test.cpp
@@ -26,12 +26,15 @@
   std::vector<std::string> sent = r.arrive("x0", "safe", 1);
   for (int i = 1; i < 200; ++i) {
     std::vector<Event> ends;
-    for (const std::string& id : sent) ends.push_back(r.outcome(id, attempts[id]++, Result::connect_failed));
+    for (const std::string& id : sent)
+      ends.push_back(r.outcome(id, attempts[id]++, Result::connect_failed));
     ends.push_back(r.arrival("x" + std::to_string(i), "safe", 1));
     sent = r.at(r.now + 100 * kMs).run(ends);
     for (const Ailment& a : r.got<Ailment>()) {
-      if (!a.down) continue;
-      for (const std::string& id : sent) r.end(id, attempts[id]++, Result::connect_failed);
+      if (!a.down)
+        continue;
+      for (const std::string& id : sent)
+        r.end(id, attempts[id]++, Result::connect_failed);
       return true;
     }
   }
@@ -45,12 +48,16 @@
     r.at(kS).list({makeEndpoint("e1", 1)});
     ASSERT_TRUE(fellDown(r));
     r.list({gone("e1", 1)}, ListKind::delta);
-    if (soon) r.at(r.now + 25 * kS).wake();  // the messages are over by then
-    for (int i = 0; i < 4 && !soon; ++i) r.at(r.now + kKept).wake();
+    if (soon)
+      r.at(r.now + 25 * kS).wake();  // the messages are over by then
+    for (int i = 0; i < 4 && !soon; ++i)
+      r.at(r.now + kKept).wake();
     r.list({makeEndpoint("e1", 1)}, ListKind::delta);
     const std::size_t sent = r.arrive("a", "safe", 1).size() + r.arrive("b", "safe", 1).size();
-    if (soon) EXPECT_LT(sent, 2u) << "a destination that was down is tried by one call at first";
-    else EXPECT_EQ(sent, 2u);
+    if (soon)
+      EXPECT_LT(sent, 2u) << "a destination that was down is tried by one call at first";
+    else
+      EXPECT_EQ(sent, 2u);
   }
 }
 
@@ -63,7 +70,8 @@
   ASSERT_EQ(r.run({a}).size(), 1u);
   const std::string first = r.where["m"];
   r.list({gone(first, 1)}, ListKind::delta);
-  for (int i = 0; i < 6; ++i) r.at(r.now + kKept).wake();
+  for (int i = 0; i < 6; ++i)
+    r.at(r.now + kKept).wake();
   r.end("m", 0, Result::ok);
   r.at(r.now + 3 * kKept).wake();
   EXPECT_TRUE(r.arrive("n", "safe", 1) == std::vector<std::string>{"n"});
@@ -80,7 +88,8 @@
   ASSERT_EQ(r.arrive("m", "keyed", 1).size(), 1u);
   r.list({gone("e1", 1)}, ListKind::delta);
   r.end("m", 0, Result::reset);
-  for (int i = 0; i < 5; ++i) r.at(r.now + kKept).wake();
+  for (int i = 0; i < 5; ++i)
+    r.at(r.now + kKept).wake();
   r.list({makeEndpoint("e2", 1, "shared", 0, "b")}, ListKind::delta);
   r.at(r.now + 60 * kS).wake();
   EXPECT_EQ(r.where["m"], "e1") << "a repeat in another zone would run twice";
@@ -121,7 +130,8 @@
   std::vector<Ailment> last;
   for (int i = 0; i < 8; ++i) {
     r.at(r.now + kKept / 2).wake();
-    for (const Ailment& a : r.got<Ailment>()) last.push_back(a);
+    for (const Ailment& a : r.got<Ailment>())
+      last.push_back(a);
   }
   ASSERT_EQ(last.size(), 1u);
   EXPECT_FALSE(last[0].down);
@@ -133,7 +143,8 @@
 TEST(Retention, ManyIdsThroughAShortListKeepMemoryFlat) {
 #if defined(__GLIBC__) && !defined(__SANITIZE_ADDRESS__)
   Settings s = makeSettings();
-  for (MessageClass& c : s.classes) c.ordered = true;
+  for (MessageClass& c : s.classes)
+    c.ordered = true;
   s.order_pause = 500 * kMs;
   s.slots = 64;
   s.ramp_time = kS;
@@ -157,7 +168,8 @@
     r.run(ends);
     r.where.clear();
     r.timeout.clear();
-    if (i % 10'000 == 0) used.push_back(mallinfo2().uordblks);
+    if (i % 10'000 == 0)
+      used.push_back(mallinfo2().uordblks);
   }
   ASSERT_EQ(used.size(), 10u);
   const std::size_t half = used[5], last = used[9];
--- a/tests/decision/rig.h
+++ b/tests/decision/rig.h
@@ -76,7 +76,8 @@
     a.destination = dest;
     a.order_key = key;
     for (const auto& c : set.classes)
-      if (c.name == cls) a.give_up_at = now + c.deadline;
+      if (c.name == cls)
+        a.give_up_at = now + c.deadline;
     return a;
   }
   std::vector<std::string> arrive(const std::string& id, const std::string& cls, std::int64_t dest,
@@ -115,7 +116,8 @@
   std::vector<T> got() const {
     std::vector<T> v;
     for (const Action& a : acts)
-      if (const auto* x = std::get_if<T>(&a)) v.push_back(*x);
+      if (const auto* x = std::get_if<T>(&a))
+        v.push_back(*x);
     return v;
   }
 
--- a/tests/decision/streams.h
+++ b/tests/decision/streams.h
@@ -43,7 +43,8 @@
     s.overload_factor = 1.5;
     s.weights = shape.capacity > 0 ? WeightKind::rough : WeightKind::none;
     if (shape.ordered)
-      for (MessageClass& c : s.classes) c.ordered = true;
+      for (MessageClass& c : s.classes)
+        c.ordered = true;
     s.order_pause = 500 * kMs;
     classes_ = s.classes;
     settings = s;
@@ -56,11 +57,14 @@
     std::vector<Event> events{list()};
     for (int t = 0; t < shape_.turns; ++t) {
       now_ += shape_.step;
-      if (t > 0) events = eventsOf(t);
+      if (t > 0)
+        events = eventsOf(t);
       const std::vector<Action> actions = sender_->decide(now_, events);
-      if (tap) tap(now_, events, actions);
+      if (tap)
+        tap(now_, events, actions);
       add(&t, sizeof t);
-      for (const Action& a : actions) std::visit([this](const auto& x) { act(x); }, a);
+      for (const Action& a : actions)
+        std::visit([this](const auto& x) { act(x); }, a);
       events.clear();
     }
     return digest_;
@@ -104,14 +108,16 @@
       Outcome o = due_.top().outcome;
       due_.pop();
       const auto key = std::make_pair(o.id, o.attempt);
-      if (!out_.count(key)) continue;
+      if (!out_.count(key))
+        continue;
       out_.erase(key);
       events.push_back(o);
     }
     const double expected = shape_.rate * static_cast<double>(shape_.step) / 1e6;
     int n = static_cast<int>(expected);
     n += draw() < expected - n;
-    if (draw() < 0.004) n += shape_.max_open / 20;  // a clump
+    if (draw() < 0.004)
+      n += shape_.max_open / 20;  // a clump
     const int clump = static_cast<int>(random_() % static_cast<std::uint64_t>(shape_.destinations));
     for (int i = 0; i < n; ++i) {
       Arrival a;
@@ -122,7 +128,8 @@
       a.destination = i > 3 ? clump : static_cast<int>(pick * pick * shape_.destinations);
       a.give_up_at = now_ + c.deadline;
       a.repeat = draw() < 0.1;
-      if (shape_.ordered && draw() < 0.7) a.order_key = "k" + std::to_string(random_() % 20);
+      if (shape_.ordered && draw() < 0.7)
+        a.order_key = "k" + std::to_string(random_() % 20);
       destination_[a.id] = static_cast<int>(a.destination);
       events.push_back(a);
     }
@@ -137,16 +144,19 @@
       x.weight = shape_.capacity;
       x.state = static_cast<EndpointState>(random_() % 3);
       u.endpoints.push_back(x);
-      if (turn % 370 == 0) u = list();
+      if (turn % 370 == 0)
+        u = list();
       events.push_back(u);
     }
-    if (events.empty()) events.push_back(Wake{});
+    if (events.empty())
+      events.push_back(Wake{});
     return events;
   }
 
   void add(const void* data, std::size_t size) {
     const auto* p = static_cast<const unsigned char*>(data);
-    for (std::size_t i = 0; i < size; ++i) digest_ = (digest_ ^ p[i]) * 1099511628211ull;
+    for (std::size_t i = 0; i < size; ++i)
+      digest_ = (digest_ ^ p[i]) * 1099511628211ull;
   }
   void add(const std::string& s) { add(s.c_str(), s.size() + 1); }
 
@@ -177,7 +187,8 @@
     }
     o.finished = o.result == Result::ok;
     o.rtt = takes;
-    if (shape_.reports && o.result == Result::ok) o.report = LimitReport{draw(), shape_.capacity};
+    if (shape_.reports && o.result == Result::ok)
+      o.report = LimitReport{draw(), shape_.capacity};
     out_.insert({o.id, o.attempt});
     due_.push({now_ + takes, o});
   }
@@ -185,7 +196,8 @@
     add(c.id);
     add(&c.attempt, sizeof c.attempt);
     ++cancels;
-    if (!out_.count({c.id, c.attempt})) return;
+    if (!out_.count({c.id, c.attempt}))
+      return;
     Outcome o;
     o.id = c.id;
     o.attempt = c.attempt;
@@ -224,12 +236,18 @@
 
 inline StreamShape streamShape(const std::string& name) {
   StreamShape s;
-  if (name == "outage") s.outage = true, s.rate = 90;
-  if (name == "overload") s.rate = 900, s.max_open = 200;
-  if (name == "churn") s.churn = true, s.endpoints_each = 4;
-  if (name == "ordered") s.ordered = true, s.rate = 120;
-  if (name == "limits") s.capacity = 6, s.reports = s.waits = true;
-  if (name == "waits") s.waits = s.outage = true, s.copies = true;
+  if (name == "outage")
+    s.outage = true, s.rate = 90;
+  if (name == "overload")
+    s.rate = 900, s.max_open = 200;
+  if (name == "churn")
+    s.churn = true, s.endpoints_each = 4;
+  if (name == "ordered")
+    s.ordered = true, s.rate = 120;
+  if (name == "limits")
+    s.capacity = 6, s.reports = s.waits = true;
+  if (name == "waits")
+    s.waits = s.outage = true, s.copies = true;
   if (name == "many")
     s.senders = 200, s.slots = 4, s.max_open = 60, s.outage = s.waits = true, s.capacity = 20;
   if (name == "wide")
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -26,11 +26,13 @@
   Ids order = r.run(all);
   for (int t = 1; order.size() < 25 && t < 100; ++t) {
     const std::string last = order.back();
-    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, Result::ok, 10 * kMs)) order.push_back(id);
+    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, Result::ok, 10 * kMs))
+      order.push_back(id);
   }
   ASSERT_GE(order.size(), 25u);
   std::string who;
-  for (int i = 0; i < 25; ++i) who += order[static_cast<std::size_t>(i)].substr(0, 1);
+  for (int i = 0; i < 25; ++i)
+    who += order[static_cast<std::size_t>(i)].substr(0, 1);
   EXPECT_EQ(who.substr(0, 5), "ababa");
   for (std::size_t from = 0; from < 25; from += 5) {
     const std::string five = who.substr(from, 5);
@@ -61,8 +63,10 @@
   r.arrive("a", "safe", 1);
   r.at(10 * kMs).end("a", 0, Result::full, 10 * kMs, 900 * kMs);
   std::vector<Event> all;
-  for (int i = 0; i < 40; ++i) all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
-  for (int i = 0; i < 120; ++i) all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
+  for (int i = 0; i < 40; ++i)
+    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 120; ++i)
+    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   Ids sent = r.at(20 * kMs).run(all);
   int first = 0, second = 0;
   for (Micros t = 40 * kMs; t <= 1700 * kMs; t += 20 * kMs) {
@@ -99,14 +103,17 @@
   // the second and third go before those of 1, not the fourth.
   r.at(5 * kS);
   std::vector<Event> all;
-  for (int i = 0; i < 5; ++i) all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
-  for (int i = 0; i < 4; ++i) all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
+  for (int i = 0; i < 5; ++i)
+    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 4; ++i)
+    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   Ids order = r.run(all);
   for (int i = 0; order.size() < 6 && i < 20; ++i)
     for (const auto& id : r.at(5 * kS + (i + 1) * 20 * kMs).end(order.back(), 0, Result::ok, 20 * kMs))
       order.push_back(id);
   std::string who;
-  for (const auto& id : order) who += id[0];
+  for (const auto& id : order)
+    who += id[0];
   EXPECT_EQ(who.substr(0, 2), "ab");  // the due local tags
   EXPECT_EQ(who.substr(2, 2), "bb");  // the credit
   EXPECT_NE(who.substr(4, 2), "bb");
@@ -120,11 +127,14 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   std::vector<Event> all;
-  for (int i = 0; i < 30; ++i) all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 30; ++i)
+    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
   Ids order = r.run(all);
-  for (int i = 1; i <= 10; ++i) order = r.at(i * 10 * kMs).end(order.at(0), 0, Result::ok, 10 * kMs);
+  for (int i = 1; i <= 10; ++i)
+    order = r.at(i * 10 * kMs).end(order.at(0), 0, Result::ok, 10 * kMs);
   all.clear();
-  for (int i = 0; i < 5; ++i) all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
+  for (int i = 0; i < 5; ++i)
+    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   EXPECT_TRUE(r.run(all).empty());
   std::string who;
   for (int i = 11; i <= 16; ++i) {
--- a/tests/discovery/asking_test.cpp
+++ b/tests/discovery/asking_test.cpp
@@ -19,7 +19,8 @@
   // When the caller knows, and whether it was answered.
   std::pair<Micros, bool> call(Micros now) {
     const Micros start = std::max(now, free_at);
-    if (start - now > patience) return {now + 15'000, false};
+    if (start - now > patience)
+      return {now + 15'000, false};
     free_at = start + each;
     const bool heard = free_at - now <= patience;
     return {heard ? free_at : now + patience, heard};
@@ -31,14 +32,17 @@
 std::pair<int, int> answeredOf(int senders, Micros each, Micros until, First first, Again again) {
   Overbooked discovery{each};
   std::priority_queue<std::pair<Micros, int>, std::vector<std::pair<Micros, int>>, std::greater<>> due;
-  for (int i = 0; i < senders; ++i) due.emplace(first(i), i);
+  for (int i = 0; i < senders; ++i)
+    due.emplace(first(i), i);
   int answered = 0, calls = 0;
   for (; !due.empty() && due.top().first < until; ++calls) {
     const auto [now, i] = due.top();
     due.pop();
     const auto [at, heard] = discovery.call(now);
-    if (heard) ++answered;
-    else due.emplace(at + again(i), i);
+    if (heard)
+      ++answered;
+    else
+      due.emplace(at + again(i), i);
   }
   return {answered, calls};
 }
@@ -49,7 +53,8 @@
   for (const int senders : {30, 100, 200}) {
     for (const double all_in : {2.0, 5.0, 8.0}) {  // seconds in which discovery can serve a call of each
       std::vector<Asking> fleet;
-      for (int i = 0; i < senders; ++i) fleet.emplace_back(senders, 1000 + i);
+      for (int i = 0; i < senders; ++i)
+        fleet.emplace_back(senders, 1000 + i);
       const auto each = static_cast<Micros>(all_in * 1e6 / senders);
       const auto [answered, calls] = answeredOf(
           senders, each, 40 * kSecond, [](int) { return 0; },
@@ -81,7 +86,8 @@
 // A call that broke off says nothing of how many ask: drains have to be heard in time, whatever the fleet.
 TEST(Asking, ABrokenCallIsSoonMadeAgainInAnyFleet) {
   Asking a(100'000, 5);
-  for (int i = 0; i < 50; ++i) EXPECT_LE(a.afterBroken(), Asking::kBrokenMost);
+  for (int i = 0; i < 50; ++i)
+    EXPECT_LE(a.afterBroken(), Asking::kBrokenMost);
 }
 
 // What the agent has counts as told, whether or not it was asked: a sender that starts, or whose discovery
@@ -102,7 +108,8 @@
   watcher.moveTo(parseAddress(moved.address()), moved.address());
   EXPECT_TRUE(called(moved));
   Asking many(100'000, 5);
-  for (int i = 0; i < 200; ++i) EXPECT_LE(many.afterTurnedAway(), 5'000'000);
+  for (int i = 0; i < 200; ++i)
+    EXPECT_LE(many.afterTurnedAway(), 5'000'000);
 }
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls
@@ -118,7 +125,8 @@
     EXPECT_LE(kAnswer + refused.afterTurnedAway() + kAnswer + refused.afterTurnedAway() + kAnswer,
               kCountsAsTold);
     Asking outage(300, seed);
-    for (int i = 0; i < 20; ++i) outage.afterBroken();  // it was long; the last call began as it ended
+    for (int i = 0; i < 20; ++i)
+      outage.afterBroken();  // it was long; the last call began as it ended
     EXPECT_LE(
         Asking::kConnect + silent_call + outage.afterBroken() + silent_call + outage.afterBroken() + kAnswer,
         kCountsAsTold);
@@ -133,7 +141,8 @@
   loopback::Server server([&](const loopback::Seen& seen) {
     std::lock_guard<std::mutex> l(mutex);
     targets.push_back(seen.head.substr(0, seen.head.find(" HTTP/")));
-    if (targets.size() == 2) return loopback::Act{"", true};  // the watch breaks off
+    if (targets.size() == 2)
+      return loopback::Act{"", true};  // the watch breaks off
     return loopback::Act{loopback::answer("200 OK", "", R"({"index":7,"snapshot":false,"endpoints":[]})")};
   });
   boost::asio::io_context io(1);
@@ -142,7 +151,8 @@
   Watcher watcher(
       Agent(io, parseAddress(server.address()), server.address()), worker,
       [&](const ListAnswer& a) {
-        if (++answers == 3) io.stop();
+        if (++answers == 3)
+          io.stop();
         return a.index;
       },
       1, 3);
@@ -165,13 +175,15 @@
   loopback::Server server([&](const loopback::Seen&) {
     std::lock_guard<std::mutex> l(mutex);
     came.push_back(Clock::now());
-    if (came.size() < 4) return loopback::Act{loopback::answer("503 Busy")};
+    if (came.size() < 4)
+      return loopback::Act{loopback::answer("503 Busy")};
     return loopback::Act{loopback::answer("200 OK", "", R"({"index":7,"snapshot":true,"endpoints":[]})")};
   });
   const std::uint64_t seed = 11;
   Asking same(kSenders, seed);
   Micros least = 0;
-  for (int i = 0; i < 3; ++i) least += same.afterTurnedAway();
+  for (int i = 0; i < 3; ++i)
+    least += same.afterTurnedAway();
   ASSERT_GT(least, 4 * Asking::kPause);  // more than pauses of 100 ms make
   boost::asio::io_context io(1);
   Worker worker(io);
--- a/tests/doors/hiredis_test.cpp
+++ b/tests/doors/hiredis_test.cpp
@@ -32,7 +32,8 @@
     ASSERT_TRUE(child.waitForPort(port, 30));
   }
   void kill() {
-    if (!child.running()) return;
+    if (!child.running())
+      return;
     child.signal(SIGKILL);
     child.wait();
   }
@@ -48,7 +49,8 @@
     return r;
   }
   static std::string state(const Reply& r) {
-    if (!r || r->type != REDIS_REPLY_ARRAY || r->elements < 2) return "none";
+    if (!r || r->type != REDIS_REPLY_ARRAY || r->elements < 2)
+      return "none";
     return {r->element[1]->str, r->element[1]->len};
   }
   Server shop;
--- a/tests/doors/http_door_test.cpp
+++ b/tests/doors/http_door_test.cpp
@@ -6,7 +6,9 @@
 
 using namespace loopback;
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
 
 TEST(HttpDoor, TakesAMessageOnDeliversItAndTellsItsEnd) {
   HttpFleet f(deliver);
@@ -116,9 +118,12 @@
   const int kLines = 60;  // under the endpoint's and the module's bounds, well over the window
   for (int i = 0; i < kLines; ++i) {
     const std::string id = "b" + std::to_string(i);
-    if (i % 20 == 3) body += "rubbish\n";
-    else if (i % 20 == 7) body += std::string(5000, 'x') + "\n";
-    else body += R"({"id":")" + id + R"(","class":"notice","destination":7,"deadline_ms":9000})" + "\n\r\n";
+    if (i % 20 == 3)
+      body += "rubbish\n";
+    else if (i % 20 == 7)
+      body += std::string(5000, 'x') + "\n";
+    else
+      body += R"({"id":")" + id + R"(","class":"notice","destination":7,"deadline_ms":9000})" + "\n\r\n";
   }
   HttpClient c(f.http);
   // In small pieces, so that lines are cut anywhere.
@@ -138,9 +143,12 @@
   for (int i = 0; i < kLines; ++i) {
     const json& line = lines[static_cast<std::size_t>(i)];
     const int status = line["status"];
-    if (i % 20 == 3) EXPECT_EQ(400, status) << i;
-    else if (i % 20 == 7) EXPECT_EQ(413, status) << i;
-    else EXPECT_TRUE((status == 202 || status == 429) && line["id"] == "b" + std::to_string(i)) << line;
+    if (i % 20 == 3)
+      EXPECT_EQ(400, status) << i;
+    else if (i % 20 == 7)
+      EXPECT_EQ(413, status) << i;
+    else
+      EXPECT_TRUE((status == 202 || status == 429) && line["id"] == "b" + std::to_string(i)) << line;
   }
   EXPECT_EQ(202, c.ask("PUT", "/v1/messages/after", "", messageDocument("notice", 7)).status);
 }
@@ -200,7 +208,8 @@
   line.send("POST /v1/messages:batch HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n{\"id\":");
   std::atomic<bool> stop{false};
   std::thread drip([&] {
-    while (!stop && body.send("x")) std::this_thread::sleep_for(100ms);
+    while (!stop && body.send("x"))
+      std::this_thread::sleep_for(100ms);
   });
   for (HttpClient* c : {&head, &body}) {
     EXPECT_EQ(408, c->reply().status);
@@ -215,7 +224,8 @@
   HttpClient endless(f.http);
   endless.send(put);
   const std::string field = "X-Field: " + std::string(1000, 'x') + "\r\n";
-  for (int i = 0; i < 40 && endless.send(field); ++i) {}
+  for (int i = 0; i < 40 && endless.send(field); ++i) {
+  }
   const HttpReply r = endless.reply();  // a close with input unread may overtake the answer
   EXPECT_TRUE(r.status == 431 || r.status == 0) << r.status;
   EXPECT_TRUE(endless.ended());
@@ -226,7 +236,8 @@
 long peakKb(pid_t pid) {
   std::ifstream f("/proc/" + std::to_string(pid) + "/status");
   for (std::string l; std::getline(f, l);)
-    if (l.rfind("VmHWM:", 0) == 0) return std::stol(l.substr(6));
+    if (l.rfind("VmHWM:", 0) == 0)
+      return std::stol(l.substr(6));
   return -1;
 }
 
@@ -241,7 +252,8 @@
     for (const char* start : {"PUT /v1/messages/a", "POST /v1/messages:batch"}) {
       HttpClient c(f.http);
       c.send(std::string(start) + " HTTP/1.1\r\nHost: x\r\n" + length);
-      for (int i = 0; i < 600 && c.send(piece); ++i) {}
+      for (int i = 0; i < 600 && c.send(piece); ++i) {
+      }
     }
   }
 #ifdef __SANITIZE_ADDRESS__
@@ -261,9 +273,11 @@
   ::setsockopt(c.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   std::string many;
   ASSERT_EQ(202, f.put("known", messageDocument("notice", 7)).status);
-  for (int i = 0; i < 500; ++i) many += HttpClient::request("GET", "/v1/messages/known");
+  for (int i = 0; i < 500; ++i)
+    many += HttpClient::request("GET", "/v1/messages/known");
   int sent = 0;
-  while (sent < 2000 && c.send(many)) ++sent;  // its window fills, then it is closed
+  while (sent < 2000 && c.send(many))
+    ++sent;  // its window fills, then it is closed
   EXPECT_LT(sent, 2000);
   EXPECT_EQ(202, f.put("good", messageDocument("notice", 7)).status);
 }
@@ -272,10 +286,12 @@
   HttpFleet f(deliver);
   HttpClient c(f.http);
   std::string many;
-  for (int i = 0; i < 500; ++i) many += HttpClient::request("GET", "/nothing");
+  for (int i = 0; i < 500; ++i)
+    many += HttpClient::request("GET", "/nothing");
   c.send(many);
   int told = 0;
-  while (c.reply().status == 404) ++told;
+  while (c.reply().status == 404)
+    ++told;
   EXPECT_GT(told, 0);
   EXPECT_LT(told, 500);
 }
--- a/tests/doors/http_openapi_test.cpp
+++ b/tests/doors/http_openapi_test.cpp
@@ -14,17 +14,21 @@
 json toJson(const YAML::Node& n) {
   if (n.IsMap()) {
     json o = json::object();
-    for (const auto& item : n) o[item.first.as<std::string>()] = toJson(item.second);
+    for (const auto& item : n)
+      o[item.first.as<std::string>()] = toJson(item.second);
     return o;
   }
   if (n.IsSequence()) {
     json a = json::array();
-    for (const auto& item : n) a.push_back(toJson(item));
+    for (const auto& item : n)
+      a.push_back(toJson(item));
     return a;
   }
-  if (!n.IsScalar()) return nullptr;
+  if (!n.IsScalar())
+    return nullptr;
   const std::string text = n.Scalar();
-  if (n.Tag() == "!") return text;  // quoted
+  if (n.Tag() == "!")
+    return text;  // quoted
   const json v = json::parse(text, nullptr, false);
   return v.is_boolean() || v.is_number() ? v : json(text);
 }
@@ -48,21 +52,28 @@
                       : type == "integer" ? v.is_number_integer()
                       : type == "boolean" ? v.is_boolean()
                                           : false;
-    if (!fits) return "not of type " + type + ": " + v.dump();
+    if (!fits)
+      return "not of type " + type + ": " + v.dump();
     if (s.contains("enum") && std::find(s["enum"].begin(), s["enum"].end(), v) == s["enum"].end())
       return "not in the enumeration: " + v.dump();
-    if (s.contains("minimum") && v < s["minimum"]) return "too small: " + v.dump();
-    if (s.contains("maximum") && v > s["maximum"]) return "too large: " + v.dump();
+    if (s.contains("minimum") && v < s["minimum"])
+      return "too small: " + v.dump();
+    if (s.contains("maximum") && v > s["maximum"])
+      return "too large: " + v.dump();
     if (s.contains("pattern") &&
         !std::regex_match(v.get<std::string>(), std::regex(s["pattern"].get<std::string>())))
       return "no match: " + v.dump();
-    if (type != "object") return "";
+    if (type != "object")
+      return "";
     for (const json& r : s.value("required", json::array()))
-      if (!v.contains(r.get<std::string>())) return "missing " + r.dump();
+      if (!v.contains(r.get<std::string>()))
+        return "missing " + r.dump();
     for (const auto& item : v.items()) {
-      if (!s["properties"].contains(item.key())) return "not described: " + item.key();
+      if (!s["properties"].contains(item.key()))
+        return "not described: " + item.key();
       const std::string inner = wrong(s["properties"][item.key()], item.value());
-      if (!inner.empty()) return item.key() + ": " + inner;
+      if (!inner.empty())
+        return item.key() + ": " + inner;
     }
     return "";
   }
@@ -84,11 +95,13 @@
     ASSERT_TRUE(response["content"].contains(type)) << status << ": " << type;
     const json& schema = response["content"][type]["schema"];
     if (type == "application/x-ndjson") {
-      for (const json& line : r.lines()) EXPECT_EQ("", d.wrong(schema, line)) << line;
+      for (const json& line : r.lines())
+        EXPECT_EQ("", d.wrong(schema, line)) << line;
     } else {
       EXPECT_EQ("", d.wrong(schema, r.document())) << r.body;
     }
-    if (response.contains("headers")) EXPECT_FALSE(r.field("Retry-After").empty());
+    if (response.contains("headers"))
+      EXPECT_FALSE(r.field("Retry-After").empty());
   }
 };
 
--- a/tests/doors/resp_commands_test.cpp
+++ b/tests/doors/resp_commands_test.cpp
@@ -66,7 +66,8 @@
   Micros wait = 0;
   EXPECT_TRUE(readWait("250", wait) && wait == 250'000);
   EXPECT_TRUE(readWait("999999999999", wait) && wait == kLongestRespWait);
-  for (const char* bad : {"", "-1", "1.5", "x", "9999999999999"}) EXPECT_FALSE(readWait(bad, wait)) << bad;
+  for (const char* bad : {"", "-1", "1.5", "x", "9999999999999"})
+    EXPECT_FALSE(readWait(bad, wait)) << bad;
 }
 
 struct One {
@@ -80,7 +81,8 @@
 // All replies, in order, of what is sent at once.
 std::string lines(Client& c, int n) {
   std::string all;
-  for (int i = 0; i < n; ++i) all += c.line() + "|";
+  for (int i = 0; i < n; ++i)
+    all += c.line() + "|";
   return all;
 }
 
--- a/tests/doors/resp_server_test.cpp
+++ b/tests/doors/resp_server_test.cpp
@@ -7,7 +7,9 @@
 
 using namespace loopback;
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
 
 // A program with so few descriptors that a hundred connections fill its table.
 struct Small {
@@ -42,7 +44,8 @@
     kept.push_back(std::make_unique<Client>(f.program.port()));
     ASSERT_EQ("+PONG", kept.back()->ask({"PING"})) << i;  // asks once and keeps its connection
   }
-  for (int i = 0; i < 150; ++i) kept.push_back(std::make_unique<Client>(f.program.port()));  // say nothing
+  for (int i = 0; i < 150; ++i)
+    kept.push_back(std::make_unique<Client>(f.program.port()));  // say nothing
   Client good(f.program.port());
   EXPECT_EQ("+OK", good.put("good", "order", 7));
 }
@@ -56,7 +59,8 @@
     Small f;
     std::vector<std::unique_ptr<Client>> kept;
     fill(f, kept);
-    if (kept[0]->endedInOrder()) return true;
+    if (kept[0]->endedInOrder())
+      return true;
   }
   return false;
 }
@@ -114,7 +118,8 @@
   flood.send(many);
   EXPECT_EQ("+OK", good.put("good", "order", 7));
   int told = 0;
-  while (!flood.line().empty()) ++told;
+  while (!flood.line().empty())
+    ++told;
   EXPECT_GT(told, 0);
   EXPECT_LT(told, 500);
   EXPECT_EQ("+OK", good.put("good2", "order", 7));
--- a/tests/fleet/ahead.cpp
+++ b/tests/fleet/ahead.cpp
@@ -4,5 +4,7 @@
 
 extern "C" {
 grademux::Micros __real__ZN8grademux7unixNowEv();
-grademux::Micros __wrap__ZN8grademux7unixNowEv() { return __real__ZN8grademux7unixNowEv() + 180'000'000; }
+grademux::Micros __wrap__ZN8grademux7unixNowEv() {
+  return __real__ZN8grademux7unixNowEv() + 180'000'000;
+}
 }
--- a/tests/fleet/consul_test.cpp
+++ b/tests/fleet/consul_test.cpp
@@ -23,7 +23,8 @@
       got = a;
       over = true;
     });
-    while (!over) io_.run_one();
+    while (!over)
+      io_.run_one();
     return got;
   }
   Answered read(std::int64_t after = 0, Micros hold = 0) {
@@ -66,7 +67,8 @@
   Answered got;
   store_.read("p/plan", first.index, 20'000'000, [&](const Answered& a) { got = a; });
   EXPECT_TRUE(swap("two", first.entries[0].changed).done);
-  while (!got.ok) io_.run_one();
+  while (!got.ok)
+    io_.run_one();
   EXPECT_EQ(got.entries.at(0).value, "two");
   EXPECT_GT(got.index, first.index);
 }
@@ -78,7 +80,8 @@
   store_.read("p/plan", first.index, 20'000'000, [&](const Answered& a) { got = a; });
   io_.run_for(std::chrono::milliseconds(50));
   stand_in_.forget();
-  while (!got.ok) io_.run_one();
+  while (!got.ok)
+    io_.run_one();
   EXPECT_TRUE(got.entries.empty());
   EXPECT_LT(got.index, first.index);
 }
@@ -119,7 +122,8 @@
 // A read on which a lease hangs is never answered from what a lagging node knows.
 TEST_F(ConsulTest, ReadsAreConsistent) {
   swap("one", 0);
-  for (std::size_t n = 0; n < 3; ++n) stand_in_.lag(n, true);
+  for (std::size_t n = 0; n < 3; ++n)
+    stand_in_.lag(n, true);
   swap("two", read().entries.at(0).changed);
   EXPECT_EQ(read().entries.at(0).value, "two");
 }
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -13,7 +13,9 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-inline void sleepFor(Micros span) { std::this_thread::sleep_for(std::chrono::microseconds(span)); }
+inline void sleepFor(Micros span) {
+  std::this_thread::sleep_for(std::chrono::microseconds(span));
+}
 
 class FleetTest : public ::testing::Test {
  protected:
--- a/tests/fleet/older.cpp
+++ b/tests/fleet/older.cpp
@@ -2,5 +2,7 @@
 #include "../../src/daemon/version.h"
 
 namespace grademux {
-const char* programVersion() { return "0.3.9"; }
+const char* programVersion() {
+  return "0.3.9";
+}
 }  // namespace grademux
--- a/tests/fleet/processes_test.cpp
+++ b/tests/fleet/processes_test.cpp
@@ -39,7 +39,8 @@
   sleepFor(2 * kSecond);
   const std::size_t before = callsOf(0);
   ASSERT_TRUE(fleet_->eventually([&] { return callsOf(0) > before + 10; }));
-  for (std::size_t n = before; n < callsOf(0); ++n) EXPECT_EQ(fleet_->calls(0)[n].plan, plan - 1);
+  for (std::size_t n = before; n < callsOf(0); ++n)
+    EXPECT_EQ(fleet_->calls(0)[n].plan, plan - 1);
   const auto said = word({"fleet", "status"});
   EXPECT_NE(said.text.find("1 behind"), std::string::npos) << said.text;
   fleet_->cutStore(0, Link::Way::whole);
@@ -96,12 +97,14 @@
   const auto said = fleet_->propose({"--settings", "0123456789abcdef", "--binds-after", "6"});
   ASSERT_EQ(0, said.status) << said.text;
   ASSERT_TRUE(fleet_->eventually([&] { return fleet_->planNumber() == 3; }));
-  for (std::size_t i = 0; i < 3; ++i) ASSERT_TRUE(comesTo(i, 3)) << why(i);
+  for (std::size_t i = 0; i < 3; ++i)
+    ASSERT_TRUE(comesTo(i, 3)) << why(i);
   const auto shown = word({"fleet", "plan", "show"});
   EXPECT_NE(shown.text.find("plan 3 HALTED"), std::string::npos) << shown.text;
   EXPECT_NE(shown.text.find("plan 2 would shut out too many"), std::string::npos) << shown.text;
   sleepFor(5 * kSecond);  // past the moment at which plan 2 would have bound
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ("current", standing(i));
+  for (std::size_t i = 0; i < 3; ++i)
+    EXPECT_EQ("current", standing(i));
   holds();
 }
 
@@ -128,7 +131,8 @@
         words.insert(words.end(), at.begin(), at.end());
         said[n] = fleet_->command(words);
       });
-    for (std::thread& t : both) t.join();
+    for (std::thread& t : both)
+      t.join();
     fleet_->onStore([&] { fleet_->store().late(0); });
     ASSERT_EQ(1, said[0].status + said[1].status) << said[0].text << said[1].text;
     const int lost = said[0].status;  // 1: the first lost
@@ -163,14 +167,16 @@
   begin(2);
   fleet_->onStore([&] { fleet_->store().mark(); });
   const std::int64_t second = change();
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, second));
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, second));
   fleet_->onStore([&] { fleet_->store().rewind(); });
   ASSERT_EQ(1, fleet_->planNumber());
   ASSERT_TRUE(fleet_->eventually([&] { return standing(0) == "shut out" && standing(1) == "shut out"; }))
       << standing(0) << why(0);
   EXPECT_NE(why(0).find("the store has plan 1, here 2 is known"), std::string::npos) << why(0);
   EXPECT_EQ(3, change());  // the operator goes on
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, 3)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, 3)) << why(i);
   fleet_->onStore([&] { fleet_->store().forget(); });
   ASSERT_TRUE(fleet_->eventually([&] { return standing(0) == "shut out" && standing(1) == "shut out"; }));
   aim_ += 100;  // of the plan that is lost nothing is left: lease and mode have to be said again
@@ -179,10 +185,12 @@
       {"--settings", fleet_->settingsDigest(), "--mode", "strict", "--lease", "1.5", "--binds-after", "1.5"});
   EXPECT_EQ(0, again.status) << again.text;
   EXPECT_EQ(4, fleet_->planNumber());
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, 4)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, 4)) << why(i);
   fleet_->onStore([&] { fleet_->store().expireAll(); });
   EXPECT_EQ(5, change());
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, 5)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, 5)) << why(i);
   holds();
 }
 
@@ -190,11 +198,13 @@
 TEST_F(FleetTest, AShorterLeaseShutsNobodyOut) {
   begin(2);
   ASSERT_EQ(0, fleet_->propose({"--lease", "30", "--binds-after", "30"}).status);
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, 2)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, 2)) << why(i);
   sleepFor(5 * kSecond);  // a read is on its way for longer than the lease that comes
   const std::string before = fleet_->world(0).log();
   ASSERT_EQ(0, fleet_->propose({"--lease", "4", "--binds-after", "30"}).status);
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, 3)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, 3)) << why(i);
   sleepFor(2 * kSecond);
   const std::string since = fleet_->world(0).log().substr(before.size());
   EXPECT_EQ(since.find("standing=\"shut out\""), std::string::npos) << since;
@@ -230,7 +240,8 @@
   EXPECT_EQ(plan + 1, next);
   comesBack(0);
   comesBack(1);
-  for (std::size_t i = 0; i < 4; ++i) ASSERT_TRUE(comesTo(i, next)) << why(i);
+  for (std::size_t i = 0; i < 4; ++i)
+    ASSERT_TRUE(comesTo(i, next)) << why(i);
   holds();
 }
 
@@ -239,19 +250,27 @@
 TEST_F(FleetTest, APlanThatHalfOfTheFleetHasIsReverted) {
   begin(4);
   const std::int64_t first = change();
-  for (std::size_t i = 0; i < 4; ++i) ASSERT_TRUE(comesTo(i, first)) << why(i);
-  for (const std::size_t i : {0, 1}) fleet_->cutStore(i, Link::Way::cut);
+  for (std::size_t i = 0; i < 4; ++i)
+    ASSERT_TRUE(comesTo(i, first)) << why(i);
+  for (const std::size_t i : {0, 1})
+    fleet_->cutStore(i, Link::Way::cut);
   const std::int64_t wrong = change("4");
-  for (const std::size_t i : {2, 3}) ASSERT_TRUE(comesTo(i, wrong)) << why(i);
+  for (const std::size_t i : {2, 3})
+    ASSERT_TRUE(comesTo(i, wrong)) << why(i);
   fleet_->setAim(aim_ - 100);  // the files of before are back
   ASSERT_EQ(0, word({"fleet", "plan", "revert", "--why", "wrong aim"}).status);
-  for (const std::size_t i : {2, 3}) ASSERT_TRUE(comesTo(i, wrong + 1)) << why(i);
-  for (const std::size_t i : {0, 1}) fleet_->cutStore(i, Link::Way::whole);
-  for (std::size_t i = 0; i < 4; ++i) ASSERT_TRUE(comesTo(i, wrong + 1)) << why(i);
+  for (const std::size_t i : {2, 3})
+    ASSERT_TRUE(comesTo(i, wrong + 1)) << why(i);
+  for (const std::size_t i : {0, 1})
+    fleet_->cutStore(i, Link::Way::whole);
+  for (std::size_t i = 0; i < 4; ++i)
+    ASSERT_TRUE(comesTo(i, wrong + 1)) << why(i);
   const json before = fleet_->report(0)["own"]["settings"];
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(before, fleet_->report(i)["own"]["settings"]);
+  for (std::size_t i = 0; i < 4; ++i)
+    EXPECT_EQ(before, fleet_->report(i)["own"]["settings"]);
   for (const std::size_t i : {0, 1})
-    for (const Called& c : fleet_->calls(i)) EXPECT_NE(wrong, c.plan);
+    for (const Called& c : fleet_->calls(i))
+      EXPECT_NE(wrong, c.plan);
   holds();
 }
 
@@ -266,7 +285,8 @@
   ASSERT_TRUE(fleet_->eventually([&] { return standing(0) == "shut out" && standing(1) == "shut out"; }));
   EXPECT_NE(why(0).find("does not know quotas"), std::string::npos) << why(0);
   EXPECT_EQ(3, change());  // an operator's plan without it
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, 3)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, 3)) << why(i);
   holds();
 }
 
@@ -296,7 +316,8 @@
   for (std::size_t node = 0; node < 3; ++node) {
     fleet_->onStore([&] { fleet_->store().node(node, false); });
     const std::int64_t plan = change();
-    for (std::size_t i = 0; i < 3; ++i) ASSERT_TRUE(comesTo(i, plan)) << why(i);
+    for (std::size_t i = 0; i < 3; ++i)
+      ASSERT_TRUE(comesTo(i, plan)) << why(i);
     fleet_->onStore([&] { fleet_->store().node(node, true); });
   }
   holds();
@@ -338,12 +359,14 @@
   ASSERT_TRUE(fleet_->eventually([&] {
     for (std::size_t i = 0; i < 2; ++i) {
       const auto made = fleet_->calls(i);
-      if (made.empty() || made.back().plan != plan) return false;
+      if (made.empty() || made.back().plan != plan)
+        return false;
     }
     return true;
   }));
   fleet_->onStore([&] { fleet_->store().full(false); });
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, plan)) << why(i);
   holds();
 }
 
@@ -357,7 +380,8 @@
   EXPECT_EQ(before, callsOf(0) + callsOf(1));
   fleet_->onStore([&] { fleet_->store().late(0); });
   const std::int64_t plan = change();
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, plan)) << why(i);
   holds();
 }
 
--- a/tests/fleet/standing_test.cpp
+++ b/tests/fleet/standing_test.cpp
@@ -21,7 +21,9 @@
   p.binds_after = binds;
   return p;
 }
-Own own(const std::string& settings) { return {"0.4.0", settings, "", -1, 0}; }
+Own own(const std::string& settings) {
+  return {"0.4.0", settings, "", -1, 0};
+}
 
 // One that has taken plan 1 over, on a read asked for at 100 s.
 Standing taken(const Plan& p) {
@@ -193,7 +195,8 @@
   const auto shownAt = [&](Micros t) {
     const Plan* p = &plans[0].plan;
     for (const Bound& b : plans)
-      if (b.at <= t) p = &b.plan;
+      if (b.at <= t)
+        p = &b.plan;
     return *p;
   };
   struct Due {
@@ -231,25 +234,31 @@
       line.push(later);
       continue;
     }
-    if (draw(0, 1) < 0.0005) s.cut_until = t + static_cast<Micros>(draw(0.1, 6) * kSecond);
-    if (draw(0, 1) < 0.0005) s.still_until = t + static_cast<Micros>(draw(0.1, 6) * kSecond);
+    if (draw(0, 1) < 0.0005)
+      s.cut_until = t + static_cast<Micros>(draw(0.1, 6) * kSecond);
+    if (draw(0, 1) < 0.0005)
+      s.still_until = t + static_cast<Micros>(draw(0.1, 6) * kSecond);
     if (d.what == 0) {
       const Micros there = t + static_cast<Micros>(draw(0, 1) < 0.5 ? draw(100, 1000) : draw(1000, 300'000));
       const Micros back = there + static_cast<Micros>(draw(0.0005, 0.1) * kSecond);
       const bool lost = t < s.cut_until;
       Plan seen = shownAt(there);
-      if (spoilt == Spoilt::lagging_reads) seen = shownAt(there - kSecond);
+      if (spoilt == Spoilt::lagging_reads)
+        seen = shownAt(there - kSecond);
       // The worst moment: the plan changes right after a read was served, and the reader is cut off.
       if (!lost && draw(0, 1) < 0.01 && next_plan > there) {
         next_plan = there + 1;
         s.cut_until = there + 5 * kSecond;
       }
-      if (!lost) line.push({back, d.sender, 1, local(s, t), seen});
+      if (!lost)
+        line.push({back, d.sender, 1, local(s, t), seen});
       line.push({lost ? t + kSecond / 10 : back + 1, d.sender, 0, 0, {}});
     } else if (d.what == 1) {
       s.standing.heard(d.plan, spoilt == Spoilt::lease_from_the_answer ? local(s, t) : d.asked);
-      if (draw(0, 1) < 0.7) s.own.settings = s.standing.newest().needs.settings;  // brought up, mostly
-      if (s.standing.due(s.own, local(s, t))) s.standing.takenOver(s.standing.newest());
+      if (draw(0, 1) < 0.7)
+        s.own.settings = s.standing.newest().needs.settings;  // brought up, mostly
+      if (s.standing.due(s.own, local(s, t)))
+        s.standing.takenOver(s.standing.newest());
     } else {
       const auto v = s.standing.at(local(s, t), s.own);
       const bool may = v.may || (spoilt == Spoilt::more_time_when_behind && v.kind == Kind::shut_out &&
@@ -284,7 +293,8 @@
   for (const Spoilt spoilt : {Spoilt::no_margin, Spoilt::lease_from_the_answer, Spoilt::lagging_reads,
                               Spoilt::more_time_when_behind}) {
     std::int64_t late = 0;
-    for (std::uint64_t seed = 1; seed <= 10 && late == 0; ++seed) late += play(seed, spoilt).acts_too_late;
+    for (std::uint64_t seed = 1; seed <= 10 && late == 0; ++seed)
+      late += play(seed, spoilt).acts_too_late;
     EXPECT_GT(late, 0) << static_cast<int>(spoilt);
   }
 }
--- a/tests/fleet/steps_test.cpp
+++ b/tests/fleet/steps_test.cpp
@@ -60,7 +60,8 @@
       trapKill(0, second, false);
       try {
         fleet_->restart(0);  // may be dead before it is ready
-      } catch (const std::runtime_error&) {}
+      } catch (const std::runtime_error&) {
+      }
       waitForTrap();
       fleet_->kill(0);
       comesBack(0);
@@ -144,12 +145,15 @@
         const auto again = word(words);
         EXPECT_EQ(done && !c.again ? 1 : 0, again.status) << at << again.text;
         const bool out = c.words[0] == "shut-out";
-        if (out) ASSERT_TRUE(isOut(0)) << at;
-        else ASSERT_TRUE(comesTo(0, fleet_->planNumber())) << at;
+        if (out)
+          ASSERT_TRUE(isOut(0)) << at;
+        else
+          ASSERT_TRUE(comesTo(0, fleet_->planNumber())) << at;
         ASSERT_TRUE(comesTo(1, fleet_->planNumber())) << at;
         // The next round begins where this one did; the first readmission where the last shut-out ends.
         const bool last = !before && step == 2;
-        if (c.words[0] == "plan" || last) continue;
+        if (c.words[0] == "plan" || last)
+          continue;
         ASSERT_EQ(0, word({"fleet", out ? "readmit" : "shut-out", "s0", "--why", "rig"}).status) << at;
       }
   holds();
@@ -166,7 +170,8 @@
       const std::int64_t plan = fleet_->planNumber();
       EXPECT_EQ(plan + 1, change()) << step;
       waitForTrap();
-      for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan + 1)) << why(i);
+      for (std::size_t i = 0; i < 2; ++i)
+        ASSERT_TRUE(comesTo(i, plan + 1)) << why(i);
       fleet_->onStore([&] { fleet_->store().node(down, true); });
     }
   holds();
@@ -181,7 +186,8 @@
       fleet_->trap(0, step, before, [&](std::size_t node) { fleet_->nodeDown(down = node); });
       const std::int64_t plan = change();
       waitForTrap();
-      for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan)) << step << why(i);
+      for (std::size_t i = 0; i < 2; ++i)
+        ASSERT_TRUE(comesTo(i, plan)) << step << why(i);
       fleet_->onStore([&] { fleet_->store().node(down, true); });
     }
   holds();
@@ -193,12 +199,14 @@
   begin(2);
   const auto all = [&](const std::function<void(Link&)>& f) {
     fleet_->onStore([&] {
-      for (std::size_t n = 0; n < 3; ++n) f(fleet_->storeLink(0, n));
+      for (std::size_t n = 0; n < 3; ++n)
+        f(fleet_->storeLink(0, n));
     });
   };
   const auto follows = [&](const char* what) {
     const std::int64_t plan = change();
-    for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan)) << what << ": " << why(i);
+    for (std::size_t i = 0; i < 2; ++i)
+      ASSERT_TRUE(comesTo(i, plan)) << what << ": " << why(i);
   };
   all([](Link& l) { l.delay(100'000); });
   follows("late");
@@ -232,7 +240,8 @@
   ASSERT_TRUE(comesTo(0, 1)) << why(0);
   EXPECT_EQ("0.3.9", fleet_->report(0)["own"]["program"]);
   const std::int64_t both = change();
-  for (std::size_t i = 0; i < 3; ++i) ASSERT_TRUE(comesTo(i, both)) << why(i);
+  for (std::size_t i = 0; i < 3; ++i)
+    ASSERT_TRUE(comesTo(i, both)) << why(i);
   const std::string newer = fleet_->report(1)["own"]["program"];
   ASSERT_EQ(0, fleet_->propose({"--program", newer, "--binds-after", "1.5"}).status);
   const std::int64_t plan = fleet_->planNumber();
@@ -256,7 +265,8 @@
   ASSERT_TRUE(comesTo(1, 1)) << why(1);
   for (int n = 0; n < 2; ++n) {
     const std::int64_t plan = change();
-    for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan)) << why(i);
+    for (std::size_t i = 0; i < 2; ++i)
+      ASSERT_TRUE(comesTo(i, plan)) << why(i);
   }
   const auto audit = [&](std::vector<std::string> words) {
     words.insert(words.begin(),
@@ -269,7 +279,8 @@
   std::istringstream in(lines);
   for (std::string line; std::getline(in, line);) {
     const json o = json::parse(line, nullptr, false);
-    if (o.is_object()) taken[o["sender"]] = {o["at"], o["common"]};
+    if (o.is_object())
+      taken[o["sender"]] = {o["at"], o["common"]};
   }
   ASSERT_EQ(2u, taken.size()) << lines;
   EXPECT_GT(taken["s1"].first - taken["s0"].first, 170 * kSecond);
@@ -281,7 +292,8 @@
 TEST_F(FleetSteps, TheStoreKnowsOfOneWhoseFolderIsGone) {
   begin(2);
   const std::int64_t plan = change();
-  for (std::size_t i = 0; i < 2; ++i) ASSERT_TRUE(comesTo(i, plan)) << why(i);
+  for (std::size_t i = 0; i < 2; ++i)
+    ASSERT_TRUE(comesTo(i, plan)) << why(i);
   fleet_->kill(0);
   sleepFor(kSecond);
   const std::string then = std::to_string(unixNow() / kSecond);
--- a/tests/fleet/zones_fixture.h
+++ b/tests/fleet/zones_fixture.h
@@ -33,7 +33,8 @@
   }
   std::size_t callsInto(const std::string& zone, Micros since) {
     std::size_t all = 0;
-    for (std::size_t i = 0; i < fleet_->size(); ++i) all += fleet_->callsInto(zone, i, since);
+    for (std::size_t i = 0; i < fleet_->size(); ++i)
+      all += fleet_->callsInto(zone, i, since);
     return all;
   }
   // All senders act by the plan that stands in the store.
--- a/tests/fleet/zones_steps_test.cpp
+++ b/tests/fleet/zones_steps_test.cpp
@@ -103,9 +103,11 @@
   fleet_->zone("b", Fleet::Trouble::none);
   for (int stage = -1; stage <= 3; ++stage) {
     SCOPED_TRACE(stage);
-    if (stage >= 0) ASSERT_TRUE(comesToStage("b", stage)) << plans();
+    if (stage >= 0)
+      ASSERT_TRUE(comesToStage("b", stage)) << plans();
     fleet_->onStore([&] {
-      for (std::size_t n = 0; n < 3; ++n) fleet_->store().node(n, false);
+      for (std::size_t n = 0; n < 3; ++n)
+        fleet_->store().node(n, false);
     });
     sleepFor(1'800'000);  // a lease is 1.5 s
     const Micros since = monotonicNow();
@@ -113,7 +115,8 @@
     EXPECT_EQ(0u, callsInto("b", since));
     EXPECT_GT(callsInto("a", since), 0u);
     fleet_->onStore([&] {
-      for (std::size_t n = 0; n < 3; ++n) fleet_->store().node(n, true);
+      for (std::size_t n = 0; n < 3; ++n)
+        fleet_->store().node(n, true);
     });
   }
   ASSERT_TRUE(comesTo("b", "in", 90 * kSecond)) << plans();
@@ -179,7 +182,8 @@
   fleet_->zone("b", Fleet::Trouble::errors);
   sleepFor(3 * kSecond);
   EXPECT_EQ("in", stateOf("b")) << plans();
-  for (const char* zone : {"a", "b"}) fleet_->zone(zone, Fleet::Trouble::none);
+  for (const char* zone : {"a", "b"})
+    fleet_->zone(zone, Fleet::Trouble::none);
   ASSERT_TRUE(comesTo("a", "in", 90 * kSecond)) << plans();
   // Each sender has seen a well since it is in again: what fails before that is held against nothing.
   ASSERT_TRUE(allFollow());
@@ -187,11 +191,13 @@
     ASSERT_TRUE(fleet_->eventually([&] { return fleet_->report(i)["zones"]["a"]["sight"] == "fine"; }))
         << plans();
   const std::int64_t before = fleet_->planNumber();
-  for (const char* zone : {"c", "d"}) fleet_->zone(zone, Fleet::Trouble::refuses);
+  for (const char* zone : {"c", "d"})
+    fleet_->zone(zone, Fleet::Trouble::refuses);
   ASSERT_TRUE(comesTo("c", "out", 20 * kSecond)) << plans();
   ASSERT_TRUE(comesTo("d", "out", 20 * kSecond)) << plans();
   EXPECT_LE(fleet_->planNumber(), before + 2) << plans();  // one may be seen a second before the other
-  for (const char* zone : {"c", "d"}) fleet_->zone(zone, Fleet::Trouble::none, {0, 1, 2});
+  for (const char* zone : {"c", "d"})
+    fleet_->zone(zone, Fleet::Trouble::none, {0, 1, 2});
   ASSERT_EQ(0, insist({"fleet", "zone", "leave", "east", "--region", "--why", "works"}).status);
   EXPECT_EQ(1, word({"fleet", "zone", "leave", "west", "--region", "--why", "x"}).status);
   ASSERT_EQ(0, insist({"fleet", "zone", "return", "east", "--region", "--at-once", "--why", "done"}).status);
--- a/tests/fleet/zones_test.cpp
+++ b/tests/fleet/zones_test.cpp
@@ -48,9 +48,11 @@
 // All zones fail at once, and one sender alone sees a zone fail: nobody leaves.
 TEST_F(FleetZones, WhatIsNoTroubleOfAZoneMovesNobody) {
   begin(4);
-  for (const char* zone : {"a", "b", "c"}) fleet_->zone(zone, Fleet::Trouble::errors);
+  for (const char* zone : {"a", "b", "c"})
+    fleet_->zone(zone, Fleet::Trouble::errors);
   sleepFor(5 * kSecond);
-  for (const char* zone : {"a", "b", "c"}) fleet_->zone(zone, Fleet::Trouble::none);
+  for (const char* zone : {"a", "b", "c"})
+    fleet_->zone(zone, Fleet::Trouble::none);
   EXPECT_EQ(1, fleet_->planNumber()) << plans();
   sleepFor(15 * kSecond);  // what returned is warm
   fleet_->zone("b", Fleet::Trouble::refuses, {0});
@@ -81,7 +83,8 @@
   ASSERT_TRUE(comesTo("b", "out", 30 * kSecond)) << plans();
   ASSERT_TRUE(fleet_->eventually([&] {
     for (std::size_t i = 0; i < 5; ++i)
-      if (planOf(i) < 2) return false;
+      if (planOf(i) < 2)
+        return false;
     return true;
   }));
   sleepFor(8 * kSecond);
@@ -103,7 +106,8 @@
     w.onStandIns([&] {
       json changes = json::array();
       for (std::size_t e = 0; e < w.endpoints(); ++e) {
-        if (w.zoneOf(e) != "b") continue;
+        if (w.zoneOf(e) != "b")
+          continue;
         changes.push_back(w.endpoint(e).listed("Gone"));
         changes.push_back(w.endpoint(e).listed());
         changes.back()["name"] = changes.back()["name"].get<std::string>() + "-new";
--- a/tests/handover/messages_test.cpp
+++ b/tests/handover/messages_test.cpp
@@ -28,7 +28,8 @@
   const std::vector<Message> all{
       Take{9}, Taken{}, CancelCall{{"m", 2}}, Refused{"not now"}, Given{true, {{"a", 0}, {"b", 4}}},
       Ended{o}};
-  for (const Message& m : all) EXPECT_EQ(lineOf(m), again(m));
+  for (const Message& m : all)
+    EXPECT_EQ(lineOf(m), again(m));
   const Message read = readMessage(lineOf(Ended{o}));
   const Outcome& back = std::get<Ended>(read).outcome;
   EXPECT_EQ(o.id, back.id);
@@ -52,9 +53,12 @@
 TEST(HandoverSteps, EachEventInEachStep) {
   const auto at = [](Step step) {
     Steps s;
-    if (step != Step::owns) s.asked();
-    if (step == Step::given || step == Step::left) s.gave();
-    if (step == Step::left) s.taken();
+    if (step != Step::owns)
+      s.asked();
+    if (step == Step::given || step == Step::left)
+      s.gave();
+    if (step == Step::left)
+      s.taken();
     EXPECT_EQ(step, s.step());
     return s;
   };
--- a/tests/handover/replace_test.cpp
+++ b/tests/handover/replace_test.cpp
@@ -15,11 +15,14 @@
 
 using namespace loopback;
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
 // Answers once it is silent no more.
 Server::Script holding(const std::atomic<bool>& silent) {
   return [&silent](const Seen& s) {
-    while (silent) std::this_thread::sleep_for(2ms);
+    while (silent)
+      std::this_thread::sleep_for(2ms);
     return deliver(s);
   };
 }
@@ -44,7 +47,8 @@
       ::waitpid(p, nullptr, 0);
     }
     std::error_code ignored;
-    for (const char* end : {"-config.json", "-log"}) std::filesystem::remove(folder.path() + end, ignored);
+    for (const char* end : {"-config.json", "-log"})
+      std::filesystem::remove(folder.path() + end, ignored);
   }
   struct Process {
     pid_t pid = -1;
@@ -68,7 +72,8 @@
   }
   static std::string call(const Process& p, const std::string& line) {
     Client c(p.mgmt);
-    if (!c.connected()) return "";
+    if (!c.connected())
+      return "";
     c.send(line + "\n");
     return c.rest();
   }
@@ -95,7 +100,8 @@
   }
   std::map<std::string, int> calls() {
     std::map<std::string, int> n;
-    for (const Seen& s : endpoint.seen()) ++n[s.field("X-Txn")];
+    for (const Seen& s : endpoint.seen())
+      ++n[s.field("X-Txn")];
     return n;
   }
   std::string path() const { return folder.path() + "-config.json"; }
@@ -125,9 +131,11 @@
     while (in.find('\n') == std::string::npos) {
       pollfd p{fd, POLLIN, 0};
       char piece[4096];
-      if (::poll(&p, 1, 60'000) <= 0) return "";
+      if (::poll(&p, 1, 60'000) <= 0)
+        return "";
       const ssize_t n = ::recv(fd, piece, sizeof piece, 0);
-      if (n <= 0) return "";
+      if (n <= 0)
+        return "";
       in.append(piece, static_cast<std::size_t>(n));
     }
     const std::string l = in.substr(0, in.find('\n'));
@@ -138,7 +146,9 @@
   std::string in;
 };
 
-bool exitedWell(int status) { return WIFEXITED(status) && WEXITSTATUS(status) == 0; }
+bool exitedWell(int status) {
+  return WIFEXITED(status) && WEXITSTATUS(status) == 0;
+}
 
 // Risk: what is handed in while one process replaces the other is lost, refused, or runs twice.
 TEST(Replace, UnderTrafficNothingIsLostOrRunsTwice) {
@@ -162,7 +172,8 @@
           a = c->put(id, "payment", 7);
         }
         a == "+OK" ? ++put : ++other;
-        if (a == "+OK") taken[static_cast<std::size_t>(k)].insert(id);
+        if (a == "+OK")
+          taken[static_cast<std::size_t>(k)].insert(id);
         std::this_thread::sleep_for(10ms);  // some hundreds a second, so that sanitizers keep up
       }
     });
@@ -175,16 +186,19 @@
     now = next;
   }
   over = true;
-  for (auto& c : clients) c.join();
+  for (auto& c : clients)
+    c.join();
   // On a machine that is busy a call may end without an outcome: such a payment is given up, and says so.
   std::set<std::string> all;
-  for (const auto& ids : taken) all.insert(ids.begin(), ids.end());
+  for (const auto& ids : taken)
+    all.insert(ids.begin(), ids.end());
   EXPECT_TRUE(eventually([&] {
     const auto calls = p.calls();
     return std::all_of(all.begin(), all.end(),
                        [&](const std::string& id) { return calls.count(id) > 0 || p.agent.noticed(id); });
   }));
-  for (const auto& [id, n] : p.calls()) EXPECT_EQ(1, n) << id;
+  for (const auto& [id, n] : p.calls())
+    EXPECT_EQ(1, n) << id;
   EXPECT_GT(put, 80);
 }
 
@@ -240,12 +254,14 @@
     const int folder = ::open(p.folder.path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     {
       Peer peer(p.folder.path());
-      if (step == 1) peer.say(take);
+      if (step == 1)
+        peer.say(take);
       if (step >= 2) {
         peer.say(take);
         ASSERT_EQ(0u, peer.line().find("{\"given\"")) << step;
       }
-      if (step >= 3) EXPECT_EQ(0, ::flock(folder, LOCK_EX | LOCK_NB));  // it is free from here on
+      if (step >= 3)
+        EXPECT_EQ(0, ::flock(folder, LOCK_EX | LOCK_NB));  // it is free from here on
       if (step == 4) {
         const int fd = ::open((p.folder.path() + "/journal").c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
         EXPECT_EQ(1, ::write(fd, "x", 1));
@@ -349,7 +365,8 @@
     Client c(p.clients.port);
     EXPECT_EQ("+OK", c.put("m" + fd, "order", 7)) << fd;
   }
-  for (const int fd : {udp, plain, file}) ::close(fd);
+  for (const int fd : {udp, plain, file})
+    ::close(fd);
   std::filesystem::remove(broken);
   EXPECT_TRUE(Platform::says(old, "ACK"));
 }
--- a/tests/knowledge/book_test.cpp
+++ b/tests/knowledge/book_test.cpp
@@ -58,7 +58,8 @@
   EXPECT_EQ(r.book.pool.typical, b.pool.typical);
   EXPECT_EQ(r.book.pool.dead_least, b.pool.dead_least);
   ASSERT_EQ(r.book.known.size(), 6u);
-  for (std::size_t i = 0; i < 6; ++i) EXPECT_EQ(said(r.book.known[i]), said(b.known[i]));
+  for (std::size_t i = 0; i < 6; ++i)
+    EXPECT_EQ(said(r.book.known[i]), said(b.known[i]));
 }
 
 // Torn at every byte: what stands whole before is used, nothing is made up.
@@ -88,7 +89,8 @@
     ASSERT_TRUE(!r.refused.empty() || r.damaged > 0) << bit;
     for (const Known& k : r.book.known) {
       bool same = false;
-      for (const Known& o : b.known) same = same || said(o) == said(k);
+      for (const Known& o : b.known)
+        same = same || said(o) == said(k);
       ASSERT_TRUE(same) << bit << ": " << said(k);
     }
   }
@@ -98,7 +100,8 @@
   std::mt19937_64 random(20261201);
   for (int i = 0; i < 2000; ++i) {
     std::string noise(random() % 300, '\0');
-    for (char& c : noise) c = static_cast<char>(random());
+    for (char& c : noise)
+      c = static_cast<char>(random());
     const Reading r = decode(noise, "n3");
     EXPECT_FALSE(r.refused.empty());
     EXPECT_TRUE(r.book.known.empty());
@@ -109,9 +112,11 @@
 std::string framed(const nlohmann::json& j) {
   std::string payload, out;
   nlohmann::json::to_msgpack(j, payload);
-  for (int i = 0; i < 4; ++i) out.push_back(static_cast<char>(payload.size() >> (8 * i) & 0xff));
+  for (int i = 0; i < 4; ++i)
+    out.push_back(static_cast<char>(payload.size() >> (8 * i) & 0xff));
   const std::uint64_t sum = XXH3_64bits(payload.data(), payload.size());
-  for (int i = 0; i < 8; ++i) out.push_back(static_cast<char>(sum >> (8 * i) & 0xff));
+  for (int i = 0; i < 8; ++i)
+    out.push_back(static_cast<char>(sum >> (8 * i) & 0xff));
   return out + payload;
 }
 TEST(Book, OfAnotherSenderOfANewerFormOrOfSomethingElse) {
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -18,7 +18,8 @@
 }
 std::size_t count(const std::string& text, const std::string& words) {
   std::size_t n = 0;
-  for (std::size_t at = 0; (at = text.find(words, at)) != std::string::npos; at += words.size()) ++n;
+  for (std::size_t at = 0; (at = text.find(words, at)) != std::string::npos; at += words.size())
+    ++n;
   return n;
 }
 
@@ -63,7 +64,8 @@
 // Risk: a fault that comes ten thousand times a second fills the disk and stalls the loop.
 TEST_F(LogTest, AFloodOfOneKindIsCutAndCountedAndTheOthersGoOn) {
   open(0.001);
-  for (int i = 0; i < 5000; ++i) log::write(Event::journal_write_failed);
+  for (int i = 0; i < 5000; ++i)
+    log::write(Event::journal_write_failed);
   log::write(Event::journal_torn);
   EXPECT_EQ(count(text(), "journal.write_failed"), 3u);
   EXPECT_EQ(count(text(), "journal.torn"), 1u);
@@ -123,18 +125,21 @@
   std::set<std::string> lines;
   std::istringstream in(page);
   for (std::string l; std::getline(in, l);)
-    if (l.rfind("| `", 0) == 0 && l.find('.') < l.find('`', 3)) lines.insert(l);
+    if (l.rfind("| `", 0) == 0 && l.find('.') < l.find('`', 3))
+      lines.insert(l);
   for (std::size_t i = 0; i < std::size(log::kEvents); ++i) {
     const log::EventSpec& e = log::kEvents[i];
     EXPECT_EQ(static_cast<std::size_t>(e.event), i) << e.name;
     std::string fields;
     std::istringstream words(e.fields);
-    for (std::string w; words >> w;) fields += (fields.empty() ? "`" : ", `") + w + "`";
+    for (std::string w; words >> w;)
+      fields += (fields.empty() ? "`" : ", `") + w + "`";
     const std::string row =
         "| `" + std::string(e.name) + "` | " + log::nameOf(e.level) + " | " + fields + " | " + e.says + " |";
     EXPECT_EQ(lines.erase(row), 1u) << "missing: " << row;
   }
-  for (const std::string& l : lines) ADD_FAILURE() << "of no event: " << l;
+  for (const std::string& l : lines)
+    ADD_FAILURE() << "of no event: " << l;
 }
 
 }  // namespace
--- a/tests/membership/dns_client_test.cpp
+++ b/tests/membership/dns_client_test.cpp
@@ -24,7 +24,8 @@
     std::optional<DnsAnswer> got;
     client->look(spec, [&](DnsAnswer a) { got = std::move(a); });
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-    while (!got && std::chrono::steady_clock::now() < until) io.run_one_for(std::chrono::milliseconds(50));
+    while (!got && std::chrono::steady_clock::now() < until)
+      io.run_one_for(std::chrono::milliseconds(50));
     EXPECT_TRUE(got) << "no answer in a minute";
     return got.value_or(DnsAnswer{});
   }
--- a/tests/membership/folder_test.cpp
+++ b/tests/membership/folder_test.cpp
@@ -46,7 +46,8 @@
   std::string look(bool settled = false) {
     bool unsettled = false;
     std::string t = told(reader.look(settled, unsettled));
-    if (unsettled) t += "unsettled";
+    if (unsettled)
+      t += "unsettled";
     return t;
   }
 };
@@ -132,7 +133,8 @@
     bool unsettled = false;
     const FolderNews n = fresh.look(false, unsettled);
     EXPECT_EQ(n.unreadable, "");
-    if (n.changes.empty()) continue;  // replaced under each of its readings: later
+    if (n.changes.empty())
+      continue;  // replaced under each of its readings: later
     ++whole;
     ASSERT_EQ(n.changes.size(), 60u);
     for (const UnitChange& c : n.changes)
@@ -155,7 +157,8 @@
     folder = std::make_unique<PartnerFolder>(io, worker, s, PartnerDefaults{}, [this](const FolderNews& n) {
       const std::string t = told(n);
       ++readings;
-      if (!t.empty()) all += (all.empty() ? "" : " ") + t;
+      if (!t.empty())
+        all += (all.empty() ? "" : " ") + t;
     });
     folder->start();
   }
@@ -217,7 +220,8 @@
   const std::string f = temp.path() + "/v1";
   replace(f + "/a.toml", partnerText("a", 1));
   open(f);
-  for (int i = 2; i <= 10'000; ++i) replace(f + "/a.toml", partnerText("a", i));
+  for (int i = 2; i <= 10'000; ++i)
+    replace(f + "/a.toml", partnerText("a", i));
   EXPECT_TRUE(hears("a.toml=10000"));
   EXPECT_LT(readings, 500);
 }
--- a/tests/membership/list_test.cpp
+++ b/tests/membership/list_test.cpp
@@ -19,7 +19,8 @@
 }
 std::vector<std::string> names(const MembershipList::Slice& s) {
   std::vector<std::string> all;
-  for (const ListChange& c : s.changes) all.push_back(c.entry.endpoint.id);
+  for (const ListChange& c : s.changes)
+    all.push_back(c.entry.endpoint.id);
   return all;
 }
 using Names = std::vector<std::string>;
@@ -52,7 +53,8 @@
 TEST(MembershipList, WhatMustStopComesInTheFirstSlice) {
   MembershipList l;
   json all = json::array(), next = json::array();
-  for (int i = 0; i < 5000; ++i) all.push_back(entry("e" + std::to_string(i), i % 100));
+  for (int i = 0; i < 5000; ++i)
+    all.push_back(entry("e" + std::to_string(i), i % 100));
   l.take(answer(7, true, all));
   std::size_t heard = 0;
   for (int slices = 1; l.pending(); ++slices) {
@@ -74,7 +76,8 @@
   const MembershipList::Slice t = l.next(1);
   EXPECT_EQ(names(t), Names{"e4999"});
   while (l.pending())
-    for (const std::string& n : names(l.next(1000))) EXPECT_NE(n, "e4999");
+    for (const std::string& n : names(l.next(1000)))
+      EXPECT_NE(n, "e4999");
   EXPECT_EQ(l.index(), 9);
 }
 
@@ -88,27 +91,35 @@
     const char* words[] = {"Ready", "Terminating", "Gone"};
     const auto hear = [&](std::size_t most) {
       for (ListChange& c : l.next(most).changes) {
-        if (c.entry.endpoint.state == EndpointState::gone) heard.erase(c.entry.endpoint.id);
-        else heard[c.entry.endpoint.id] = c.entry;
+        if (c.entry.endpoint.state == EndpointState::gone)
+          heard.erase(c.entry.endpoint.id);
+        else
+          heard[c.entry.endpoint.id] = c.entry;
       }
     };
     for (int step = 1; step <= 200; ++step) {
       json changes = json::array();
       const bool whole = random() % 7 == 0;
-      if (whole) truth.clear();
+      if (whole)
+        truth.clear();
       std::set<std::string> once;
       for (int i = static_cast<int>(random() % 12); i > 0; --i) {
         const std::string name = "e" + std::to_string(random() % 30);
-        if (!once.insert(name).second) continue;
+        if (!once.insert(name).second)
+          continue;
         const json e = entry(name, static_cast<std::int64_t>(random() % 5), words[random() % 3]);
         changes.push_back(e);
-        if (e["status"] == "Gone") truth.erase(name);
-        else truth[name] = e;
+        if (e["status"] == "Gone")
+          truth.erase(name);
+        else
+          truth[name] = e;
       }
       l.take(answer(step, whole, changes));
-      if (random() % 2) hear(random() % 9);
+      if (random() % 2)
+        hear(random() % 9);
     }
-    while (l.pending()) hear(3);
+    while (l.pending())
+      hear(3);
     ASSERT_EQ(truth.size(), heard.size()) << "seed " << seed;
     for (const auto& [name, e] : truth) {
       ASSERT_TRUE(heard.count(name)) << "seed " << seed;
@@ -124,7 +135,9 @@
   const auto said = [](const json& j) -> std::string {
     try {
       readList(j);
-    } catch (const BadInput& e) { return e.what(); }
+    } catch (const BadInput& e) {
+      return e.what();
+    }
     return "";
   };
   EXPECT_NE(said(json::array()), "");
--- a/tests/membership/name_memory_test.cpp
+++ b/tests/membership/name_memory_test.cpp
@@ -169,7 +169,8 @@
 
 TEST(NameMemory, ManyAddressesAreBounded) {
   All many;
-  for (int i = 0; i < 200; ++i) many.push_back("10.0.1." + std::to_string(i));
+  for (int i = 0; i < 200; ++i)
+    many.push_back("10.0.1." + std::to_string(i));
   NameMemory m(host(), {});
   m.answered(answer(records(many)), 0);
   EXPECT_EQ(m.endpoints().size(), DnsLimits{}.most_addresses);
--- a/tests/membership/table_test.cpp
+++ b/tests/membership/table_test.cpp
@@ -18,7 +18,9 @@
   p.endpoints = std::move(endpoints);
   return p;
 }
-std::string at(int port) { return "127.0.0.1:" + std::to_string(port); }
+std::string at(int port) {
+  return "127.0.0.1:" + std::to_string(port);
+}
 
 // "+id" for one that is listed, "~id" draining, "-id" gone.
 std::string heard(const PartnerTable::Change& c) {
@@ -190,19 +192,25 @@
     std::set<std::string> once;
     for (int i = draw(4); i > 0; --i) {
       const std::string name = "p" + std::to_string(draw(6));
-      if (!once.insert(name).second) continue;
+      if (!once.insert(name).second)
+        continue;
       std::set<std::string> endpoints;
-      for (int n = 1 + draw(3); n > 0; --n) endpoints.insert(at(1 + draw(8)));
+      for (int n = 1 + draw(3); n > 0; --n)
+        endpoints.insert(at(1 + draw(8)));
       all.push_back(partner(name, {endpoints.begin(), endpoints.end()}));
-      if (draw(5) == 0) all.back().number = draw(3);
+      if (draw(5) == 0)
+        all.back().number = draw(3);
     }
     said[unit] = all;
     t.declare(unit, all);
-    if (draw(3) == 0) continue;  // several in one change
+    if (draw(3) == 0)
+      continue;  // several in one change
     for (const ListChange& e : t.take().entries) {
       const std::string id = e.entry.endpoint.id;
-      if (e.entry.endpoint.state == EndpointState::gone) ASSERT_EQ(core.erase(id), 1u) << step;
-      else core[id] = e.entry;
+      if (e.entry.endpoint.state == EndpointState::gone)
+        ASSERT_EQ(core.erase(id), 1u) << step;
+      else
+        core[id] = e.entry;
     }
     std::map<std::string, std::string> addresses;
     std::map<std::int64_t, std::string> numbers;
@@ -236,7 +244,8 @@
               << step << " " << p.name;
           continue;
         }
-        for (const std::string& a : f->endpoints) ASSERT_TRUE(addresses.count(a)) << step << " " << a;
+        for (const std::string& a : f->endpoints)
+          ASSERT_TRUE(addresses.count(a)) << step << " " << a;
       }
   }
 }
--- a/tests/model/calibration_test.cpp
+++ b/tests/model/calibration_test.cpp
@@ -101,9 +101,11 @@
                                                    : r.effect == Effect::keyed ? 1
                                                                                : 0];
     offered += c.worth;
-    if (r.delivered > 0 && r.ended > 0) s.worth += worthAt(c, LateRule::line, r.ended - r.submitted);
+    if (r.delivered > 0 && r.ended > 0)
+      s.worth += worthAt(c, LateRule::line, r.ended - r.submitted);
   }
-  for (std::size_t e = 0; e < w.endpoints(); ++e) s.calls += static_cast<double>(w.endpoint(e).calls());
+  for (std::size_t e = 0; e < w.endpoints(); ++e)
+    s.calls += static_cast<double>(w.endpoint(e).calls());
   s.worth /= offered;
   s.calls /= static_cast<double>(w.ledger.size());
   w.stop();
--- a/tests/model/checker_test.cpp
+++ b/tests/model/checker_test.cpp
@@ -7,7 +7,8 @@
 struct DeafToWaits : Spoilt {
   using Spoilt::Spoilt;
   bool hear(Event& e) override {
-    if (auto* o = std::get_if<Outcome>(&e)) o->wait = 0;
+    if (auto* o = std::get_if<Outcome>(&e))
+      o->wait = 0;
     return true;
   }
 };
@@ -15,8 +16,10 @@
   using Spoilt::Spoilt;
   bool hear(Event& e) override {
     auto* u = std::get_if<ListUpdate>(&e);
-    if (!u) return true;
-    for (Endpoint& x : u->endpoints) x.state = EndpointState::ready;
+    if (!u)
+      return true;
+    for (Endpoint& x : u->endpoints)
+      x.state = EndpointState::ready;
     return true;
   }
 };
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -33,7 +33,8 @@
                                                       f["undelivered"].get<std::uint64_t>());
     double by_second = 0;
     for (const auto& [cause, row] : f["lost_over_time"].items())
-      for (const json& x : row) by_second += x.get<double>();
+      for (const json& x : row)
+        by_second += x.get<double>();
     EXPECT_NEAR(by_second, fleet.ledger.lostInAll(), 0.01) << p.name;
   }
 }
@@ -135,10 +136,12 @@
   std::size_t constants = 0;
   for (const char* file : {"state", "tags", "bound", "health", "attempts", "admission"}) {
     std::ifstream in(std::string(GRADEMUX_SOURCE) + "/src/decision/" + file + ".h");
-    for (std::string line; std::getline(in, line);) constants += line.rfind("constexpr ", 0) == 0;
+    for (std::string line; std::getline(in, line);)
+      constants += line.rfind("constexpr ", 0) == 0;
   }
   EXPECT_EQ(tunedValues().size(), constants - 2);  // less a second's microseconds and `never`
-  for (const TunedValue& v : tunedValues()) EXPECT_GT(v.value, 0) << v.name;
+  for (const TunedValue& v : tunedValues())
+    EXPECT_GT(v.value, 0) << v.name;
 }
 
 TEST(Partner, AWindowAndARateLetTheirLimitPass) {
@@ -179,11 +182,13 @@
   const auto push = [&](Micros gap, bool knows) {
     Partner p(1, t, rules, 1);
     p.begin(TroubleKind::refuse, 1, 0);
-    if (knows) p.learned(0);
+    if (knows)
+      p.learned(0);
     p.end(TroubleKind::refuse, kBegin + 1'000'000);
     for (Micros at = kBegin + 1'000'000; at < kBegin + 5'000'000; at += gap) {
       const Partner::Fall f = p.weigh(0, at);
-      if (f.fell) return f.knew;
+      if (f.fell)
+        return f.knew;
     }
     return -1.0;
   };
--- a/tests/model/spoilt.h
+++ b/tests/model/spoilt.h
@@ -9,7 +9,8 @@
 
 inline World worldOf(const std::string& text) {
   const Reading r = readWorldText(text, "world");
-  for (const Mistake& m : r.mistakes) ADD_FAILURE() << m.in("world");
+  for (const Mistake& m : r.mistakes)
+    ADD_FAILURE() << m.in("world");
   return r.world;
 }
 
@@ -70,10 +71,12 @@
   std::vector<Action> decide(Micros now, const std::vector<Event>& events) override {
     std::vector<Event> heard;
     for (Event e : events)
-      if (hear(e)) heard.push_back(std::move(e));
+      if (hear(e))
+        heard.push_back(std::move(e));
     std::vector<Action> acts;
     for (Action& a : module_.decide(now, heard))
-      if (act(a)) acts.push_back(std::move(a));
+      if (act(a))
+        acts.push_back(std::move(a));
     return acts;
   }
 
@@ -89,7 +92,8 @@
 struct Reckless : Spoilt {
   using Spoilt::Spoilt;
   bool hear(Event& e) override {
-    if (auto* o = std::get_if<Outcome>(&e)) o->report.reset();
+    if (auto* o = std::get_if<Outcome>(&e))
+      o->report.reset();
     return true;
   }
 };
@@ -104,10 +108,12 @@
 }
 inline void nothing(Settings&) {}
 inline void allSafe(Settings& s) {
-  for (MessageClass& c : s.classes) c.effect = Effect::safe;
+  for (MessageClass& c : s.classes)
+    c.effect = Effect::safe;
 }
 inline void noOrder(Settings& s) {
-  for (MessageClass& c : s.classes) c.ordered = false;
+  for (MessageClass& c : s.classes)
+    c.ordered = false;
 }
 inline void noRamp(Settings& s) {
   s.ramp_time = 1;
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -16,7 +16,8 @@
 
 std::string told(const std::string& text) {
   std::string all;
-  for (const Mistake& m : readWorldText(text, "w").mistakes) all += m.in("w") + "\n";
+  for (const Mistake& m : readWorldText(text, "w").mistakes)
+    all += m.in("w") + "\n";
   return all;
 }
 
@@ -56,9 +57,11 @@
 TEST(World, AllThatComeWithTheProjectAreGood) {
   std::size_t n = 0;
   for (const auto& f : fs::directory_iterator(std::string(GRADEMUX_SOURCE) + "/model/worlds")) {
-    if (f.path().filename() == "site.toml") continue;
+    if (f.path().filename() == "site.toml")
+      continue;
     const Reading r = readWorld(f.path().string());
-    for (const Mistake& m : r.mistakes) ADD_FAILURE() << m.in(f.path().string());
+    for (const Mistake& m : r.mistakes)
+      ADD_FAILURE() << m.in(f.path().string());
     EXPECT_EQ(r.world.classes.size(), 3u);
     ++n;
   }
@@ -85,7 +88,8 @@
 set = { "fleet.senders" = 3, "traffic.rate" = 50.0 }
 )";
     const ExperimentReading r = readExperiment(folder.path() + "/e.toml");
-    for (const Mistake& m : r.mistakes) ADD_FAILURE() << m.in("e.toml");
+    for (const Mistake& m : r.mistakes)
+      ADD_FAILURE() << m.in("e.toml");
     e = r.experiment;
   }
   std::string summaryIn(const std::string& name, int jobs) {
@@ -103,7 +107,8 @@
   std::ifstream in(folder.path() + "/one/runs.jsonl");
   std::ofstream out(folder.path() + "/resumed/runs.jsonl");
   std::string line;
-  for (int i = 0; i < 6 && std::getline(in, line); ++i) out << line << '\n';
+  for (int i = 0; i < 6 && std::getline(in, line); ++i)
+    out << line << '\n';
   std::getline(in, line);
   out << line.substr(0, line.size() / 2);
   out.close();
@@ -130,7 +135,8 @@
     EXPECT_EQ(page.find(part), std::string::npos) << part;
   std::ifstream csv(folder.path() + "/report/worth.csv");
   std::size_t lines = 0;
-  for (std::string line; std::getline(csv, line);) ++lines;
+  for (std::string line; std::getline(csv, line);)
+    ++lines;
   EXPECT_EQ(lines, 13u);
   EXPECT_NE(outputOf({GRADEMUX_MODEL, "compare", folder.path() + "/report", "one_try", "module"}, out, status)
                 .find("over 4 pairs; no difference seen"),
@@ -163,7 +169,8 @@
 TEST_F(Experiments, AVariantsSettingsAreInForce) {
   const auto runs = play(e, folder.path() + "/set", 2, nullptr);
   std::map<std::string, double> offered;
-  for (const json& r : runs) offered[r["variant"]] += r["offered"].get<double>();
+  for (const json& r : runs)
+    offered[r["variant"]] += r["offered"].get<double>();
   EXPECT_EQ(offered["module"], offered["one_try"]);
   EXPECT_GT(offered["more"], 1.1 * offered["module"]);
   Variant wrong;
--- a/tests/operate/operators_test.cpp
+++ b/tests/operate/operators_test.cpp
@@ -6,7 +6,9 @@
 
 using namespace loopback;
 
-Act deliver(const Seen&) { return {answer("200 OK")}; }
+Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
 
 struct Served {
   explicit Served(const std::string& daemon = "", int sockets = 1024)
@@ -37,8 +39,12 @@
   int mgmt = 0;
 };
 
-bool yes(const std::string& line) { return line.rfind("ACK", 0) == 0; }
-bool no(const std::string& line) { return line.rfind("NAK", 0) == 0; }
+bool yes(const std::string& line) {
+  return line.rfind("ACK", 0) == 0;
+}
+bool no(const std::string& line) {
+  return line.rfind("NAK", 0) == 0;
+}
 
 TEST(OperatorsDoor, AnswersOneLineToAConnection) {
   Served s;
@@ -79,8 +85,10 @@
   Served s("", 128);
   s.withDoor();
   std::vector<std::unique_ptr<Client>> clients;
-  for (int i = 0; i < 200; ++i) clients.push_back(std::make_unique<Client>(s.program.port()));
-  for (int i = 0; i < 20; ++i) EXPECT_TRUE(yes(s.call("status\n")));
+  for (int i = 0; i < 200; ++i)
+    clients.push_back(std::make_unique<Client>(s.program.port()));
+  for (int i = 0; i < 20; ++i)
+    EXPECT_TRUE(yes(s.call("status\n")));
 }
 
 TEST(OperatorsDoor, WithoutAnAddressThereIsNone_AndOneThatIsTakenIsOneLine) {
@@ -135,7 +143,8 @@
   for (int i = 0; i < 50; ++i)
     all += Client::request({"MSG.PUT", "0", "p" + std::to_string(i), "c=notice,d=20000,dest=7", "x"});
   c.send(all);
-  for (int i = 0; i < 50; ++i) ASSERT_EQ("+OK", c.line()) << i;
+  for (int i = 0; i < 50; ++i)
+    ASSERT_EQ("+OK", c.line()) << i;
   EXPECT_TRUE(c.ended());
   EXPECT_TRUE(s.endpoint.waitFor(50));
 }
@@ -148,9 +157,11 @@
   ASSERT_TRUE(yes(s.call("standby\n")));
   std::atomic<bool> over{false};
   std::thread sends([&] {
-    for (int i = 0; i < 200'000 && !over; ++i) c.send(Client::request({"PING"}) + Client::request({"PING"}));
+    for (int i = 0; i < 200'000 && !over; ++i)
+      c.send(Client::request({"PING"}) + Client::request({"PING"}));
   });
-  while (!c.line().empty()) {}
+  while (!c.line().empty()) {
+  }
   over = true;
   sends.join();
   Client other(s.program.port());
--- a/tests/operate/state_test.cpp
+++ b/tests/operate/state_test.cpp
@@ -10,10 +10,14 @@
 
 State in(Phase p) {
   State s;
-  if (p != Phase::starting) s.ready();
-  if (p == Phase::standby) s.on(Call::standby, true);
-  if (p == Phase::shut_out) s.shutOut("by the plan");
-  if (p == Phase::stopping) s.stop("SIGTERM");
+  if (p != Phase::starting)
+    s.ready();
+  if (p == Phase::standby)
+    s.on(Call::standby, true);
+  if (p == Phase::shut_out)
+    s.shutOut("by the plan");
+  if (p == Phase::stopping)
+    s.stop("SIGTERM");
   return s;
 }
 
@@ -80,7 +84,8 @@
 
 TEST(OperateState, LinesThatAreCalls) {
   Call c;
-  for (const char* good : {"status", "standby", "active", "status\r"}) EXPECT_TRUE(readCall(good, c)) << good;
+  for (const char* good : {"status", "standby", "active", "status\r"})
+    EXPECT_TRUE(readCall(good, c)) << good;
   for (const char* bad : {"", "\r", "STATUS", "status ", " status", "statu", "stop", "status\nactive"})
     EXPECT_FALSE(readCall(bad, c)) << bad;
   EXPECT_FALSE(readCall(std::string_view("status\0", 7), c));
--- a/tests/replay/losses_test.cpp
+++ b/tests/replay/losses_test.cpp
@@ -52,7 +52,9 @@
   std::string text;
 };
 
-Micros part(const Loss& l, Part p) { return l.parts[static_cast<std::size_t>(p)] / kMs; }
+Micros part(const Loss& l, Part p) {
+  return l.parts[static_cast<std::size_t>(p)] / kMs;
+}
 
 TEST(Losses, TheTimeOfALateMessageIsDividedAmongThePartsOfItsWay) {
   Record r;
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -31,13 +31,15 @@
 }
 std::string joined(const std::vector<std::string>& lines) {
   std::string all;
-  for (const std::string& l : lines) all += l + "\n";
+  for (const std::string& l : lines)
+    all += l + "\n";
   return all;
 }
 std::vector<std::string> linesOf(const std::string& text) {
   std::vector<std::string> lines;
   std::istringstream in(text);
-  for (std::string l; std::getline(in, l);) lines.push_back(l);
+  for (std::string l; std::getline(in, l);)
+    lines.push_back(l);
   return lines;
 }
 
@@ -115,7 +117,8 @@
 TEST(Replay, ShowsTheFirstActionThatDiffers) {
   std::vector<std::string> lines = linesOf(recorded("calm", 200));
   std::size_t at = 120;
-  while (json::parse(lines[at])["actions"].empty()) ++at;
+  while (json::parse(lines[at])["actions"].empty())
+    ++at;
   json turn = json::parse(lines[at]);
   turn["actions"][0] = {{"fail", {{"id", "other"}}}};
   lines[at] = turn.dump();
@@ -179,7 +182,8 @@
       s.run();
     }
     std::error_code e;
-    if (run < 2) std::filesystem::resize_file(path, std::filesystem::file_size(path) - 7, e);
+    if (run < 2)
+      std::filesystem::resize_file(path, std::filesystem::file_size(path) - 7, e);
   }
   std::ifstream in(path);
   const Report r = replay::replay(in);
--- a/tests/rig/ledger_test.cpp
+++ b/tests/rig/ledger_test.cpp
@@ -14,7 +14,8 @@
   Record& message(Effect effect = Effect::unsafe, Said said = Said::accepted) {
     last = ledger.open(effect, By::resp, 1000);
     Record& r = ledger.at(last);
-    if (said != Said::nothing) ledger.answered(r, said, 2000);
+    if (said != Said::nothing)
+      ledger.answered(r, said, 2000);
     return r;
   }
   bool holds(const char* name, int expected) {
@@ -95,7 +96,8 @@
 
 TEST(Ledger, PercentilesAreOfTheNearestRank) {
   std::vector<Micros> spans;
-  for (int i = 1000; i >= 1; --i) spans.push_back(i * 1000);
+  for (int i = 1000; i >= 1; --i)
+    spans.push_back(i * 1000);
   const json p = percentiles(spans);
   EXPECT_EQ(500.0, p["p50_ms"]);
   EXPECT_EQ(990.0, p["p99_ms"]);
--- a/tests/sim/simhost_test.cpp
+++ b/tests/sim/simhost_test.cpp
@@ -37,7 +37,8 @@
   r.status = WEXITSTATUS(raw);
   r.out = slurp(base + ".out");
   r.err = slurp(base + ".err");
-  for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
+  for (const char* end : {".in", ".out", ".err"})
+    std::remove((base + end).c_str());
   return r;
 }
 
@@ -68,7 +69,9 @@
                {"Share", 1},
                {"BootTimeMs", nullptr}}}}}}};
 }
-json members(int kind = 2) { return {{"Members", {{"Who", 0}, {"Kind", kind}, {"Epoch", 1}, {"Sheet", 0}}}}; }
+json members(int kind = 2) {
+  return {{"Members", {{"Who", 0}, {"Kind", kind}, {"Epoch", 1}, {"Sheet", 0}}}};
+}
 json call(const std::string& id) {
   return {{"Call",
            {{"Who", 0},
--- a/tests/support/http_client.h
+++ b/tests/support/http_client.h
@@ -12,7 +12,8 @@
   std::string head, body;
   std::string field(const std::string& name) const {
     const auto at = head.find("\r\n" + name + ": ");
-    if (at == std::string::npos) return "";
+    if (at == std::string::npos)
+      return "";
     const auto from = at + name.size() + 4;
     return head.substr(from, head.find("\r\n", from) - from);
   }
@@ -20,7 +21,8 @@
   std::vector<json> lines() const {
     std::vector<json> all;
     std::istringstream in(body);
-    for (std::string line; std::getline(in, line);) all.push_back(json::parse(line, nullptr, false));
+    for (std::string line; std::getline(in, line);)
+      all.push_back(json::parse(line, nullptr, false));
     return all;
   }
 };
@@ -43,7 +45,8 @@
   bool send(const std::string& bytes) {
     for (std::size_t done = 0; done < bytes.size();) {
       const ssize_t n = ::send(fd_, bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
-      if (n <= 0) return false;
+      if (n <= 0)
+        return false;
       done += static_cast<std::size_t>(n);
     }
     return true;
@@ -63,30 +66,36 @@
     HttpReply r;
     for (;;) {
       while (in_.find("\r\n\r\n") == std::string::npos)
-        if (!more()) return r;
+        if (!more())
+          return r;
       const auto end = in_.find("\r\n\r\n");
       r.head = in_.substr(0, end + 2);
       in_.erase(0, end + 4);
       r.status = std::atoi(r.head.substr(9, 3).c_str());
-      if (r.status / 100 != 1) break;
+      if (r.status / 100 != 1)
+        break;
       ++interim;
     }
     if (r.field("Transfer-Encoding") == "chunked") {
       for (;;) {
         while (in_.find("\r\n") == std::string::npos)
-          if (!more()) return {};
+          if (!more())
+            return {};
         const std::size_t size = std::strtoul(in_.c_str(), nullptr, 16);
         const std::size_t from = in_.find("\r\n") + 2;
         while (in_.size() < from + size + 2)
-          if (!more()) return {};
+          if (!more())
+            return {};
         r.body += in_.substr(from, size);
         in_.erase(0, from + size + 2);
-        if (size == 0) return r;
+        if (size == 0)
+          return r;
       }
     }
     const std::size_t size = std::strtoul(r.field("Content-Length").c_str(), nullptr, 10);
     while (in_.size() < size)
-      if (!more()) return {};
+      if (!more())
+        return {};
     r.body = in_.substr(0, size);
     in_.erase(0, size);
     return r;
@@ -94,11 +103,13 @@
   // Bytes of an answer that has no end yet.
   bool waitFor(const std::string& bytes) {
     while (in_.find(bytes) == std::string::npos)
-      if (!more()) return false;
+      if (!more())
+        return false;
     return true;
   }
   bool ended() {
-    while (more()) {}
+    while (more()) {
+    }
     return !timed_out_;
   }
   int interim = 0;
@@ -112,7 +123,8 @@
     }
     char piece[4096];
     const ssize_t n = ::recv(fd_, piece, sizeof piece, 0);
-    if (n <= 0) return false;
+    if (n <= 0)
+      return false;
     in_.append(piece, static_cast<std::size_t>(n));
     return true;
   }
@@ -125,7 +137,8 @@
 inline std::string messageDocument(const std::string& cls, int destination, const std::string& body = "body",
                                    const std::string& key = "", int deadline_ms = 28000) {
   json o{{"class", cls}, {"destination", destination}, {"deadline_ms", deadline_ms}, {"body", body}};
-  if (!key.empty()) o["key"] = key;
+  if (!key.empty())
+    o["key"] = key;
   return o.dump();
 }
 
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -63,7 +63,8 @@
   }
   ~Listener() { close(); }
   void close() {
-    if (fd >= 0) ::close(fd);
+    if (fd >= 0)
+      ::close(fd);
     fd = -1;
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port); }
@@ -75,21 +76,25 @@
 inline bool eventually(const std::function<bool()>& holds) {
   const auto until = std::chrono::steady_clock::now() + kLong;
   while (!holds()) {
-    if (std::chrono::steady_clock::now() > until) return false;
+    if (std::chrono::steady_clock::now() > until)
+      return false;
     std::this_thread::sleep_for(5ms);
   }
   return true;
 }
 
 // A port that nothing listens on.
-inline std::string closedAddress() { return "127.0.0.1:" + std::to_string(rig::ownPort()); }
+inline std::string closedAddress() {
+  return "127.0.0.1:" + std::to_string(rig::ownPort());
+}
 
 struct Seen {  // a request as a server had it
   std::string head, body;
   std::size_t connection = 0, on_it = 0;  // which connection, and the how manieth request on it
   std::string field(const std::string& name) const {
     const auto at = head.find("\r\n" + name + ": ");
-    if (at == std::string::npos) return "";
+    if (at == std::string::npos)
+      return "";
     const auto from = at + name.size() + 4;
     return head.substr(from, head.find("\r\n", from) - from);
   }
@@ -115,7 +120,8 @@
   ~Server() {
     stop_ = true;
     thread_.join();
-    for (auto& t : connections_) t.join();
+    for (auto& t : connections_)
+      t.join();
   }
   std::string address() const { return listener_.address(); }
   std::vector<Seen> seen() {
@@ -135,9 +141,11 @@
   }
   void acceptLoop() {
     for (std::size_t n = 0; !stop_;) {
-      if (!readable(listener_.fd)) continue;
+      if (!readable(listener_.fd))
+        continue;
       const int fd = ::accept4(listener_.fd, nullptr, nullptr, SOCK_CLOEXEC);
-      if (fd >= 0) connections_.emplace_back([this, fd, id = n++] { serve(fd, id); });
+      if (fd >= 0)
+        connections_.emplace_back([this, fd, id = n++] { serve(fd, id); });
     }
   }
   void serve(int fd, std::size_t id) {
@@ -162,13 +170,16 @@
           }
           changed_.notify_all();
           const Act a = script_(s);
-          if (!a.bytes.empty()) (void)!::send(fd, a.bytes.data(), a.bytes.size(), MSG_NOSIGNAL);
+          if (!a.bytes.empty())
+            (void)!::send(fd, a.bytes.data(), a.bytes.size(), MSG_NOSIGNAL);
           reset = a.reset;
-          if (a.close || a.reset) break;
+          if (a.close || a.reset)
+            break;
           continue;
         }
       }
-      if (!readable(fd)) continue;
+      if (!readable(fd))
+        continue;
       char piece[4096];
       const ssize_t n = ::recv(fd, piece, sizeof piece, 0);
       if (n <= 0) {
@@ -253,12 +264,14 @@
     }
     long from = -1;
     const auto at = s.head.find("from=");
-    if (at != std::string::npos) from = std::stol(s.head.substr(at + 5));
+    if (at != std::string::npos)
+      from = std::stol(s.head.substr(at + 5));
     std::unique_lock<std::mutex> l(mutex_);
     asked_ = std::max(asked_, from);
     changed_.notify_all();
     changed_.wait_for(l, kLong, [&] { return stop_ || index_ > from; });
-    if (stop_) return {"", true, false, false};
+    if (stop_)
+      return {"", true, false, false};
     const json body{{"index", index_}, {"snapshot", snapshot_}, {"endpoints", news_}};
     return {answer("200 OK", "", body.dump()), false, false, false};
   }
@@ -326,7 +339,8 @@
   void send(const std::string& bytes) {
     for (std::size_t done = 0; done < bytes.size();) {
       const ssize_t n = ::send(fd_, bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
-      if (n <= 0) return;
+      if (n <= 0)
+        return;
       done += static_cast<std::size_t>(n);
     }
   }
@@ -340,10 +354,12 @@
         return l;
       }
       pollfd p{fd_, POLLIN, 0};
-      if (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) <= 0) return "";
+      if (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) <= 0)
+        return "";
       char piece[1024];
       const ssize_t n = ::recv(fd_, piece, sizeof piece, 0);
-      if (n <= 0) return "";
+      if (n <= 0)
+        return "";
       in_.append(piece, static_cast<std::size_t>(n));
     }
   }
@@ -356,7 +372,8 @@
   // The other side has ended its sending, and reads what is sent to it from now on: with a connection that
   // was closed over it, the first bytes bring a reset and the second can't be sent.
   bool endedInOrder() {
-    if (!ended()) return false;
+    if (!ended())
+      return false;
     const bool first = ::send(fd_, "*", 1, MSG_NOSIGNAL) == 1;
     return first && ::send(fd_, "5", 1, MSG_NOSIGNAL) == 1;
   }
@@ -365,16 +382,19 @@
     for (;;) {
       pollfd p{fd_, POLLIN, 0};
       char piece[4096];
-      if (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) <= 0) break;
+      if (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) <= 0)
+        break;
       const ssize_t n = ::recv(fd_, piece, sizeof piece, 0);
-      if (n <= 0) break;
+      if (n <= 0)
+        break;
       in_.append(piece, static_cast<std::size_t>(n));
     }
     return std::exchange(in_, {});
   }
   static std::string request(const std::vector<std::string>& words) {
     std::string out = "*" + std::to_string(words.size()) + "\r\n";
-    for (const auto& w : words) out += "$" + std::to_string(w.size()) + "\r\n" + w + "\r\n";
+    for (const auto& w : words)
+      out += "$" + std::to_string(w.size()) + "\r\n" + w + "\r\n";
     return out;
   }
   std::string ask(const std::vector<std::string>& words) {
@@ -401,7 +421,8 @@
   Program(const std::string& state, const std::string& discovery, json endpoints, double disk_mb = 3,
           json settings = plainSettings(), int sockets = 1024, const std::string& daemon = "")
       : state_(state), discovery_(discovery) {
-    if (!daemon.empty()) writeDaemon(daemon);
+    if (!daemon.empty())
+      writeDaemon(daemon);
     config_ = {{"name", "n0"},
                {"seed", "8c1f30d27a5be964"},
                {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", sockets}, {"disk_mb", disk_mb}}},
@@ -410,9 +431,11 @@
     start();
   }
   ~Program() {
-    if (pid_ > 0) kill();
+    if (pid_ > 0)
+      kill();
     std::error_code ignored;
-    for (const std::string& f : {path(), daemonPath(), logPath()}) std::filesystem::remove(f, ignored);
+    for (const std::string& f : {path(), daemonPath(), logPath()})
+      std::filesystem::remove(f, ignored);
   }
 
   // Starts it and waits until it answers PING.
@@ -426,12 +449,14 @@
   // With the file as it is.
   void restart(const std::map<std::string, std::string>& variables = {}) {
     std::vector<std::string> arguments;
-    if (std::filesystem::exists(daemonPath())) arguments = {"--daemon", daemonPath()};
+    if (std::filesystem::exists(daemonPath()))
+      arguments = {"--daemon", daemonPath()};
     pid_ = spawn(path(), state_, variables, arguments, logPath());
     const auto until = std::chrono::steady_clock::now() + kLong;
     while (std::chrono::steady_clock::now() < until) {
       Client c(port_);
-      if (c.connected() && c.ask({"PING"}) == "+PONG") return;
+      if (c.connected() && c.ask({"PING"}) == "+PONG")
+        return;
       std::this_thread::sleep_for(10ms);
     }
     ADD_FAILURE() << "the program does not answer PING";
@@ -450,8 +475,10 @@
     std::vector<std::string> command = {GRADEMUX_SENDER}, all = {"GW_CONFIG=" + config, "GW_STATE=" + state};
     command.insert(command.end(), arguments.begin(), arguments.end());
     for (const char* name : {"GW_LISTEN", "GW_DISCOVERY"})
-      if (!variables.count(name)) all.push_back(name);
-    for (const auto& [name, value] : variables) all.push_back(name + "=" + value);
+      if (!variables.count(name))
+        all.push_back(name);
+    for (const auto& [name, value] : variables)
+      all.push_back(name + "=" + value);
     rig::Child child;
     child.start(command, all, log, passed);
     return child.release();
--- a/tests/transport/http_transport_test.cpp
+++ b/tests/transport/http_transport_test.cpp
@@ -199,7 +199,8 @@
     p.io.restart();
     p.io.poll();
     pollfd ready{l.fd, POLLIN, 0};
-    if (::poll(&ready, 1, 1) > 0) fd = ::accept4(l.fd, nullptr, nullptr, SOCK_CLOEXEC);
+    if (::poll(&ready, 1, 1) > 0)
+      fd = ::accept4(l.fd, nullptr, nullptr, SOCK_CLOEXEC);
   }
   std::string in;
   while (in.find("any") == std::string::npos) {  // its body
@@ -207,7 +208,8 @@
     p.io.poll();
     char piece[4096];
     const ssize_t n = ::recv(fd, piece, sizeof piece, MSG_DONTWAIT);
-    if (n > 0) in.append(piece, static_cast<std::size_t>(n));
+    if (n > 0)
+      in.append(piece, static_cast<std::size_t>(n));
   }
   first.async_wait([&](const boost::system::error_code&) {
     const std::string bytes = answer("200 OK");
@@ -312,7 +314,8 @@
   std::atomic<int> calls{0};
   Server s([&](const Seen&) {
     const int n = ++calls;
-    if (n == 1 || n == 3) return Act{answer("200 OK")};
+    if (n == 1 || n == 3)
+      return Act{answer("200 OK")};
     return n == 4 ? Act{"HTTP/1.1 50", false, true} : Act{"", false, true};
   });
   Pool p;
@@ -398,7 +401,8 @@
     EXPECT_EQ(0, ::connect(filler_, reinterpret_cast<const sockaddr*>(&at_), size));
   }
   ~LateListener() {
-    if (server_.joinable()) server_.join();
+    if (server_.joinable())
+      server_.join();
     ::close(filler_);
     ::close(fd_);
   }
@@ -408,12 +412,14 @@
     server_ = std::thread([this] {
       ::close(::accept(fd_, nullptr, nullptr));  // the filler
       pollfd late{fd_, POLLIN, 0};
-      if (::poll(&late, 1, kLateMs) <= 0) return;  // the call was called off before its connection was there
+      if (::poll(&late, 1, kLateMs) <= 0)
+        return;  // the call was called off before its connection was there
       const int c = ::accept(fd_, nullptr, nullptr);
       char bytes[512];
       got = ::recv(c, bytes, sizeof bytes, 0);
       const std::string ok = answer("200 OK");
-      if (got > 0) ::send(c, ok.data(), ok.size(), MSG_NOSIGNAL);
+      if (got > 0)
+        ::send(c, ok.data(), ok.size(), MSG_NOSIGNAL);
       ::close(c);
     });
   }
@@ -494,7 +500,8 @@
       p.io.poll();
       char piece[4096];
       const ssize_t n = ::recv(fd, piece, sizeof piece, MSG_DONTWAIT);
-      if (n > 0) in.append(piece, static_cast<std::size_t>(n));
+      if (n > 0)
+        in.append(piece, static_cast<std::size_t>(n));
       return in.find("any") != std::string::npos;  // its body
     }));
   }
@@ -566,8 +573,10 @@
     EXPECT_EQ(Result::ok, p.waitFor(1).result);
     ASSERT_EQ(1u, p.endpoints.idle());
     p.endpoints.call({p.message("b"), 0, "e", 60'000'000});  // on it; nothing is written before the loop runs
-    if (half_a_line) ByHand::send(first, "HTTP/1.1 4");
-    else ::shutdown(first, SHUT_WR);
+    if (half_a_line)
+      ByHand::send(first, "HTTP/1.1 4");
+    else
+      ::shutdown(first, SHUT_WR);
     p.io.restart();
     p.io.poll();
     const int second = server.accept();
@@ -604,7 +613,8 @@
   EXPECT_EQ(Result::not_sent, o.result);
   std::size_t got = 0;
   std::vector<char> piece(1u << 20);
-  for (ssize_t n; (n = ::recv(fd, piece.data(), piece.size(), 0)) > 0;) got += static_cast<std::size_t>(n);
+  for (ssize_t n; (n = ::recv(fd, piece.data(), piece.size(), 0)) > 0;)
+    got += static_cast<std::size_t>(n);
   EXPECT_GT(got, 0u);
   EXPECT_LT(got, large.body.size());
   ::close(fd);
--- a/tests/zones/zones_test.cpp
+++ b/tests/zones/zones_test.cpp
@@ -32,7 +32,8 @@
   Evidence evidence;
   Micros now = 100 * kSecond;
   void calls(const std::string& zone, std::int64_t destination, Result r, int n = 5) {
-    for (int i = 0; i < n; ++i) evidence.ended(now += 1000, endpoint(zone, destination), outcome(r));
+    for (int i = 0; i < n; ++i)
+      evidence.ended(now += 1000, endpoint(zone, destination), outcome(r));
   }
   Sight sees(const std::string& zone) { return evidence.against(now, zone, {}).sight; }
 };
@@ -54,19 +55,24 @@
 TEST(ZoneEvidence, WhoSeesAllFailAccusesNobody) {
   Eyes e;
   for (const char* zone : {"a", "b", "c"})
-    for (const int d : {1, 2}) e.calls(zone, d, Result::timeout);
-  for (const char* zone : {"a", "b", "c"}) EXPECT_EQ(Sight::nothing, e.sees(zone));
+    for (const int d : {1, 2})
+      e.calls(zone, d, Result::timeout);
+  for (const char* zone : {"a", "b", "c"})
+    EXPECT_EQ(Sight::nothing, e.sees(zone));
 }
 
 // After a common trouble the module may come to one zone last: that says nothing of it.
 TEST(ZoneEvidence, WhereAllFailedTheLastToBeTriedIsNotAccused) {
   Eyes e;
   for (const char* zone : {"a", "b", "c"})
-    for (const int d : {1, 2}) e.calls(zone, d, Result::ok);
+    for (const int d : {1, 2})
+      e.calls(zone, d, Result::ok);
   for (const char* zone : {"a", "c", "b"})
-    for (const int d : {1, 2}) e.calls(zone, d, Result::error, 2);
+    for (const int d : {1, 2})
+      e.calls(zone, d, Result::error, 2);
   for (const char* zone : {"a", "c"})
-    for (const int d : {1, 2}) e.calls(zone, d, Result::ok, 100);
+    for (const int d : {1, 2})
+      e.calls(zone, d, Result::ok, 100);
   EXPECT_NE(Sight::failing, e.sees("b"));
 }
 
@@ -89,9 +95,11 @@
   Regions regions;
   regions.of = {{"c", "east"}, {"d", "east"}};
   for (const int d : {1, 2, 3}) {
-    for (int n = 0; n < 4; ++n) e.ended(kSecond + n, endpoint("a", d), outcome(Result::ok));
+    for (int n = 0; n < 4; ++n)
+      e.ended(kSecond + n, endpoint("a", d), outcome(Result::ok));
     for (const char* zone : {"c", "d"})
-      for (int n = 0; n < 4; ++n) e.ended(kSecond + 10 + n, endpoint(zone, d), outcome(Result::timeout));
+      for (int n = 0; n < 4; ++n)
+        e.ended(kSecond + 10 + n, endpoint(zone, d), outcome(Result::timeout));
   }
   EXPECT_EQ(Sight::nothing, e.against(2 * kSecond, "c", {}).sight);
   for (const char* zone : {"c", "d"}) {
@@ -106,7 +114,8 @@
   Evidence e;
   for (const int d : {1, 2}) {
     e.ended(kSecond, endpoint("b", d), outcome(Result::error));
-    for (int n = 0; n < 4; ++n) e.ended(20 * kSecond + n, endpoint("a", d), outcome(Result::ok));
+    for (int n = 0; n < 4; ++n)
+      e.ended(20 * kSecond + n, endpoint("a", d), outcome(Result::ok));
     e.ended(20 * kSecond + 10, endpoint("c", d), outcome(Result::connect_failed));
     e.ended(20 * kSecond + 20, endpoint("b", d), outcome(Result::ok));
   }
@@ -164,7 +173,8 @@
 TEST(ZoneEvidence, UsualIsWhatWasDeliveredInASecond) {
   Evidence e;
   Micros now = 0;
-  for (int i = 0; i < 10 * 120; ++i) e.ended(now += kSecond / 10, endpoint("a", 1), outcome(Result::ok));
+  for (int i = 0; i < 10 * 120; ++i)
+    e.ended(now += kSecond / 10, endpoint("a", 1), outcome(Result::ok));
   EXPECT_NEAR(10, e.usual(now, "a", "a1-0"), 1);
   EXPECT_EQ(0, e.usual(now, "a", "a1-1"));
 }
@@ -175,7 +185,8 @@
   std::map<std::string, Zone> zones;
   Rules rules;
   World() {
-    for (const char* zone : {"a", "b", "c"}) zones[zone].endpoints = 1.0 / 3;
+    for (const char* zone : {"a", "b", "c"})
+      zones[zone].endpoints = 1.0 / 3;
   }
   void vote(const std::string& zone, int sender, Sight sight, double traffic = 10, int struck = 3,
             bool live = true) {
@@ -190,7 +201,8 @@
   }
   std::optional<Step> next() const {
     const Verdict v = all();
-    if (v.empty()) return std::nullopt;
+    if (v.empty())
+      return std::nullopt;
     EXPECT_EQ(1u, v.size());
     return Step{v.begin()->first, v.begin()->second};
   }
@@ -247,15 +259,18 @@
 struct Regional : World {
   Regional() {
     zones.clear();
-    for (const char* zone : {"a1", "a2", "b1", "b2", "c"}) zones[zone].endpoints = 0.2;
-    for (const char* zone : {"a1", "a2", "b1", "b2"}) rules.regions.of[zone] = std::string(1, zone[0]);
+    for (const char* zone : {"a1", "a2", "b1", "b2", "c"})
+      zones[zone].endpoints = 0.2;
+    for (const char* zone : {"a1", "a2", "b1", "b2"})
+      rules.regions.of[zone] = std::string(1, zone[0]);
     rules.regions.stand_by["a"] = "b";
   }
 };
 
 TEST(ZoneVerdict, ZonesOfARegionThatFailAreLeftTogetherAndOthersAreNot) {
   Regional w;
-  for (const char* zone : {"a1", "a2", "c"}) w.vote(zone, 1, Sight::failing);
+  for (const char* zone : {"a1", "a2", "c"})
+    w.vote(zone, 1, Sight::failing);
   Verdict v = w.all();
   ASSERT_EQ(2u, v.size());
   EXPECT_EQ(Way::out, v["a1"].way);
@@ -304,7 +319,8 @@
   World w;
   w.vote("b", 1, Sight::failing);
   w.take(*w.next());
-  for (int s = 1; s <= 5; ++s) w.vote("b", s, Sight::nothing, 10, 0, s != 2);
+  for (int s = 1; s <= 5; ++s)
+    w.vote("b", s, Sight::nothing, 10, 0, s != 2);
   w.zones["b"].since = w.rules.least_out - 1;
   EXPECT_FALSE(w.next());
   w.zones["b"].since = w.rules.least_out;
@@ -363,7 +379,8 @@
     s.stage = stage;
     s.share = 0.5;
     s.failed = 2;
-    if (stage == 0) s.carriers = {"s1"};
+    if (stage == 0)
+      s.carriers = {"s1"};
     w.vote("b", 1, Sight::failing, 10, 1);
     w.vote("b", 2, Sight::fine, 20);
     ASSERT_TRUE(w.next()) << stage;
@@ -397,22 +414,27 @@
       }
       const auto v = w.next();
       World turned = w;
-      for (auto& [name, z] : turned.zones) std::reverse(z.voters.begin(), z.voters.end());
+      for (auto& [name, z] : turned.zones)
+        std::reverse(z.voters.begin(), z.voters.end());
       const auto same = turned.next();
       ASSERT_EQ(v.has_value(), same.has_value()) << seed;
-      if (!v) continue;
+      if (!v)
+        continue;
       ASSERT_TRUE(v->zone == same->zone && v->state == same->state) << seed;
       const State before = w.zones[v->zone].state;
       EXPECT_FALSE(before.held) << seed;
       if (v->state.way == Way::back && before.way == Way::back)
         EXPECT_TRUE(v->state.stage == before.stage + 1 ||
                     (v->state.stage == 0 && before.stage == 0 && v->state.carriers != before.carriers));
-      if (v->state.way == Way::back && before.way == Way::out) EXPECT_EQ(0, v->state.stage);
-      if (v->state.way == Way::in) EXPECT_EQ(w.rules.stages, before.stage);
+      if (v->state.way == Way::back && before.way == Way::out)
+        EXPECT_EQ(0, v->state.stage);
+      if (v->state.way == Way::in)
+        EXPECT_EQ(w.rules.stages, before.stage);
       EXPECT_FALSE(before.way == Way::in && v->state.way == Way::back);
       w.take(*v);
       double out = 0;
-      for (const auto& [name, z] : w.zones) out += z.state.way == Way::in ? 0 : z.endpoints;
+      for (const auto& [name, z] : w.zones)
+        out += z.state.way == Way::in ? 0 : z.endpoints;
       ASSERT_LE(out, w.rules.most_out) << seed;
     }
   }
@@ -425,10 +447,12 @@
   v.set(0, 20);
   EXPECT_FALSE(v.open(0));
   int passed = 0;
-  for (Micros t = 0; t <= 10 * kSecond; t += 1000) passed += v.take(t);
+  for (Micros t = 0; t <= 10 * kSecond; t += 1000)
+    passed += v.take(t);
   EXPECT_NEAR(200, passed, 2);
   passed = 0;
-  for (int i = 0; i < 100; ++i) passed += v.take(100 * kSecond);
+  for (int i = 0; i < 100; ++i)
+    passed += v.take(100 * kSecond);
   EXPECT_EQ(2, passed);
 }
 
@@ -437,8 +461,10 @@
   std::vector<Endpoint> list;
   explicit Sender(const std::string& name) : desk(name) {
     for (const char* zone : {"a", "b"})
-      for (const int d : {1, 2}) list.push_back(endpoint(zone, d));
-    for (const Endpoint& e : list) desk.listed(e);
+      for (const int d : {1, 2})
+        list.push_back(endpoint(zone, d));
+    for (const Endpoint& e : list)
+      desk.listed(e);
   }
   // `rate` calls a second to each for two minutes.
   Micros work(double rate, Micros now = 0) {
@@ -446,7 +472,8 @@
     for (int n = 0; now < until; now += static_cast<Micros>(1e6 / rate))
       for (const Endpoint& e : list) {
         const CallId id{e.id, ++n};
-        if (!desk.begins(id, e, true, now)) continue;
+        if (!desk.begins(id, e, true, now))
+          continue;
         Outcome o = outcome(Result::ok);
         std::tie(o.id, o.attempt) = id;
         desk.ended(o, now);
@@ -483,25 +510,31 @@
   }
   s.desk.follow({}, now);
   EXPECT_EQ((std::vector<std::string>{"b1-0", "b2-0"}), s.desk.changed(now));
-  for (const Endpoint& e : s.list) EXPECT_EQ(EndpointState::ready, s.desk.shows(e, now));
+  for (const Endpoint& e : s.list)
+    EXPECT_EQ(EndpointState::ready, s.desk.shows(e, now));
 }
 
 TEST(ZoneDesk, OnTheWayBackTheSumOfAllStaysUnderTheShareWhoeverDiesOrJoins) {
   std::vector<Sender> all;
-  for (int i = 0; i < 4; ++i) all.emplace_back("s" + std::to_string(i));
+  for (int i = 0; i < 4; ++i)
+    all.emplace_back("s" + std::to_string(i));
   Micros now = 0;
-  for (std::size_t i = 0; i < all.size(); ++i) now = all[i].work(5 * static_cast<double>(i + 1));
-  for (Sender& s : all) s.desk.follow({{"b", out()}}, now);
+  for (std::size_t i = 0; i < all.size(); ++i)
+    now = all[i].work(5 * static_cast<double>(i + 1));
+  for (Sender& s : all)
+    s.desk.follow({{"b", out()}}, now);
   now += 60 * kSecond;
   all[1] = Sender("s1");   // died, and came back without what it knew
   all.emplace_back("s9");  // joined
   const double usual = 5 + 10 + 15 + 20;
   for (int stage = 1; stage <= 3; ++stage) {
     const double share = 0.3 * stage;
-    for (Sender& s : all) s.desk.follow({{"b", back(stage, share)}}, now);
+    for (Sender& s : all)
+      s.desk.follow({{"b", back(stage, share)}}, now);
     int begun = 0;
     for (const Micros until = now + 10 * kSecond; now < until; now += 1000)
-      for (Sender& s : all) begun += s.desk.begins({"x", 0}, s.list[2], true, now);
+      for (Sender& s : all)
+        begun += s.desk.begins({"x", 0}, s.list[2], true, now);
     EXPECT_LE(begun, share * usual * 10 + 5);
     EXPECT_GT(begun, 0.6 * share * usual * 10);  // without what s1 used to send
   }
@@ -519,7 +552,8 @@
   Sender after("s1"), joined("s9");
   after.desk.remember(parts);
   int begun = 0, others = 0;
-  for (Sender* s : {&after, &joined}) s->desk.follow({{"b", back(1, 0.5)}}, now);
+  for (Sender* s : {&after, &joined})
+    s->desk.follow({{"b", back(1, 0.5)}}, now);
   EXPECT_TRUE(parts == after.desk.parts());
   EXPECT_TRUE(joined.desk.parts().empty());
   for (const Micros until = now + 10 * kSecond; now < until; now += 1000) {
@@ -590,7 +624,8 @@
   };
   well(1);
   for (int attempt = 2; attempt <= kEnough; ++attempt) {  // it needs so many for a word on the zone
-    for (const Micros until = now + 2 * kSecond; !hides() && now < until; now += 20'000) s.desk.changed(now);
+    for (const Micros until = now + 2 * kSecond; !hides() && now < until; now += 20'000)
+      s.desk.changed(now);
     ASSERT_TRUE(hides()) << attempt;
     ASSERT_TRUE(s.desk.begins({"x", attempt}, s.list[2], true, now));
     well(attempt);
@@ -616,7 +651,8 @@
     const auto turn = [&] {
       for (const Micros until = now + 2 * kSecond; now < until; now += 20'000) {
         s.desk.changed(now);
-        if (s.desk.shows(s.list[b - 2], now) == EndpointState::draining) return true;
+        if (s.desk.shows(s.list[b - 2], now) == EndpointState::draining)
+          return true;
       }
       return false;
     };
@@ -650,7 +686,8 @@
   const auto play = [&](Micros span, Result of_b) {
     for (const Micros until = now + span; now < until; now += 20'000) {
       s.desk.changed(now);
-      if (now % kSecond < 20'000) s.desk.sweep(now);
+      if (now % kSecond < 20'000)
+        s.desk.sweep(now);
       const bool turn = s.desk.shows(s.list[0], now) == EndpointState::draining;
       hidden += turn ? 20'000 : 0;
       // As the module: the other zone, unless it is hidden.
@@ -658,7 +695,8 @@
         const Endpoint& e = s.list[static_cast<std::size_t>(
             d + (s.desk.shows(s.list[static_cast<std::size_t>(d)], now) == EndpointState::draining ? 2 : 0))];
         const CallId id{"look", ++n};
-        if (!s.desk.begins(id, e, true, now)) continue;
+        if (!s.desk.begins(id, e, true, now))
+          continue;
         Outcome o = outcome(e.zone == "b" ? of_b : Result::ok);
         std::tie(o.id, o.attempt) = id;
         s.desk.ended(o, now);
