--- a/tests/daemon/daemon_file_test.cpp
+++ b/tests/daemon/daemon_file_test.cpp
@@ -2,6 +2,7 @@
 #include "../../src/daemon/daemon_file.h"
 
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux {
 namespace {
@@ -40,7 +41,7 @@
 
 TEST(DaemonFile, TheExampleThatComesWithItIsGood) {
   std::vector<Mistake> mistakes;
-  const DaemonFile f = readDaemonFile(GRADEMUX_SOURCE "/deploy/daemon.toml", mistakes);
+  const DaemonFile f = readDaemonFile(sourceFolder() + "/deploy/daemon.toml", mistakes);
   for (const Mistake& m : mistakes)
     ADD_FAILURE() << m.in("deploy/daemon.toml");
   EXPECT_FALSE(f.doors.empty());
--- a/tests/daemon/knowledge_test.cpp
+++ b/tests/daemon/knowledge_test.cpp
@@ -6,6 +6,7 @@
 #include "../../src/knowledge/keeper.h"
 #include "../support/command.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux {
 namespace {
@@ -66,7 +67,7 @@
   int status = 0;
   const std::string log = f.folder.path() + "-out";
   json shown =
-      json::parse(outputOf({GRADEMUX_SENDER, "knowledge", "show", "--json", f.folder.path()}, log, status),
+      json::parse(outputOf({senderProgram(), "knowledge", "show", "--json", f.folder.path()}, log, status),
                   nullptr, false);
   EXPECT_EQ(status, 0);
   ASSERT_TRUE(shown.is_object()) << shown;
@@ -83,24 +84,24 @@
     }
   }
   EXPECT_TRUE(endpoint);
-  const std::string table = outputOf({GRADEMUX_SENDER, "knowledge", "show", f.folder.path()}, log, status);
+  const std::string table = outputOf({senderProgram(), "knowledge", "show", f.folder.path()}, log, status);
   EXPECT_NE(table.find("42 (1.00)"), std::string::npos) << table;
   f.program.start();
   EXPECT_EQ(f.count("knowledge.read records=2"), 1) << f.program.log();
   f.teach("n");
   f.program.kill();
   EXPECT_NE(
-      outputOf({GRADEMUX_SENDER, "knowledge", "forget", f.folder.path(), "--destination", "8"}, log, status)
+      outputOf({senderProgram(), "knowledge", "forget", f.folder.path(), "--destination", "8"}, log, status)
           .find("forgotten: 0"),
       std::string::npos);
   EXPECT_EQ(status, 2);
-  outputOf({GRADEMUX_SENDER, "knowledge", "forget", f.folder.path(), "--destination", "7"}, log, status);
+  outputOf({senderProgram(), "knowledge", "forget", f.folder.path(), "--destination", "7"}, log, status);
   EXPECT_EQ(status, 0);
   EXPECT_TRUE(knowledge::readBook(f.path(), "n0").book.known.empty());
-  outputOf({GRADEMUX_SENDER, "knowledge", "forget", f.folder.path()}, log, status);
+  outputOf({senderProgram(), "knowledge", "forget", f.folder.path()}, log, status);
   EXPECT_FALSE(fs::exists(f.path()));
   EXPECT_NE(
-      outputOf({GRADEMUX_SENDER, "knowledge", "show", f.folder.path()}, log, status).find("nothing is kept"),
+      outputOf({senderProgram(), "knowledge", "show", f.folder.path()}, log, status).find("nothing is kept"),
       std::string::npos);
   EXPECT_EQ(status, 2);
   fs::remove(log);
--- a/tests/daemon/standing_alone_test.cpp
+++ b/tests/daemon/standing_alone_test.cpp
@@ -6,6 +6,7 @@
 #include "../../src/daemon/daemon_file.h"
 #include "../support/command.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux {
 namespace {
@@ -121,7 +122,7 @@
     return "[[partner]]\nname = \"" + name + "\"\nendpoints = [\"" + address + "\"]\n" + more;
   }
   void start() {
-    child.start({GRADEMUX_SENDER, "run", "--daemon", path()}, {}, folder.path() + "/log");
+    child.start({senderProgram(), "run", "--daemon", path()}, {}, folder.path() + "/log");
     ASSERT_TRUE(child.waitForPort(port, 30)) << log();
   }
   std::string log() const {
@@ -212,20 +213,20 @@
   Alone a;
   a.write(Alone::partner("shop", "127.0.0.1:1"));
   rig::Child c;
-  c.start({GRADEMUX_SENDER, "run", "--daemon", a.path()}, {"GW_CONFIG=/somewhere"}, a.folder.path() + "/log");
+  c.start({senderProgram(), "run", "--daemon", a.path()}, {"GW_CONFIG=/somewhere"}, a.folder.path() + "/log");
   EXPECT_EQ(WEXITSTATUS(c.wait()), 2);
   EXPECT_NE(a.log().find("GW_CONFIG is set and gives classes"), std::string::npos) << a.log();
   rig::Child d;
-  d.start({GRADEMUX_SENDER}, {}, a.folder.path() + "/log");
+  d.start({senderProgram()}, {}, a.folder.path() + "/log");
   EXPECT_EQ(WEXITSTATUS(d.wait()), 2);
   EXPECT_NE(a.log().find("grademux_sender init"), std::string::npos) << a.log();
   rig::Child e, again;
-  e.start({GRADEMUX_SENDER, "init", a.folder.path() + "/new"}, {}, a.folder.path() + "/log");
+  e.start({senderProgram(), "init", a.folder.path() + "/new"}, {}, a.folder.path() + "/log");
   EXPECT_EQ(e.wait(), 0);
-  again.start({GRADEMUX_SENDER, "init", a.folder.path() + "/new"}, {}, a.folder.path() + "/log");
+  again.start({senderProgram(), "init", a.folder.path() + "/new"}, {}, a.folder.path() + "/log");
   EXPECT_EQ(WEXITSTATUS(again.wait()), 2);
   rig::Child f;
-  f.start({GRADEMUX_SENDER, "check", a.folder.path() + "/new/grademux.toml"}, {}, a.folder.path() + "/log");
+  f.start({senderProgram(), "check", a.folder.path() + "/new/grademux.toml"}, {}, a.folder.path() + "/log");
   EXPECT_EQ(f.wait(), 0);
 }
 
@@ -234,7 +235,7 @@
   std::ofstream(a.path()) << "[limits]\ncalls = 7\n" << kDoor << kClass << kPartner;
   int status = 0;
   const std::string log = a.folder.path() + "/out",
-                    out = outputOf({GRADEMUX_SENDER, "check", "--effective", a.path()}, log, status);
+                    out = outputOf({senderProgram(), "check", "--effective", a.path()}, log, status);
   EXPECT_EQ(status, 0);
   for (const std::string& row :
        {std::string("limits.calls = 7 "), std::string("# ") + a.path() + ":2\n",
@@ -253,7 +254,7 @@
       << "[[partner]]\nname = \"shop\"\nendpoints = [\"127.0.0.1:6\"]\n"
       << "[[partner]]\nname = \"thief\"\nendpoints = [\"127.0.0.1:1\"]\n";
   int status = 0;
-  const std::string out = outputOf({GRADEMUX_SENDER, "check", a.path()}, a.folder.path() + "/out", status);
+  const std::string out = outputOf({senderProgram(), "check", a.path()}, a.folder.path() + "/out", status);
   EXPECT_EQ(status, 2);
   for (const char* words : {"bad.toml:3:1: unknown key endpoint in a partner", "endpoints may be meant",
                             "more.toml: partner shop", "127.0.0.1:1 is an endpoint of shop"})
@@ -285,7 +286,7 @@
     const ssize_t n = came ? ::recv(fd, text, sizeof text, 0) : 0;
     return std::string(text, static_cast<std::size_t>(std::max<ssize_t>(0, n)));
   };
-  a.child.start({GRADEMUX_SENDER, "run", "--daemon", a.path()}, {"NOTIFY_SOCKET=" + path},
+  a.child.start({senderProgram(), "run", "--daemon", a.path()}, {"NOTIFY_SOCKET=" + path},
                 a.folder.path() + "/log");
   EXPECT_EQ(told(), "READY=1");
   EXPECT_TRUE(Client(a.port).connected());
--- a/tests/doors/hiredis_test.cpp
+++ b/tests/doors/hiredis_test.cpp
@@ -4,6 +4,7 @@
 
 #include "../../rig/child.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux {
 namespace {
@@ -27,7 +28,7 @@
   }
   ~Hiredis() override { kill(); }
   void start() {
-    child.start({GRADEMUX_SENDER, "run", "--daemon", folder.path() + "/grademux.toml"}, {},
+    child.start({senderProgram(), "run", "--daemon", folder.path() + "/grademux.toml"}, {},
                 folder.path() + "/log");
     ASSERT_TRUE(child.waitForPort(port, 30));
   }
--- a/tests/doors/http_openapi_test.cpp
+++ b/tests/doors/http_openapi_test.cpp
@@ -5,6 +5,7 @@
 
 #include "../../src/doors/http/messages.h"
 #include "../support/http_client.h"
+#include "../support/program_paths.h"
 
 namespace grademux {
 namespace {
@@ -34,7 +35,7 @@
 }
 
 struct Description {
-  json all = toJson(YAML::LoadFile(GRADEMUX_SOURCE "/docs/openapi.yaml"));
+  json all = toJson(YAML::LoadFile(sourceFolder() + "/docs/openapi.yaml"));
 
   const json& resolve(const json& o) const {
     return o.contains("$ref") ? all.at(json::json_pointer(o["$ref"].get<std::string>().substr(1))) : o;
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -8,6 +8,7 @@
 
 #include "../../rig/fleet.h"
 #include "../../src/core/clock.h"
+#include "../support/program_paths.h"
 
 namespace grademux::rig {
 
@@ -27,7 +28,7 @@
     begin(shape, mode, share);
   }
   void begin(const FleetShape& shape, const std::string& mode, const std::string& share = "1") {
-    fleet_ = std::make_unique<Fleet>(GRADEMUX_SENDER, 11, shape);
+    fleet_ = std::make_unique<Fleet>(senderProgram(), 11, shape);
     fleet_->startAll();
     mode_ = mode;
     const auto said = fleet_->propose({"--settings", fleet_->settingsDigest(), "--mode", mode, "--lease",
--- a/tests/fleet/steps_test.cpp
+++ b/tests/fleet/steps_test.cpp
@@ -2,6 +2,7 @@
 // that a plan, a word, a start or a command brings about is such a step, before and after it is carried out.
 #include <signal.h>
 
+#include "../support/program_paths.h"
 #include "fleet_fixture.h"
 
 namespace grademux::rig {
@@ -236,7 +237,7 @@
 TEST_F(FleetSteps, AnOlderProgramIsNamedStopsAndIsReplaced) {
   begin(3, "strict", "0.5");
   fleet_->kill(0);
-  comesBack(0, GRADEMUX_SENDER_OLDER);
+  comesBack(0, olderSenderProgram());
   ASSERT_TRUE(comesTo(0, 1)) << why(0);
   EXPECT_EQ("0.3.9", fleet_->report(0)["own"]["program"]);
   const std::int64_t both = change();
@@ -261,7 +262,7 @@
 TEST_F(FleetSteps, AClockThatIsMinutesAheadChangesNoOrder) {
   begin(2);
   fleet_->kill(1);
-  comesBack(1, GRADEMUX_SENDER_AHEAD);
+  comesBack(1, fastClockSenderProgram());
   ASSERT_TRUE(comesTo(1, 1)) << why(1);
   for (int n = 0; n < 2; ++n) {
     const std::int64_t plan = change();
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -5,6 +5,7 @@
 
 #include "../../src/log/rate.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux {
 namespace {
@@ -121,7 +122,7 @@
 
 // The page and the code can't part: each event with its level and fields, none else.
 TEST(LogTable, TheOperatorsPageIsTheCodesTable) {
-  const std::string page = read(GRADEMUX_SOURCE "/docs/operate/log.md");
+  const std::string page = read(sourceFolder() + "/docs/operate/log.md");
   std::set<std::string> lines;
   std::istringstream in(page);
   for (std::string l; std::getline(in, l);)
--- a/tests/model/calibration_test.cpp
+++ b/tests/model/calibration_test.cpp
@@ -3,6 +3,7 @@
 #include "../../rig/scenarios.h"
 #include "../../src/core/clock.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 #include "spoilt.h"
 
 namespace grademux::model {
@@ -74,7 +75,7 @@
   shape.behaviour.service = 15'000;
   shape.behaviour.spread = 20'000;
   shape.slots = 16;
-  rig::World w(GRADEMUX_SENDER, 1, shape);
+  rig::World w(senderProgram(), 1, shape);
   std::vector<std::shared_ptr<rig::Standing>> standings;
   for (std::size_t e = 0; e < w.endpoints(); ++e) {
     if (e % 2 == 0) {
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -1,6 +1,7 @@
 // Runs: the same figures each time, worth that is accounted for, bounds.
 #include <fstream>
 
+#include "../support/program_paths.h"
 #include "spoilt.h"
 
 namespace grademux::model {
@@ -135,7 +136,7 @@
 TEST(Tuned, ListsTheModulesValues) {
   std::size_t constants = 0;
   for (const char* file : {"state", "tags", "bound", "health", "attempts", "admission"}) {
-    std::ifstream in(std::string(GRADEMUX_SOURCE) + "/src/decision/" + file + ".h");
+    std::ifstream in(sourceFolder() + "/src/decision/" + file + ".h");
     for (std::string line; std::getline(in, line);)
       constants += line.rfind("constexpr ", 0) == 0;
   }
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -5,6 +5,7 @@
 #include "../../model/experiment.h"
 #include "../support/command.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 #include "spoilt.h"
 
 namespace grademux::model {
@@ -56,7 +57,7 @@
 
 TEST(World, AllThatComeWithTheProjectAreGood) {
   std::size_t n = 0;
-  for (const auto& f : fs::directory_iterator(std::string(GRADEMUX_SOURCE) + "/model/worlds")) {
+  for (const auto& f : fs::directory_iterator(sourceFolder() + "/model/worlds")) {
     if (f.path().filename() == "site.toml")
       continue;
     const Reading r = readWorld(f.path().string());
@@ -66,7 +67,7 @@
     ++n;
   }
   EXPECT_GE(n, 10u);
-  for (const auto& f : fs::directory_iterator(std::string(GRADEMUX_SOURCE) + "/model/experiments"))
+  for (const auto& f : fs::directory_iterator(sourceFolder() + "/model/experiments"))
     for (const Mistake& m : readExperiment(f.path().string()).mistakes)
       ADD_FAILURE() << m.in(f.path().string());
 }
@@ -123,7 +124,7 @@
 TEST_F(Experiments, AReportStandsAlone) {
   const std::string out = folder.path() + "/out";
   int status = 0;
-  const std::string said = outputOf({GRADEMUX_MODEL, "experiment", folder.path() + "/e.toml", "--jobs", "4",
+  const std::string said = outputOf({modelProgram(), "experiment", folder.path() + "/e.toml", "--jobs", "4",
                                      "--out", folder.path() + "/report"},
                                     out, status);
   EXPECT_EQ(status, 0) << said;
@@ -138,11 +139,11 @@
   for (std::string line; std::getline(csv, line);)
     ++lines;
   EXPECT_EQ(lines, 13u);
-  EXPECT_NE(outputOf({GRADEMUX_MODEL, "compare", folder.path() + "/report", "one_try", "module"}, out, status)
+  EXPECT_NE(outputOf({modelProgram(), "compare", folder.path() + "/report", "one_try", "module"}, out, status)
                 .find("over 4 pairs; no difference seen"),
             std::string::npos);  // four pairs are too few to tell
   EXPECT_EQ(status, 0);
-  outputOf({GRADEMUX_MODEL, "compare", folder.path() + "/report", "one_tri", "module"}, out, status);
+  outputOf({modelProgram(), "compare", folder.path() + "/report", "one_tri", "module"}, out, status);
   EXPECT_EQ(status, 2);
 }
 
@@ -199,19 +200,18 @@
 
 TEST(ModelProgram, TellsFiguresMistakesAndUnknownPolicies) {
   TempFolder folder;
-  const std::string out = folder.path() + "/out",
-                    small = std::string(GRADEMUX_SOURCE) + "/model/worlds/small.toml";
+  const std::string out = folder.path() + "/out", small = sourceFolder() + "/model/worlds/small.toml";
   int status = 0;
   const json f =
-      json::parse(outputOf({GRADEMUX_MODEL, "run", small, "--seed", "2"}, out, status), nullptr, false);
+      json::parse(outputOf({modelProgram(), "run", small, "--seed", "2"}, out, status), nullptr, false);
   EXPECT_EQ(status, 0);
   ASSERT_TRUE(f.is_object());
   EXPECT_EQ(f["broken"], 0);
-  EXPECT_NE(outputOf({GRADEMUX_MODEL, "run", small, "--policy", "modul"}, out, status).find("no such policy"),
+  EXPECT_NE(outputOf({modelProgram(), "run", small, "--policy", "modul"}, out, status).find("no such policy"),
             std::string::npos);
   EXPECT_EQ(status, 2);
   std::ofstream(folder.path() + "/bad.toml") << "[run\n";
-  EXPECT_NE(outputOf({GRADEMUX_MODEL, "check", folder.path() + "/bad.toml"}, out, status).find("bad.toml:1:"),
+  EXPECT_NE(outputOf({modelProgram(), "check", folder.path() + "/bad.toml"}, out, status).find("bad.toml:1:"),
             std::string::npos);
   EXPECT_EQ(status, 2);
 }
--- a/tests/sim/simhost_test.cpp
+++ b/tests/sim/simhost_test.cpp
@@ -11,11 +11,15 @@
 #include <sstream>
 
 #include "../decision/rig.h"
+#include "../support/program_paths.h"
 
 using nlohmann::json;
 
 namespace {
 
+using grademux::simulatorHostProgram;
+using grademux::throwingSimulatorHostProgram;
+
 struct Ran {
   int status = 0;
   std::string out, err;
@@ -28,7 +32,7 @@
   return s.str();
 }
 
-Ran host(const std::string& input, const char* adapter = SIMHOST) {
+Ran host(const std::string& input, const std::string& adapter = simulatorHostProgram()) {
   const std::string base = ::testing::TempDir() + "simhost-" + std::to_string(::getpid());
   std::ofstream(base + ".in") << input;
   const std::string cmd = std::string(adapter) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
@@ -145,8 +149,8 @@
 }
 
 TEST(Simhost, AnExceptionInTheModuleIsAFaultWithItsTextAndTheHostGoesOn) {
-  const Ran r =
-      host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()), SIMHOST_THROWING);
+  const Ran r = host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()),
+                     throwingSimulatorHostProgram());
   EXPECT_EQ(r.status, 0) << r.err;
   EXPECT_EQ(r.out,
             "{\"cmds\":[{\"Fatal\":{\"Who\":0,\"Words\":\"tag without a message\"}}]}\n{\"cmds\":[]}\n");
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -28,6 +28,7 @@
 #include <vector>
 
 #include "../../rig/child.h"
+#include "program_paths.h"
 
 namespace grademux::loopback {
 
@@ -472,7 +473,7 @@
                      const std::map<std::string, std::string>& variables = {},
                      const std::vector<std::string>& arguments = {}, const std::string& log = "",
                      int passed = -1) {
-    std::vector<std::string> command = {GRADEMUX_SENDER}, all = {"GW_CONFIG=" + config, "GW_STATE=" + state};
+    std::vector<std::string> command = {senderProgram()}, all = {"GW_CONFIG=" + config, "GW_STATE=" + state};
     command.insert(command.end(), arguments.begin(), arguments.end());
     for (const char* name : {"GW_LISTEN", "GW_DISCOVERY"})
       if (!variables.count(name))
