--- a/bench/log_bench.cpp
+++ b/bench/log_bench.cpp
@@ -18,7 +18,7 @@
   spec.json = json;
   log::configure(spec);
   for (auto _ : state)
-    log::write(log::Event::attempt_ended, {{"message", "0123456789abcdef"},
+    log::write(log::Event::attempt_finished, {{"message", "0123456789abcdef"},
                                            {"endpoint", "print-shop@127.0.0.1:9001"},
                                            {"attempt", 1},
                                            {"outcome", "ok"}});
--- a/rig/clients.h
+++ b/harness/clients.h
@@ -1,5 +1,5 @@
-// grademux rig: clients of each protocol under load: connections that carry one request at a time, answers
-// read whole, lost ones noticed.
+// grademux harness: clients of each protocol under load: connections that carry one request at a time,
+// answers read whole, lost ones noticed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "ledger.h"
+#include "delivery_checker.h"
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 struct Message {
   std::string id, cls, key, body;
@@ -28,7 +28,7 @@
   virtual ~Wire() = default;
   virtual std::string request(const Message& m) const = 0;
   // Takes one whole answer off the front of `in`; none while it is not whole.
-  virtual std::optional<Said> answer(std::string& in) const = 0;
+  virtual std::optional<Reply> answer(std::string& in) const = 0;
 };
 std::unique_ptr<Wire> respWire();
 std::unique_ptr<Wire> httpWire();
@@ -36,7 +36,7 @@
 // A client program: so many connections to one door, the rest queues in front of them.
 class Clients {
  public:
-  using Done = std::function<void(Said)>;  // `nothing`: the connection ended first
+  using Done = std::function<void(Reply)>;  // `nothing`: the connection ended first
   Clients(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint door, std::unique_ptr<Wire> wire,
           std::size_t connections);
   ~Clients();
@@ -57,4 +57,4 @@
   bool cuts_ = false;
 };
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/dns_stand_in.cpp
+++ b/harness/dns_stand_in.cpp
@@ -1,4 +1,4 @@
-// grademux rig: a name server; see dns_stand_in.h.
+// grademux harness: a name server; see dns_stand_in.h.
 #include "dns_stand_in.h"
 
 #include <array>
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 #include <stdexcept>
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
@@ -233,4 +233,4 @@
   return out;
 }
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/dns_stand_in.h
+++ b/harness/dns_stand_in.h
@@ -1,5 +1,5 @@
-// grademux rig: a name server on loopback, UDP and TCP at one port (RFC 1035): a zone that can be changed at
-// any moment, and the faults that name servers have. On one io_context.
+// grademux harness: a name server on loopback, UDP and TCP at one port (RFC 1035): a zone that can be changed
+// at any moment, and the faults that name servers have. On one io_context.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 enum class DnsFault : std::uint8_t {
   none,
@@ -70,4 +70,4 @@
   std::atomic<std::uint64_t> over_tcp_{0};
 };
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/fleet_audit.cpp
+++ b/harness/fleet_audit.cpp
@@ -1,4 +1,4 @@
-// grademux rig: `fleet audit`: plans are proposed one after another while links are cut, processes are
+// grademux harness: `fleet audit`: plans are proposed one after another while links are cut, processes are
 // stopped, killed and started again, files are broken and mended, store nodes go and come back. The steps are
 // drawn from the seed and printed; the same seed draws the same steps.
 #include <iostream>
@@ -7,7 +7,7 @@
 #include "fleet.h"
 #include "scenarios.h"
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 namespace {
 
@@ -51,8 +51,8 @@
   }
 
  private:
-  static FleetShape shape(const Options& o) {
-    FleetShape s;
+  static FleetConfig shape(const Options& o) {
+    FleetConfig s;
     s.senders = o.senders;
     s.lease = static_cast<Micros>(o.lease_s * 1e6);
     if (o.rate > 0)
@@ -110,9 +110,9 @@
         propose();
         break;
       case 2: {
-        static constexpr Link::Way kWays[] = {Link::Way::cut, Link::Way::cut_there, Link::Way::cut_back,
-                                              Link::Way::refused};
-        const Link::Way way = kWays[random_() % 4];
+        static constexpr FaultProxy::Mode kWays[] = {FaultProxy::Mode::cut, FaultProxy::Mode::cut_there,
+                                                     FaultProxy::Mode::cut_back, FaultProxy::Mode::refused};
+        const FaultProxy::Mode way = kWays[random_() % 4];
         say(who + " is cut off from the store, way " + std::to_string(static_cast<int>(way)));
         fleet_.cutStore(i, way);
         deaf_.insert(i);
@@ -120,7 +120,7 @@
           propose();
         wait(span(0.2, 2.5));
         say(who + " is joined again");
-        fleet_.cutStore(i, Link::Way::whole);
+        fleet_.cutStore(i, FaultProxy::Mode::forwarding);
         deaf_.erase(i);
         break;
       }
@@ -193,7 +193,7 @@
     say("all is mended");
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
       fleet_.go(i);
-      fleet_.cutStore(i, Link::Way::whole);
+      fleet_.cutStore(i, FaultProxy::Mode::forwarding);
       fleet_.world(i).writeConfig();
     }
   }
@@ -214,4 +214,4 @@
   return Audit(o).play();
 }
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/http_stand_in.cpp
+++ b/harness/http_stand_in.cpp
@@ -1,4 +1,4 @@
-// grademux rig: HTTP stand-ins; see http_stand_in.h.
+// grademux harness: HTTP stand-ins; see http_stand_in.h.
 #include "http_stand_in.h"
 
 #include <boost/asio/buffer.hpp>
@@ -7,7 +7,7 @@
 
 #include "../src/core/clock.h"
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
@@ -159,4 +159,4 @@
     c->close(true);
 }
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/http_stand_in.h
+++ b/harness/http_stand_in.h
@@ -1,4 +1,4 @@
-// grademux rig: a plain HTTP/1.1 server for stand-ins on loopback. One request at a time on a connection;
+// grademux harness: a plain HTTP/1.1 server for stand-ins on loopback. One request at a time on a connection;
 // what is answered, when, and how badly, is the handler's.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 #include "grademux/sender.h"
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 struct Request {
   std::string method, target, head, body;
@@ -52,4 +52,4 @@
   std::set<std::shared_ptr<Connection>> connections_;
 };
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/main.cpp
+++ b/harness/main.cpp
@@ -1,4 +1,4 @@
-// grademux rig: the command line. The last line of its output is one JSON object.
+// grademux harness: the command line. The last line of its output is one JSON object.
 #include <CLI/CLI.hpp>
 #include <filesystem>
 #include <fstream>
@@ -7,11 +7,11 @@
 #include "relay.h"
 #include "scenarios.h"
 
-using namespace grademux::rig;
+using namespace grademux::harness;
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "grademux_rig: the sender under load and faults, on loopback alone. Exit status 0 only if all "
+      "grademux_harness: the sender under load and faults, on loopback alone. Exit status 0 only if all "
       "invariants hold."};
   const auto self = std::filesystem::read_symlink("/proc/self/exe");
   Options o;
@@ -71,7 +71,7 @@
     std::cout << line << '\n';
     return figures["holds"] == true ? 0 : 1;
   } catch (const std::exception& e) {
-    std::cerr << "grademux_rig: " << e.what() << '\n';
+    std::cerr << "grademux_harness: " << e.what() << '\n';
     return 2;
   }
 }
--- a/rig/child.cpp
+++ b/harness/sender_process.cpp
@@ -1,5 +1,5 @@
-// grademux rig: child processes and files; see child.h.
-#include "child.h"
+// grademux harness: child processes and files; see child.h.
+#include "sender_process.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -21,7 +21,7 @@
 #include <string_view>
 #include <thread>
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 namespace {
 
@@ -43,13 +43,13 @@
 
 }  // namespace
 
-Folder::Folder() {
+TemporaryFolder::TemporaryFolder() {
   std::string pattern = (std::filesystem::temp_directory_path() / "grademux-rig-XXXXXX").string();
   if (!::mkdtemp(pattern.data()))
     throw std::runtime_error("no folder can be made: " + pattern);
   path_ = pattern;
 }
-Folder::~Folder() {
+TemporaryFolder::~TemporaryFolder() {
   std::error_code ignored;
   std::filesystem::remove_all(path_, ignored);
 }
@@ -65,7 +65,7 @@
   return ntohs(a.sin_port);  // the descriptor stays
 }
 
-Listening::Listening() {
+ListeningSocket::ListeningSocket() {
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in a = loopback(0);
   socklen_t n = sizeof a;
@@ -74,19 +74,19 @@
     throw std::runtime_error("no port can be had on 127.0.0.1");
   port_ = ntohs(a.sin_port);
 }
-Listening::~Listening() {
+ListeningSocket::~ListeningSocket() {
   ::close(fd_);
 }
 
-Child::~Child() {
+SenderProcess::~SenderProcess() {
   if (!running())
     return;
   signal(SIGKILL);
   wait();
 }
 
-void Child::start(const std::vector<std::string>& command, const std::vector<std::string>& variables,
-                  const std::string& log, int passed) {
+void SenderProcess::start(const std::vector<std::string>& command, const std::vector<std::string>& variables,
+                          const std::string& log, int passed) {
   const pid_t parent = ::getpid();
   std::vector<char*> argv, environment;
   for (const std::string& c : command)
@@ -133,7 +133,7 @@
   ::_exit(127);
 }
 
-bool Child::waitForPort(int port, int seconds) const {
+bool SenderProcess::waitForPort(int port, int seconds) const {
   const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
   while (std::chrono::steady_clock::now() < until) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -147,12 +147,12 @@
   return false;
 }
 
-void Child::signal(int number) const {
+void SenderProcess::signal(int number) const {
   if (pid_ > 0)
     ::kill(pid_, number);
 }
 
-int Child::wait() {
+int SenderProcess::wait() {
   int status = -1;
   if (pid_ > 0 && ::waitpid(pid_, &status, 0) != pid_)
     status = -1;
@@ -160,18 +160,18 @@
   return status;
 }
 
-bool Child::running() {
+bool SenderProcess::running() {
   return pid_ > 0 && ::kill(pid_, 0) == 0;
 }
 
-bool Child::ended() {
+bool SenderProcess::ended() {
   int status = 0;
   if (pid_ > 0 && ::waitpid(pid_, &status, WNOHANG) == pid_)
     pid_ = -1;
   return pid_ <= 0;
 }
 
-double Child::cpuSeconds() const {
+double SenderProcess::cpuSeconds() const {
   std::ifstream f("/proc/" + std::to_string(pid_) + "/stat");
   std::string all{std::istreambuf_iterator<char>(f), {}};
   const auto name_end = all.rfind(')');  // proc(5): fields 14 and 15 are ticks of user and system time
@@ -186,10 +186,10 @@
   return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-long Child::residentKb() const {
+long SenderProcess::residentKb() const {
   return statusOf(pid_, "VmRSS");
 }
-long Child::peakKb() const {
+long SenderProcess::peakKb() const {
   return statusOf(pid_, "VmHWM");
 }
 
@@ -201,4 +201,4 @@
   std::ofstream(path, std::ios::binary | std::ios::app) << head;
 }
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/child.h
+++ b/harness/sender_process.h
@@ -1,4 +1,4 @@
-// grademux rig: the program under test as a child process: started, signalled, measured, ended.
+// grademux harness: the program under test as a child process: started, signalled, measured, ended.
 #pragma once
 
 #include <sys/types.h>
@@ -7,15 +7,15 @@
 #include <string>
 #include <vector>
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 // A folder of its own under the system's folder for such, removed at the end.
-class Folder {
+class TemporaryFolder {
  public:
-  Folder();
-  ~Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryFolder();
+  ~TemporaryFolder();
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   const std::string& path() const { return path_; }
 
  private:
@@ -27,12 +27,12 @@
 // (with SO_REUSEADDR) has it.
 int ownPort();
 // A socket that listens at a port of 127.0.0.1 which it was given: nobody else can have it meanwhile.
-class Listening {
+class ListeningSocket {
  public:
-  Listening();
-  ~Listening();
-  Listening(const Listening&) = delete;
-  Listening& operator=(const Listening&) = delete;
+  ListeningSocket();
+  ~ListeningSocket();
+  ListeningSocket(const ListeningSocket&) = delete;
+  ListeningSocket& operator=(const ListeningSocket&) = delete;
   int fd() const { return fd_; }
   int port() const { return port_; }
 
@@ -40,13 +40,13 @@
   int fd_ = -1, port_ = 0;
 };
 
-class Child {
+class SenderProcess {
  public:
-  Child() = default;
-  explicit Child(pid_t pid) : pid_(pid) {}
-  ~Child();
-  Child(const Child&) = delete;
-  Child& operator=(const Child&) = delete;
+  SenderProcess() = default;
+  explicit SenderProcess(pid_t pid) : pid_(pid) {}
+  ~SenderProcess();
+  SenderProcess(const SenderProcess&) = delete;
+  SenderProcess& operator=(const SenderProcess&) = delete;
   pid_t release() {  // whoever has the number looks after it from now on
     const pid_t pid = pid_;
     pid_ = -1;
@@ -74,4 +74,4 @@
 // A fault in a file: a write that was cut short. The file's first `bytes` bytes stand once more at its end.
 void tearTail(const std::string& path, std::uint64_t bytes);
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/store_stand_in.cpp
+++ b/harness/store_stand_in.cpp
@@ -1,4 +1,4 @@
-// grademux rig: the store's stand-in; see store_stand_in.h.
+// grademux harness: the store's stand-in; see store_stand_in.h.
 #include "store_stand_in.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 #include "../src/core/clock.h"
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 namespace asio = boost::asio;
 
@@ -319,4 +319,4 @@
   }
 }
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/rig/store_stand_in.h
+++ b/harness/store_stand_in.h
@@ -1,6 +1,6 @@
-// grademux rig: a stand-in for the store of a fleet's plan, after the published description of Consul's HTTP
-// interface: KV with compare-and-swap and acquire, sessions with a time to live, blocking reads by index, an
-// index that may go back. Several nodes answer from one state; one may lag where a read allows it.
+// grademux harness: a stand-in for the store of a fleet's plan, after the published description of Consul's
+// HTTP interface: KV with compare-and-swap and acquire, sessions with a time to live, blocking reads by
+// index, an index that may go back. Several nodes answer from one state; one may lag where a read allows it.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,7 @@
 
 #include "http_stand_in.h"
 
-namespace grademux::rig {
+namespace grademux::harness {
 
 using nlohmann::json;
 
@@ -92,4 +92,4 @@
   std::vector<std::unique_ptr<HttpStandIn>> nodes_;
 };
 
-}  // namespace grademux::rig
+}  // namespace grademux::harness
--- a/include/grademux/sender.h
+++ b/include/grademux/sender.h
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-#include "grademux/lessons.h"
+#include "grademux/learned_state.h"
 #include "grademux/settings.h"
 
 namespace grademux {
@@ -26,83 +26,87 @@
   double weight = 0;  // calls a second that the destination (or route) takes, see WeightKind
 };
 
-struct LimitReport {  // what an answer told of the destination's limit
-  double left = 0;    // share of the allowance left
-  double limit = 0;   // calls a second; 0: no limit
+struct LimitReport {              // what an answer told of the destination's limit
+  double remaining_fraction = 0;  // share of the allowance left
+  double rate_limit = 0;          // calls a second; 0: no limit
 };
 
-enum class Result { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent };
+enum class AttemptResult { ok, error, rejected, timeout, connect_failed, reset, cancelled, not_sent };
 
 // ---- events
-struct Arrival {
-  std::string id, message_class, tenant, order_key;
+struct MessageArrival {
+  std::string id, message_class, tenant, ordering_key;
   std::int64_t destination = 0;
-  Micros give_up_at = 0;
-  Micros estimate = 0;  // guess of its own work, 0: none
-  bool repeat = false;  // a client's next try, or held before by a sender that died
+  Micros deadline = 0;
+  Micros estimated_work = 0;  // guess of its own work, 0: none
+  bool resubmitted = false;   // a client's next try, or held before by a sender that died
 };
 // A message that this sender had taken on before its process ended, with its attempts.
 struct PastAttempt {
-  std::string endpoint;                   // may be listed no more, or unknown
-  Micros sent = 0;                        // may be before the first turn
-  bool may_have_run = true, out = false;  // out: its outcome is still to come
+  std::string endpoint;                         // may be listed no more, or unknown
+  Micros sent_at = 0;                           // may be before the first turn
+  bool may_have_run = true, in_flight = false;  // out: its outcome is still to come
 };
-struct Resumed {
-  Arrival message;
+struct RecoveredMessage {
+  MessageArrival message;
   std::vector<PastAttempt> attempts;
-  ClassVersion rules;  // that it was taken on under; null: its class as it is now
+  ClassVersion class_version;  // that it was taken on under; null: its class as it is now
 };
 // This process ends at `at`: an outcome that comes later is not heard.
-struct Stopping {
+struct ShutdownScheduled {
   Micros at = 0;
 };
-struct Gone {
+struct MessageWithdrawn {
   std::string id;
 };  // nobody wants it any more
-struct Outcome {
+struct AttemptOutcome {
   std::string id;
   int attempt = 0;
-  Result result = Result::ok;
-  bool finished = false;
-  Micros wait = 0;  // with any result: nothing to this destination for so long; 0: none told
-  Micros rtt = 0;
-  std::optional<LimitReport> report;
-  bool stale = false;  // reset, on a kept connection, with no byte answered: it may have been dead before
+  AttemptResult result = AttemptResult::ok;
+  bool already_finished = false;
+  Micros retry_after = 0;  // with any result: nothing to this destination for so long; 0: none told
+  Micros round_trip = 0;
+  std::optional<LimitReport> limit_report;
+  bool stale_connection =
+      false;  // reset, on a kept connection, with no byte answered: it may have been dead before
 };
-enum class ListKind { delta, full, cached, failed };
-struct ListUpdate {
-  ListKind kind = ListKind::full;
+enum class EndpointListKind { delta, snapshot, cached, failed };
+struct EndpointListUpdate {
+  EndpointListKind kind = EndpointListKind::snapshot;
   std::vector<Endpoint> endpoints;
 };
-struct Wake {};
-using Event = std::variant<Arrival, Resumed, Ailment, Stopping, Gone, Outcome, ListUpdate, Wake, Lesson,
-                           Experience, Survey, Retuned>;
+struct TimerFired {};
+using Event = std::variant<MessageArrival, RecoveredMessage, DestinationHealth, ShutdownScheduled,
+                           MessageWithdrawn, AttemptOutcome, EndpointListUpdate, TimerFired, LearnedEndpoint,
+                           LearnedPool, ExportLearned, SettingsChanged>;
 
 // ---- actions
-struct Send {
+struct StartAttempt {
   std::string id, endpoint;
   Micros timeout = 0;
   Micros write_within = 0;  // a repeat: its last byte is written by then, or it is not made; 0: no limit
 };
-struct Cancel {
+struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
-struct Refuse {
+struct RejectMessage {
   std::string id;
-  Micros pause = 0;
+  Micros retry_after = 0;
 };  // final: handing it in again is harmless
-struct Fail {
+struct FailMessage {
   std::string id;
-};                // final: no such promise
-struct Watch {};  // subscribe to membership changes
-struct CloseIdle {
+};                         // final: no such promise
+struct WatchEndpoints {};  // subscribe to membership changes
+struct CloseIdleConnections {
   std::string endpoint;
 };
-struct WakeIn {
-  Micros span = 0;
+struct SetTimer {
+  Micros delay = 0;
 };
-using Action = std::variant<Send, Cancel, Refuse, Fail, Watch, CloseIdle, WakeIn, Ailment, Lesson, Surveyed>;
+using Action =
+    std::variant<StartAttempt, CancelAttempt, RejectMessage, FailMessage, WatchEndpoints,
+                 CloseIdleConnections, SetTimer, DestinationHealth, LearnedEndpoint, LearnedExported>;
 
 class Sender {
  public:
--- a/model/fleet.cpp
+++ b/model/fleet.cpp
@@ -118,9 +118,9 @@
     parts.push_back(std::pow(i + 1.0, -world.sender_skew));
   const double busiest = parts[0] / std::accumulate(parts.begin(), parts.end(), 0.0);
   client_share_ = cumulated(parts);
-  settings.slots = std::max(world.least_slots,
-                            static_cast<int>(std::ceil(busiest * full_load * service * world.slots_room)));
-  settings.max_open = std::max(world.least_open, static_cast<int>(busiest * full_load * world.hold));
+  settings.max_in_flight = std::max(
+      world.least_slots, static_cast<int>(std::ceil(busiest * full_load * service * world.slots_room)));
+  settings.max_open_messages = std::max(world.least_open, static_cast<int>(busiest * full_load * world.hold));
 }
 
 // One arrival plans the next; what is drawn for clients doesn't depend on what senders do.
@@ -209,7 +209,7 @@
   if (s.since < now())
     s.parts[static_cast<std::size_t>(Cause::client)] += now() - s.since;
   const MessageClass& c = settings.classes[s.cls];
-  const double left = delivered ? worthAt(c, settings.late, now() - s.born) : 0;
+  const double left = delivered ? worthAt(c, settings.lateness_penalty, now() - s.born) : 0;
   ledger.close(c, s.born - kBegin, s.parts, left, delivered ? Cause::count : how);
 }
 
@@ -355,7 +355,7 @@
     clock.at(until, [this, p, kind, changed] {
       partners[p]->end(kind, now());
       changed(p);
-      clock.in(settings.ramp_time, [p, changed] { changed(p); });
+      clock.in(settings.slow_start_time, [p, changed] { changed(p); });
     });
   }
 }
@@ -419,8 +419,8 @@
           {"broken", checker.total()},
           {"rules", broken},
           {"breaks", shown},
-          {"slots", settings.slots},
-          {"max_open", settings.max_open},
+          {"slots", settings.max_in_flight},
+          {"max_open", settings.max_open_messages},
           {"over_time", over_time},
           {"lost_over_time", lost_over_time}};
 }
--- a/model/ledger.h
+++ b/model/ledger.h
@@ -30,7 +30,7 @@
 const char* nameOf(Cause c);
 
 // Worth that is left of a class `age` microseconds after its client first handed it in, 0 past the deadline.
-double worthAt(const MessageClass& c, LateRule late, Micros age);
+double worthAt(const MessageClass& c, LatenessPenalty late, Micros age);
 
 // Time by cause since something began.
 using Parts = std::array<Micros, kCauses>;
--- a/model/partner.h
+++ b/model/partner.h
@@ -46,7 +46,7 @@
   // Is it reached at all: false while connections are refused, or once it fell over.
   bool reachable() const { return !fallen_ && out_ != TroubleKind::refuse; }
   bool serves() const { return !fallen_ && !outage_; }
-  bool cold(Micros now) const { return now - returned_ < rules_.ramp_time; }
+  bool cold(Micros now) const { return now - returned_ < rules_.slow_start_time; }
   Micros returned() const { return returned_; }
   double share(Micros now) const;  // of its capacity and limit, cold
   // A call that has reached it; `service`: at usual pace, in microseconds.
--- a/model/tuned.cpp
+++ b/model/tuned.cpp
@@ -24,7 +24,7 @@
 #include <variant>
 #include <vector>
 
-#include "grademux/lessons.h"
+#include "grademux/learned_state.h"
 #include "grademux/settings.h"
 
 #define Sender TunedSender
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,14 +6,14 @@
 
 namespace grademux {
 
-Admission::Admission(boost::asio::io_context& io, Intake& core, Micros patience, Micros pause)
+Admission::Admission(boost::asio::io_context& io, SubmissionHandler& core, Micros patience, Micros pause)
     : core_(core), patience_(patience), pause_(pause), timer_(io) {}
 
 void Admission::add(std::unique_ptr<AdmissionStep> step) {
   steps_.push_back(std::move(step));
 }
 
-void Admission::submit(Submission s, Reply reply) {
+void Admission::submit(Submission s, SubmissionCallback reply) {
   if (steps_.empty())
     return core_.submit(std::move(s), std::move(reply));
   const std::uint64_t ticket = ++next_ticket_;
@@ -34,7 +34,7 @@
     Pending done = std::move(p);
     waiting_.erase(it);
     const Micros waited = monotonicNow() - (done.until - patience_);
-    done.submission->may_last = std::max<Micros>(0, done.submission->may_last - waited);
+    done.submission->time_to_live = std::max<Micros>(0, done.submission->time_to_live - waited);
     return core_.submit(std::move(*done.submission), std::move(done.reply));
   }
   const std::size_t step = p.step;
@@ -56,9 +56,10 @@
     ++it->second.step;
     return go(ticket);
   }
-  const Reply reply = std::move(it->second.reply);
+  const SubmissionCallback reply = std::move(it->second.reply);
   waiting_.erase(it);
-  reply(v.kind == Verdict::Kind::refuse ? Answer::refused(v.pause) : Answer::rejected(v.code, v.why));
+  reply(v.kind == Verdict::Kind::refuse ? SubmissionResult::rejected(v.pause)
+                                        : SubmissionResult::invalid(v.code, v.why));
 }
 
 void Admission::refuse(std::uint64_t ticket) {
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -42,16 +42,16 @@
   virtual void take(const std::shared_ptr<Submission>& s, Next next) = 0;
 };
 
-class Admission : public Intake {
+class Admission : public SubmissionHandler {
  public:
   // What a step has not answered after `patience` is refused: a client waits no longer for its answer.
-  Admission(boost::asio::io_context& io, Intake& core, Micros patience, Micros pause);
+  Admission(boost::asio::io_context& io, SubmissionHandler& core, Micros patience, Micros pause);
   void add(std::unique_ptr<AdmissionStep> step);
 
-  void submit(Submission s, Reply reply) override;
-  Status status(const std::string& id) const override { return core_.status(id); }
-  void whenEnded(const std::string& id, std::function<void(const End&)> then) override {
-    core_.whenEnded(id, std::move(then));
+  void submit(Submission s, SubmissionCallback reply) override;
+  MessageStatus status(const std::string& id) const override { return core_.status(id); }
+  void notifyWhenFinished(const std::string& id, std::function<void(const FinalOutcome&)> then) override {
+    core_.notifyWhenFinished(id, std::move(then));
   }
   // The process ends: what waits in a step is refused, and so is what would have to wait from now on.
   void drain();
@@ -61,7 +61,7 @@
  private:
   struct Pending {
     std::shared_ptr<Submission> submission;  // shared: a step may hold it past the chain's patience
-    Reply reply;
+    SubmissionCallback reply;
     std::size_t step = 0;
     Micros until = 0;
   };
@@ -70,7 +70,7 @@
   void refuse(std::uint64_t ticket);
   void arm();
 
-  Intake& core_;
+  SubmissionHandler& core_;
   Micros patience_, pause_;
   std::vector<std::unique_ptr<AdmissionStep>> steps_;
   std::map<std::uint64_t, Pending> waiting_;  // by ticket: the oldest first
