--- a/src/core/journal.cpp
+++ b/src/core/journal.cpp
@@ -70,12 +70,13 @@
     out_ += s;
     return *this;
   }
-  Writer& past(const Past& p) {
-    number(static_cast<std::int64_t>(p.end.how) + (p.by_fnv ? 0 : kByXxh3) + (p.version ? kVersioned : 0))
-        .number(p.end.at)
-        .number(p.end.pause)
+  Writer& past(const FinishedMessage& p) {
+    number(static_cast<std::int64_t>(p.outcome.status) + (p.legacy_digest ? 0 : kByXxh3) +
+           (p.version ? kVersioned : 0))
+        .number(p.outcome.at)
+        .number(p.outcome.retry_after)
         .number(static_cast<std::int64_t>(p.digest))
-        .number(p.until);
+        .number(p.remember_until);
     return p.version ? number(p.version) : *this;
   }
   const std::string& out() const { return out_; }
@@ -96,22 +97,22 @@
     return static_cast<std::int64_t>(u);
   }
   bool more() const { return at_ < in_.size(); }
-  Past past() {
-    Past p;
+  FinishedMessage past() {
+    FinishedMessage p;
     std::int64_t how = number();
     const bool versioned = how >= kVersioned;
     if (versioned)
       how -= kVersioned;
-    p.by_fnv = how < kByXxh3;
-    if (!p.by_fnv)
+    p.legacy_digest = how < kByXxh3;
+    if (!p.legacy_digest)
       how -= kByXxh3;
-    if (how < 0 || how > static_cast<std::int64_t>(Ending::withdrawn))
+    if (how < 0 || how > static_cast<std::int64_t>(FinalStatus::withdrawn))
       throw std::runtime_error("unknown end");
-    p.end.how = static_cast<Ending>(how);
-    p.end.at = number();
-    p.end.pause = number();
+    p.outcome.status = static_cast<FinalStatus>(how);
+    p.outcome.at = number();
+    p.outcome.retry_after = number();
     p.digest = static_cast<std::uint64_t>(number());
-    p.until = number();
+    p.remember_until = number();
     if (versioned)
       p.version = static_cast<std::uint32_t>(number());
     return p;
@@ -167,14 +168,14 @@
   return Writer(kRules)
       .number(number)
       .text(c.name)
-      .number(c.aim)
+      .number(c.latency_objective)
       .number(c.deadline)
-      .number(bitsOf(c.aim_stretch))
-      .number(bitsOf(c.worth))
-      .number(bitsOf(c.late_worth))
-      .number(static_cast<std::int64_t>(c.effect))
-      .number(static_cast<std::int64_t>(c.group))
-      .number(c.memory)
+      .number(bitsOf(c.latency_objective_stretch))
+      .number(bitsOf(c.priority_weight))
+      .number(bitsOf(c.late_weight_fraction))
+      .number(static_cast<std::int64_t>(c.idempotency))
+      .number(static_cast<std::int64_t>(c.idempotency_scope))
+      .number(c.idempotency_window)
       .number(c.ordered)
       .number(c.max_attempts)
       .out();
@@ -194,17 +195,17 @@
 MessageClass readRules(Reader& r) {
   MessageClass c;
   c.name = r.text();
-  c.aim = r.number();
+  c.latency_objective = r.number();
   c.deadline = r.number();
-  c.aim_stretch = ofBits(r.number());
-  c.worth = ofBits(r.number());
-  c.late_worth = ofBits(r.number());
-  c.effect = readEnum(r, Effect::unsafe);
-  c.group = readEnum(r, RepeatGroup::cell);
-  c.memory = r.number();
+  c.latency_objective_stretch = ofBits(r.number());
+  c.priority_weight = ofBits(r.number());
+  c.late_weight_fraction = ofBits(r.number());
+  c.idempotency = readEnum(r, Idempotency::non_idempotent);
+  c.idempotency_scope = readEnum(r, IdempotencyScope::cell);
+  c.idempotency_window = r.number();
   c.ordered = r.number() != 0;
   c.max_attempts = static_cast<int>(r.number());
-  if (c.aim <= 0 || c.deadline < c.aim || c.max_attempts < 1)
+  if (c.latency_objective <= 0 || c.deadline < c.latency_objective || c.max_attempts < 1)
     throw std::runtime_error("unusable rules");
   return c;
 }
@@ -213,28 +214,28 @@
 ClassVersion strictest(const std::string& name) {
   MessageClass c;
   c.name = name;
-  c.aim = c.deadline = 60'000'000;
-  c.effect = Effect::unsafe;
+  c.latency_objective = c.deadline = 60'000'000;
+  c.idempotency = Idempotency::non_idempotent;
   c.max_attempts = 1;
   return std::make_shared<const MessageClass>(std::move(c));
 }
 
-std::string acceptedPayload(const TakenOn& m, std::int64_t rules) {
+std::string acceptedPayload(const AcceptedMessage& m, std::int64_t rules) {
   return Writer(kAccepted)
       .text(m.id)
       .text(m.message_class)
-      .text(m.order_key)
+      .text(m.ordering_key)
       .text(m.idempotency_key)
       .text(m.body)
       .number(m.destination)
-      .number(m.give_up_at)
-      .number(m.repeat)
+      .number(m.deadline)
+      .number(m.resubmitted)
       .number(rules)
       .out();
 }
 std::string attemptedPayload(const std::string& id, const JournaledAttempt& a) {
   Writer w(kAttempted);
-  w.text(id).text(a.endpoint).number(a.sent);
+  w.text(id).text(a.endpoint).number(a.sent_at);
   return (a.version ? w.number(a.version) : w).out();
 }
 std::string versionPayload(std::uint32_t number, const std::string& text) {
@@ -247,12 +248,12 @@
   return Writer(kNeverRan).text(id).number(static_cast<std::int64_t>(attempt)).out();
 }
 std::string owedPayload(const std::string& id, const Notice& n) {
-  return Writer(kOwed).text(id).number(n.handed_back).number(n.retry_in_ms).number(n.at).out();
+  return Writer(kOwed).text(id).number(n.returned).number(n.retry_after_ms).number(n.at).out();
 }
-std::string endedPayload(const std::string& id, const Past& p) {
+std::string endedPayload(const std::string& id, const FinishedMessage& p) {
   return Writer(kEnded).text(id).past(p).out();
 }
-std::uint64_t sizeOfPast(const std::string& id, const Past& p) {
+std::uint64_t sizeOfPast(const std::string& id, const FinishedMessage& p) {
   return kHeader + 1 + (p.version ? 7 : 6) * 8 + id.size();
 }
 std::uint64_t sizeOfListed(const std::string& name, const std::string& entry) {
@@ -277,19 +278,19 @@
   record(index);
 }
 constexpr std::uint64_t kAilment = 144;  // bytes, at most but for a long name
-std::string ailingPayload(const Ailment& a) {
+std::string ailingPayload(const DestinationHealth& a) {
   return Writer(kAiling)
       .text(a.endpoint)
       .number(a.destination)
       .number(a.down)
-      .number(a.cold_since)
-      .number(a.wait_until)
-      .number(a.noted)
+      .number(a.warming_since)
+      .number(a.retry_after_until)
+      .number(a.observed_at)
       .out();
 }
 
-std::uint64_t sizeOf(const TakenOn& m) {
-  return kHeader + 1 + 9 * 8 + m.id.size() + m.message_class.size() + m.order_key.size() +
+std::uint64_t sizeOf(const AcceptedMessage& m) {
+  return kHeader + 1 + 9 * 8 + m.id.size() + m.message_class.size() + m.ordering_key.size() +
          m.idempotency_key.size() + m.body.size();
 }
 
@@ -312,14 +313,14 @@
   for (const auto& [id, e] : entries_)
     recovered_.entries.push_back(e);
   std::sort(recovered_.entries.begin(), recovered_.entries.end(),
-            [](const Entry& a, const Entry& b) { return a.order < b.order; });
+            [](const OpenEntry& a, const OpenEntry& b) { return a.order < b.order; });
   for (const auto& [name, entry] : list_)
-    recovered_.list.push_back(entry);
+    recovered_.endpoint_list.push_back(entry);
   recovered_.list_index = list_index_;
-  for (const auto& [key, a] : ailments_)
-    recovered_.ailments.push_back(a);
+  for (const auto& [key, a] : health_)
+    recovered_.health.push_back(a);
   ++epoch_;
-  if (recovered_.damaged > 0 && compact())
+  if (recovered_.damaged_ranges > 0 && compact())
     return;
   frame(buffer_, epochPayload(epoch_));
   flush();  // where there is no room for it there is none for messages either
@@ -329,7 +330,7 @@
   release();
 }
 
-Journal::Witness Journal::look(const std::string& folder, const std::string& id) {
+Journal::MessageRecord Journal::readMessage(const std::string& folder, const std::string& id) {
   const std::string path = folder + "/journal";
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0)
@@ -341,14 +342,14 @@
     fault("journal: " + path);
   Journal j;  // without a file: it writes nothing
   j.replay(data);
-  Witness w;
+  MessageRecord w;
   w.versions = j.versions_;
-  if (const Past* past = j.past(id)) {
-    w.known = w.ended = true;
-    w.past = *past;
+  if (const FinishedMessage* past = j.findFinished(id)) {
+    w.found = w.finished = true;
+    w.outcome = *past;
   }
   if (const auto it = j.entries_.find(id); it != j.entries_.end()) {
-    w.known = true;
+    w.found = true;
     w.message = it->second.message;
     w.attempts = it->second.attempts;
   }
@@ -365,7 +366,7 @@
   fd_ = -1;
 }
 
-bool Journal::retake() {
+bool Journal::reacquire() {
   if (fd_ >= 0)
     return true;
   const int fd = ::open(path_.c_str(), O_RDWR | O_CLOEXEC | O_APPEND);
@@ -391,12 +392,12 @@
       if (size >= 1 && size <= kLargest && size <= data.size() - at - kHeader &&
           crcOf(data.data() + at + kHeader, size) == crc) {
         if (gap)
-          doubt();
+          assumeExecuted();
         gap = false;
         try {
           apply(data.substr(at + kHeader, size));
         } catch (const std::runtime_error&) {
-          ++recovered_.damaged;
+          ++recovered_.damaged_ranges;
         }
         at += kHeader + size;
         sound_end = at;
@@ -411,7 +412,7 @@
   }
   size_ = sound_end;
   if (sound_end < data.size()) {
-    recovered_.torn = true;
+    recovered_.torn_tail = true;
     if (fd_ >= 0 && ::ftruncate(fd_, static_cast<off_t>(sound_end)) != 0)
       fault("journal: cut the torn tail");
   }
@@ -420,14 +421,14 @@
 // A record in the middle is lost. It may have been an attempt of any message open then: each counts as tried
 // at the moment it was sent last, or long ago. Guards against a second effect after damage. Harm: unsafe ones
 // among them are given up though they may never have been sent.
-void Journal::doubt() {
-  ++recovered_.damaged;
+void Journal::assumeExecuted() {
+  ++recovered_.damaged_ranges;
   dropList();  // what is lost may have been a drain: the list counts again from
                // where it begins anew
   list_begun_ = false;
   for (auto& [id, e] : entries_)
-    if (!e.ended)
-      e.attempts.push_back({"", e.attempts.empty() ? 0 : e.attempts.back().sent, false});
+    if (!e.notice_pending)
+      e.attempts.push_back({"", e.attempts.empty() ? 0 : e.attempts.back().sent_at, false});
 }
 
 void Journal::apply(const std::string& payload) {
@@ -455,40 +456,40 @@
   }
   if (type == kRules) {
     const std::int64_t number = r.number();
-    return keepRules(number, std::make_shared<const MessageClass>(readRules(r)));
+    return storeClassVersion(number, std::make_shared<const MessageClass>(readRules(r)));
   }
   const std::string id = r.text();
   if (type == kAiling) {
-    Ailment a;
+    DestinationHealth a;
     a.endpoint = id;
     a.destination = r.number();
     a.down = r.number() != 0;
-    a.cold_since = r.number();
-    a.noted = a.cold_since;
+    a.warming_since = r.number();
+    a.observed_at = a.warming_since;
     if (r.more()) {  // versions before 0.5 kept no waits
-      a.wait_until = r.number();
-      a.noted = r.number();
+      a.retry_after_until = r.number();
+      a.observed_at = r.number();
     }
-    if (!a.down && a.cold_since < 0 && a.wait_until == 0)
-      ailments_.erase({a.destination, a.endpoint});
+    if (!a.down && a.warming_since < 0 && a.retry_after_until == 0)
+      health_.erase({a.destination, a.endpoint});
     else
-      ailments_[{a.destination, a.endpoint}] = a;
+      health_[{a.destination, a.endpoint}] = a;
     return;
   }
   if (type == kAccepted) {
-    Entry e;
+    OpenEntry e;
     e.message.id = id;
     e.message.message_class = r.text();
-    e.message.order_key = r.text();
+    e.message.ordering_key = r.text();
     e.message.idempotency_key = r.text();
     e.message.body = r.text();
     e.message.destination = r.number();
-    e.message.give_up_at = r.number();
-    e.message.repeat = r.number() != 0;
+    e.message.deadline = r.number();
+    e.message.resubmitted = r.number() != 0;
     if (const std::int64_t rules = r.more() ? r.number() : 0; rules != 0) {  // versions before 0.5 kept none
-      if (rules_.count(rules) == 0)
-        keepRules(rules, strictest(e.message.message_class));
-      e.message.rules = rules_.at(rules);
+      if (class_versions_.count(rules) == 0)
+        storeClassVersion(rules, strictest(e.message.message_class));
+      e.message.class_version = class_versions_.at(rules);
     }
     e.order = ++next_order_;
     eraseEntry(id);
@@ -497,29 +498,29 @@
     return;
   }
   if (type == kEnded) {
-    const Past p = r.past();
+    const FinishedMessage p = r.past();
     eraseEntry(id);
     return remember(id, p);
   }
   auto it = entries_.find(id);
   if (it == entries_.end())
     return;
-  Entry& e = it->second;
+  OpenEntry& e = it->second;
   if (type == kAttempted) {
     JournaledAttempt a;
     a.endpoint = r.text();
-    a.sent = r.number();
+    a.sent_at = r.number();
     if (r.more())
       a.version = static_cast<std::uint32_t>(r.number());
     e.attempts.push_back(a);
   } else if (type == kNeverRan) {
     const auto n = static_cast<std::size_t>(r.number());
     if (n < e.attempts.size())
-      e.attempts[n].never_ran = true;
+      e.attempts[n].never_executed = true;
   } else if (type == kOwed) {
-    e.ended = true;
-    e.notice.handed_back = r.number() != 0;
-    e.notice.retry_in_ms = r.number();
+    e.notice_pending = true;
+    e.notice.returned = r.number() != 0;
+    e.notice.retry_after_ms = r.number();
     if (r.more())
       e.notice.at = r.number();  // earlier versions kept no time
   } else if (type == kOver) {
@@ -540,32 +541,36 @@
 // What a compaction would write, at most.
 std::uint64_t Journal::liveBytes() const {
   return 3 * (kHeader + 16) + list_bytes_ + list_bytes_ / kBatch * (kHeader + 17) +
-         ailments_.size() * kAilment + past_bytes_ + entry_bytes_ + rules_bytes_ + versions_bytes_;
+         health_.size() * kAilment + finished_bytes_ + entry_bytes_ + class_version_bytes_ + versions_bytes_;
 }
 
 // Guards against a message that is taken on and then can't be kept. Right after a compaction the file holds
 // what is live, and the next one writes as much again beside it.
-bool Journal::reserve(const TakenOn& m) {
-  const std::uint64_t rules = m.rules && rules_at_.count(m.rules.get()) == 0 ? sizeOfRules(*m.rules) : 0;
+bool Journal::reserveSpace(const AcceptedMessage& m) {
+  const std::uint64_t rules = m.class_version && class_version_numbers_.count(m.class_version.get()) == 0
+                                  ? sizeOfRules(*m.class_version)
+                                  : 0;
   const std::uint64_t more = reserved_ + sizeOf(m) + kSeeThrough + rules, live = liveBytes() + more;
-  auto fits = [&](std::uint64_t file) { return blocks(file) + blocks(live) + kLeastWaste <= room(); };
+  auto fits = [&](std::uint64_t file) {
+    return blocks(file) + blocks(live) + kLeastWaste <= availableBytes();
+  };
   const auto has_room = [&] {
     return fits(live) && (fits(size_ + buffer_.size() + more) || (compact() && fits(size_ + more)));
   };
-  if (!has_room() && (!claim() || !has_room()))
+  if (!has_room() && (!acquire() || !has_room()))
     return false;
   reserved_ = more;
   return true;
 }
 
 // What stands beside the journal gives way: what was taken on goes first.
-bool Journal::claim() {
-  if (beside_ == 0 || !give_way_ || !give_way_())
+bool Journal::acquire() {
+  if (other_files_bytes_ == 0 || !free_space_ || !free_space_())
     return false;
-  beside_ = 0;
+  other_files_bytes_ = 0;
   return true;
 }
-std::uint64_t Journal::spare() const {
+std::uint64_t Journal::spareBytes() const {
   const std::uint64_t need = blocks(size_ + buffer_.size()) + blocks(liveBytes()) + 4 * kLeastWaste;
   return need < disk_ ? disk_ - need : 0;
 }
@@ -575,41 +580,41 @@
   apply(payload);
 }
 
-void Journal::accepted(const TakenOn& m) {
-  append(acceptedPayload(m, numberOf(m.rules)));
+void Journal::recordAccepted(const AcceptedMessage& m) {
+  append(acceptedPayload(m, classVersionNumber(m.class_version)));
 }
-std::int64_t Journal::numberOf(const ClassVersion& rules) {
+std::int64_t Journal::classVersionNumber(const ClassVersion& rules) {
   if (!rules)
     return 0;
-  const auto known = rules_at_.find(rules.get());
-  if (known != rules_at_.end())
+  const auto known = class_version_numbers_.find(rules.get());
+  if (known != class_version_numbers_.end())
     return known->second;
-  const std::int64_t number = next_rules_ + 1;
+  const std::int64_t number = next_class_version_ + 1;
   frame(buffer_, rulesPayload(number, *rules));
-  keepRules(number, rules);
+  storeClassVersion(number, rules);
   return number;
 }
-void Journal::keepRules(std::int64_t number, ClassVersion rules) {
-  next_rules_ = std::max(next_rules_, number);
-  if (!rules_.emplace(number, rules).second)
+void Journal::storeClassVersion(std::int64_t number, ClassVersion rules) {
+  next_class_version_ = std::max(next_class_version_, number);
+  if (!class_versions_.emplace(number, rules).second)
     return;
-  rules_bytes_ += sizeOfRules(*rules);
-  rules_at_[rules.get()] = number;
+  class_version_bytes_ += sizeOfRules(*rules);
+  class_version_numbers_[rules.get()] = number;
 }
-void Journal::attempted(const std::string& id, const JournaledAttempt& a) {
+void Journal::recordAttempt(const std::string& id, const JournaledAttempt& a) {
   append(attemptedPayload(id, a));
 }
-void Journal::neverRan(const std::string& id, std::size_t attempt) {
+void Journal::recordNeverExecuted(const std::string& id, std::size_t attempt) {
   append(neverRanPayload(id, attempt));
 }
-void Journal::noticeOwed(const std::string& id, const Notice& n) {
+void Journal::recordNoticePending(const std::string& id, const Notice& n) {
   append(owedPayload(id, n));
 }
-void Journal::over(const std::string& id, const Past& past) {
+void Journal::recordFinished(const std::string& id, const FinishedMessage& past) {
   const auto it = entries_.find(id);
   if (it == entries_.end())
     return;
-  Past kept = past;
+  FinishedMessage kept = past;
   if (!it->second.attempts.empty())
     kept.version = it->second.attempts.back().version;
   append(endedPayload(id, kept));
@@ -621,33 +626,33 @@
   append(versionPayload(number, text));
   return number;
 }
-void Journal::drop(const std::string& id) {
+void Journal::dropUnwritten(const std::string& id) {
   if (entries_.count(id))
     append(Writer(kOver).text(id).out());
 }
 
-void Journal::remember(const std::string& id, const Past& past) {
-  const auto known = past_at_.find(id);
-  if (known != past_at_.end()) {
-    past_bytes_ -= sizeOfPast(id, *known->second);
-    past_bytes_ += sizeOfPast(id, past);
+void Journal::remember(const std::string& id, const FinishedMessage& past) {
+  const auto known = finished_by_id_.find(id);
+  if (known != finished_by_id_.end()) {
+    finished_bytes_ -= sizeOfPast(id, *known->second);
+    finished_bytes_ += sizeOfPast(id, past);
     *known->second = past;
     return;
   }
-  past_.emplace_back(id, past);
-  past_at_[past_.back().first] = &past_.back().second;
-  past_bytes_ += sizeOfPast(id, past);
-}
-const Past* Journal::past(const std::string& id) const {
-  const auto it = past_at_.find(id);
-  return it == past_at_.end() ? nullptr : it->second;
-}
-void Journal::forgetPast(Micros now) {
-  while (!past_.empty() && past_.front().second.until <= now) {
-    const std::string& id = past_.front().first;
-    past_bytes_ -= sizeOfPast(id, past_.front().second);
-    past_at_.erase(id);
-    past_.pop_front();
+  finished_.emplace_back(id, past);
+  finished_by_id_[finished_.back().first] = &finished_.back().second;
+  finished_bytes_ += sizeOfPast(id, past);
+}
+const FinishedMessage* Journal::findFinished(const std::string& id) const {
+  const auto it = finished_by_id_.find(id);
+  return it == finished_by_id_.end() ? nullptr : it->second;
+}
+void Journal::expireFinished(Micros now) {
+  while (!finished_.empty() && finished_.front().second.remember_until <= now) {
+    const std::string& id = finished_.front().first;
+    finished_bytes_ -= sizeOfPast(id, finished_.front().second);
+    finished_by_id_.erase(id);
+    finished_.pop_front();
   }
 }
 void Journal::setEntry(const std::string& name, std::string entry) {
@@ -694,8 +699,8 @@
     setEntry(text(e, "name"), e.dump());
 }
 
-bool Journal::listed(const std::vector<std::pair<std::string, std::string>>& changes, std::int64_t index,
-                     bool whole) {
+bool Journal::recordEndpointList(const std::vector<std::pair<std::string, std::string>>& changes,
+                                 std::int64_t index, bool whole) {
   if (whole)
     list_fits_ = true;
   if (!list_fits_)
@@ -709,13 +714,13 @@
   return false;
 }
 
-void Journal::ailing(const Ailment& a) {
+void Journal::recordHealth(const DestinationHealth& a) {
   append(ailingPayload(a));
 }
-void Journal::forgetAilments(Micros before) {
-  for (auto it = ailments_.begin(); it != ailments_.end();)
-    it = std::max({it->second.cold_since, it->second.wait_until, it->second.noted}) < before
-             ? ailments_.erase(it)
+void Journal::expireHealth(Micros before) {
+  for (auto it = health_.begin(); it != health_.end();)
+    it = std::max({it->second.warming_since, it->second.retry_after_until, it->second.observed_at}) < before
+             ? health_.erase(it)
              : std::next(it);
 }
 
@@ -728,12 +733,13 @@
     return true;
   const std::uint64_t after = size_ + buffer_.size();
   const std::uint64_t live = liveBytes();
-  const bool must = blocks(after) + blocks(live) + kLeastWaste > room();
+  const bool must = blocks(after) + blocks(live) + kLeastWaste > availableBytes();
   if (must || (after > 2 * live && after - live > 4 * kLeastWaste)) {
     if (compact())
       return true;
   }
-  if ((blocks(after) > room() && (!claim() || blocks(after) > room())) || !writeAll(fd_, buffer_)) {
+  if ((blocks(after) > availableBytes() && (!acquire() || blocks(after) > availableBytes())) ||
+      !writeAll(fd_, buffer_)) {
     if (::ftruncate(fd_, static_cast<off_t>(size_)) != 0)
       return false;
     return false;
@@ -747,20 +753,21 @@
 bool Journal::compact() {
   if (fd_ < 0)
     return false;
-  std::vector<const Entry*> order;
+  std::vector<const OpenEntry*> order;
   for (const auto& [id, e] : entries_)
     order.push_back(&e);
-  std::sort(order.begin(), order.end(), [](const Entry* a, const Entry* b) { return a->order < b->order; });
+  std::sort(order.begin(), order.end(),
+            [](const OpenEntry* a, const OpenEntry* b) { return a->order < b->order; });
   std::string data;
   const std::uint64_t live = liveBytes();
   data.reserve(live < disk_ ? live : 0);
   frame(data, epochPayload(epoch_));
   if (list_index_ >= 0)
     eachListRecord(list_, list_index_, list_index_, true, [&](const std::string& r) { frame(data, r); });
-  for (const auto& [key, a] : ailments_)
+  for (const auto& [key, a] : health_)
     frame(data, ailingPayload(a));
   Writer ends(kPast);
-  for (const auto& [id, past] : past_) {
+  for (const auto& [id, past] : finished_) {
     ends.text(id).past(past);
     if (ends.out().size() < kBatch)
       continue;
@@ -773,9 +780,9 @@
   std::set<std::uint32_t> versions;
   if (!versions_.empty())
     versions.insert(versions_.rbegin()->first);  // no number comes twice
-  for (const auto& [id, past] : past_)
+  for (const auto& [id, past] : finished_)
     versions.insert(past.version);
-  for (const Entry* e : order)
+  for (const OpenEntry* e : order)
     for (const JournaledAttempt& a : e->attempts)
       versions.insert(a.version);
   std::map<std::uint32_t, std::string> kept_versions;
@@ -788,23 +795,23 @@
     kept_bytes += sizeOfVersion(text);
   }
   std::set<std::int64_t> used;
-  for (const Entry* e : order)
-    if (e->message.rules)
-      used.insert(rules_at_.at(e->message.rules.get()));
+  for (const OpenEntry* e : order)
+    if (e->message.class_version)
+      used.insert(class_version_numbers_.at(e->message.class_version.get()));
   for (const std::int64_t number : used)
-    frame(data, rulesPayload(number, *rules_.at(number)));
-  for (const Entry* e : order) {
-    frame(data, acceptedPayload(e->message, numberOf(e->message.rules)));
+    frame(data, rulesPayload(number, *class_versions_.at(number)));
+  for (const OpenEntry* e : order) {
+    frame(data, acceptedPayload(e->message, classVersionNumber(e->message.class_version)));
     for (std::size_t i = 0; i < e->attempts.size(); ++i) {
       frame(data, attemptedPayload(e->message.id, e->attempts[i]));
-      if (e->attempts[i].never_ran)
+      if (e->attempts[i].never_executed)
         frame(data, neverRanPayload(e->message.id, i));
     }
-    if (e->ended)
+    if (e->notice_pending)
       frame(data, owedPayload(e->message.id, e->notice));
   }
-  if (blocks(size_) + blocks(data.size()) > room() &&
-      (!claim() || blocks(size_) + blocks(data.size()) > room()))
+  if (blocks(size_) + blocks(data.size()) > availableBytes() &&
+      (!acquire() || blocks(size_) + blocks(data.size()) > availableBytes()))
     return false;
   const int fd = ::open(fresh_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC | O_APPEND, 0644);
   if (fd < 0)
@@ -820,14 +827,14 @@
   buffer_.clear();
   versions_ = std::move(kept_versions);
   versions_bytes_ = kept_bytes;
-  for (auto it = rules_.begin(); it != rules_.end();) {
+  for (auto it = class_versions_.begin(); it != class_versions_.end();) {
     if (used.count(it->first)) {
       ++it;
       continue;
     }
-    rules_bytes_ -= sizeOfRules(*it->second);
-    rules_at_.erase(it->second.get());
-    it = rules_.erase(it);
+    class_version_bytes_ -= sizeOfRules(*it->second);
+    class_version_numbers_.erase(it->second.get());
+    it = class_versions_.erase(it);
   }
   return true;
 }
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -6,22 +6,33 @@
 #include <functional>
 #include <optional>
 #include <string>
+#include <tuple>
 #include <utility>
 
 #include "grademux/sender.h"
 
 namespace grademux {
 
-struct TakenOn {  // what a client handed in, as it goes on to the endpoint
-  std::string id, message_class, order_key, idempotency_key, body;
+struct AcceptedMessage {  // what a client handed in, as it goes on to the endpoint
+  std::string id, message_class, ordering_key, idempotency_key, body;
   std::int64_t destination = 0;
-  Micros give_up_at = 0;  // Unix time
-  bool repeat = false;
-  ClassVersion rules;  // its class as it was when it was taken on; null: before versions were kept
+  Micros deadline = 0;  // Unix time
+  bool resubmitted = false;
+  ClassVersion class_version;  // its class as it was when it was taken on; null: before versions were kept
 };
 
-// One call: its message's id, and which of the message's attempts it is.
-using CallId = std::pair<std::string, int>;
+// One attempt of one message.
+struct AttemptId {
+  std::string message_id;
+  int attempt = 0;  // its place among the attempts of the message
+
+  friend bool operator==(const AttemptId& a, const AttemptId& b) {
+    return a.attempt == b.attempt && a.message_id == b.message_id;
+  }
+  friend bool operator<(const AttemptId& a, const AttemptId& b) {
+    return std::tie(a.message_id, a.attempt) < std::tie(b.message_id, b.attempt);
+  }
+};
 
 // FNV-1a, 64 bits (draft-eastlake-fnv), going on from `from`. Its values are destinations' numbers, and
 // digests in journals of versions before 0.4: they stay as they are.
@@ -29,77 +40,77 @@
 
 // What tells one message from another under the same id: class, destination, keys and body (XXH3, 64 bits;
 // the same in each process and on each machine). Time and marks of repetition are no part of it.
-std::uint64_t digestOf(const TakenOn& m);
-std::uint64_t digestByFnv(const TakenOn& m);  // as versions before 0.4 made it
+std::uint64_t contentDigest(const AcceptedMessage& m);
+std::uint64_t legacyContentDigest(const AcceptedMessage& m);  // as versions before 0.4 made it
 
 // Ids and idempotency keys go on as HTTP field values: printable ASCII without spaces, or nothing.
-constexpr std::size_t kLongestToken = 256;                // bytes
-constexpr Micros kLongestLife = 24LL * 3600 * 1'000'000;  // that a client may ask for
-bool usableToken(const std::string& s);
+constexpr std::size_t kMaxTokenBytes = 256;                 // bytes
+constexpr Micros kMaxTimeToLive = 24LL * 3600 * 1'000'000;  // that a client may ask for
+bool isValidToken(const std::string& s);
 
 // What a door hands in: read, not yet admitted.
 struct Submission {
-  TakenOn message;
-  std::string partner;    // named in place of the destination, until an admission step has its number
-  Micros may_last = 0;    // how long it may still be delivered, from when it was read
-  const char* door = "";  // the kind of door that it came by
+  AcceptedMessage message;
+  std::string destination_name;  // named in place of the destination, until an admission step has its number
+  Micros time_to_live = 0;       // how long it may still be delivered, from when it was read
+  const char* listener_kind = "";  // the kind of door that it came by
 };
 
-enum class Ending : std::uint8_t {
+enum class FinalStatus : std::uint8_t {
   delivered,
-  handed_back,  // refused after it was taken on: handing it in anew is harmless
-  given_up,     // no such promise
-  withdrawn     // the endpoint said that it was over already
+  returned,  // refused after it was taken on: handing it in anew is harmless
+  failed,    // no such promise
+  withdrawn  // the endpoint said that it was over already
 };
-const char* nameOf(Ending e);
-const char* nameOf(Result r);
+const char* nameOf(FinalStatus e);
+const char* nameOf(AttemptResult r);
 
-struct End {
-  Ending how = Ending::delivered;
-  Micros at = 0;     // Unix time
-  Micros pause = 0;  // handed back: come again after this; 0: none told
+struct FinalOutcome {
+  FinalStatus status = FinalStatus::delivered;
+  Micros at = 0;           // Unix time
+  Micros retry_after = 0;  // handed back: come again after this; 0: none told
 };
 
 // The one answer to a submission.
-struct Answer {
+struct SubmissionResult {
   enum class Kind {
     accepted,  // taken on, now or by an earlier submission of the same message
-    refused,   // nothing ran: handing it in again is harmless
-    rejected,  // it can't be used as it is
+    rejected,  // nothing ran: handing it in again is harmless
+    invalid,   // it can't be used as it is
     conflict,  // the id is another message's
-    given_up   // the module sees no way to deliver it in its time
+    failed     // the module sees no way to deliver it in its time
   };
   Kind kind = Kind::accepted;
-  Micros pause = 0;        // refused: come again after this; 0: none told
-  std::string code, why;   // rejected: a short word for programs, and a line for people
-  std::optional<End> end;  // accepted: it is over already
-
-  static Answer accepted() { return {}; }
-  static Answer refused(Micros pause) { return {Kind::refused, pause, {}, {}, {}}; }
-  static Answer rejected(std::string code, std::string why) {
-    return {Kind::rejected, 0, std::move(code), std::move(why), {}};
+  Micros retry_after = 0;                     // refused: come again after this; 0: none told
+  std::string code, reason;                   // rejected: a short word for programs, and a line for people
+  std::optional<FinalOutcome> final_outcome;  // accepted: it is over already
+
+  static SubmissionResult accepted() { return {}; }
+  static SubmissionResult rejected(Micros pause) { return {Kind::rejected, pause, {}, {}, {}}; }
+  static SubmissionResult invalid(std::string code, std::string why) {
+    return {Kind::invalid, 0, std::move(code), std::move(why), {}};
   }
 };
-using Reply = std::function<void(const Answer&)>;
+using SubmissionCallback = std::function<void(const SubmissionResult&)>;
 
 // What is known of an id.
-struct Status {
-  enum class State { unknown, open, ended } state = State::unknown;
-  End end;
+struct MessageStatus {
+  enum class State { unknown, open, finished } state = State::unknown;
+  FinalOutcome outcome;
 };
 
 // What a door hands submissions to: the core, or the admission chain in front of it. All on the loop thread.
-class Intake {
+class SubmissionHandler {
  public:
-  virtual ~Intake() = default;
+  virtual ~SubmissionHandler() = default;
   // `reply` is called exactly once, from within this call or later, while the loop runs. After an accepted
   // answer the message is on record and has exactly one end.
-  virtual void submit(Submission s, Reply reply) = 0;
+  virtual void submit(Submission s, SubmissionCallback reply) = 0;
   // Only what is on record counts: a message that has ended is open until its end is written.
-  virtual Status status(const std::string& id) const = 0;
+  virtual MessageStatus status(const std::string& id) const = 0;
   // `then` is called once, with the end of a message that is open, after the end is on record; never for one
   // that is not open, nor if the process ends first.
-  virtual void whenEnded(const std::string& id, std::function<void(const End&)> then) = 0;
+  virtual void notifyWhenFinished(const std::string& id, std::function<void(const FinalOutcome&)> then) = 0;
 };
 
 }  // namespace grademux
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -7,59 +7,62 @@
 MessageClass readClass(const json& c) {
   MessageClass m;
   m.name = text(c, "Name");
-  m.aim = span(c, "AimMs");
+  m.latency_objective = span(c, "AimMs");
   m.deadline = span(c, "DeadlineMs");
-  m.aim_stretch = number(c, "AimStretch", 0);
-  m.worth = number(c, "Worth", 1);
-  m.late_worth = number(c, "LateWorth", 0);
-  m.effect = oneOf<Effect>(
-      text(c, "Idempotency"),
-      {{"idempotent", Effect::safe}, {"deduplicated", Effect::keyed}, {"at_most_once", Effect::unsafe}},
-      "Idempotency");
-  m.group = oneOf<RepeatGroup>(
+  m.latency_objective_stretch = number(c, "AimStretch", 0);
+  m.priority_weight = number(c, "Worth", 1);
+  m.late_weight_fraction = number(c, "LateWorth", 0);
+  m.idempotency = oneOf<Idempotency>(text(c, "Idempotency"),
+                                     {{"idempotent", Idempotency::idempotent},
+                                      {"deduplicated", Idempotency::idempotency_key},
+                                      {"at_most_once", Idempotency::non_idempotent}},
+                                     "Idempotency");
+  m.idempotency_scope = oneOf<IdempotencyScope>(
       text(c, "Group", "all"),
-      {{"all", RepeatGroup::all}, {"zone", RepeatGroup::zone}, {"cell", RepeatGroup::cell}}, "Group");
-  m.memory = span(c, "MemorySpanMs", 0);
+      {{"all", IdempotencyScope::all}, {"zone", IdempotencyScope::zone}, {"cell", IdempotencyScope::cell}},
+      "Group");
+  m.idempotency_window = span(c, "MemorySpanMs", 0);
   m.ordered = truth(c, "KeepOrder", false);
   return m;
 }
 
 void readDomain(const json& o, Settings& s) {
   const json& d = optionalObject(o, "Domain");
-  s.slots = static_cast<int>(number(d, "CallSlots", 1));
-  s.late = oneOf<LateRule>(text(d, "Late", "line"), {{"line", LateRule::line}, {"halves", LateRule::halves}},
-                           "Late");
+  s.max_in_flight = static_cast<int>(number(d, "CallSlots", 1));
+  s.lateness_penalty = oneOf<LatenessPenalty>(
+      text(d, "Late", "line"), {{"line", LatenessPenalty::linear}, {"halves", LatenessPenalty::halving}},
+      "Late");
   if (!absent(d, "ZoneFee"))
     for (const json& z : array(d, "ZoneFee"))
-      s.zone_fee.push_back(z.is_number() ? z.get<double>() : 0);
+      s.zone_cost.push_back(z.is_number() ? z.get<double>() : 0);
   if (!absent(o, "Kinds"))
     for (const json& k : array(o, "Kinds"))
       s.kinds.push_back({k.is_string() ? k.get<std::string>() : "", false, 1});
   for (std::size_t i = 0; i < s.kinds.size(); ++i) {
     if (!absent(d, "RoutesApart") && i < array(d, "RoutesApart").size() && d["RoutesApart"][i].is_boolean())
-      s.kinds[i].routes_apart = d["RoutesApart"][i].get<bool>();
+      s.kinds[i].has_separate_routes = d["RoutesApart"][i].get<bool>();
     if (!absent(d, "PerCall") && i < array(d, "PerCall").size() && d["PerCall"][i].is_number())
-      s.kinds[i].per_call = d["PerCall"][i].get<int>();
+      s.kinds[i].messages_per_call = d["PerCall"][i].get<int>();
   }
 }
 
 void readLimits(const json& o, Settings& s) {
   const json& c = optionalObject(o, "Ceilings");
-  s.max_open = static_cast<int>(number(c, "MaxOpen", 20000));
+  s.max_open_messages = static_cast<int>(number(c, "MaxOpen", 20000));
   s.max_attempts = static_cast<int>(number(c, "MaxAttempts", 1));
-  s.may_cancel = truth(c, "MayCancel", false);
-  s.may_copy = truth(c, "ParallelTries", false);
-  s.told_pause = truth(c, "RetryAfter", false);
-  s.dial_timeout = span(c, "DialTimeoutMs", 0);
-  s.conn_idle = span(c, "ConnIdleMs", 0);
-  s.max_pause = span(c, "MaxRetryAfterMs", 0);
+  s.cancel_allowed = truth(c, "MayCancel", false);
+  s.hedging_allowed = truth(c, "ParallelTries", false);
+  s.retry_after_supported = truth(c, "RetryAfter", false);
+  s.connect_timeout = span(c, "DialTimeoutMs", 0);
+  s.idle_connection_timeout = span(c, "ConnIdleMs", 0);
+  s.max_retry_after = span(c, "MaxRetryAfterMs", 0);
   const json& r = optionalObject(o, "Rules");
-  s.ask_within = span(r, "AskWithinMs", 0);
+  s.poll_notified_within = span(r, "AskWithinMs", 0);
   s.drain_grace = span(r, "DrainGraceMs", 0);
-  s.fall_span = span(r, "FallMs", 0);
-  s.ramp_time = span(r, "RampTimeMs", 0);
-  s.order_pause = span(r, "OrderPauseMs", 0);
-  s.cold_share = number(r, "ColdShare", 1);
+  s.overload_collapse_time = span(r, "FallMs", 0);
+  s.slow_start_time = span(r, "RampTimeMs", 0);
+  s.ordering_backoff = span(r, "OrderPauseMs", 0);
+  s.cold_capacity_fraction = number(r, "ColdShare", 1);
   s.overload_factor = number(r, "OverloadFactor", 1);
 }
 
@@ -80,17 +83,17 @@
   if (!absent(o, "Azs"))
     for (const json& z : array(o, "Azs"))
       s.zones.push_back(z.is_string() ? z.get<std::string>() : "");
-  s.weights = oneOf<WeightKind>(text(o, "WeightKind", "silent"),
-                                {{"silent", WeightKind::none},
-                                 {"nominal", WeightKind::nominal},
-                                 {"rough", WeightKind::rough},
-                                 {"live", WeightKind::none}},
-                                "WeightKind");
-  s.list = oneOf<ListMode>(text(o, "Discovery", "push"), {{"push", ListMode::push}, {"ask", ListMode::ask}},
-                           "Discovery");
-  s.senders = static_cast<int>(number(o, "Balancers", 1));
-  s.tick = span(o, "TickMs", 0);
-  s.over_share_worth = number(o, "OverShareWorth", 1);
+  s.weight_kind = oneOf<WeightKind>(text(o, "WeightKind", "silent"),
+                                    {{"silent", WeightKind::none},
+                                     {"nominal", WeightKind::nominal},
+                                     {"rough", WeightKind::rough},
+                                     {"live", WeightKind::none}},
+                                    "WeightKind");
+  s.list_mode = oneOf<ListMode>(text(o, "Discovery", "push"),
+                                {{"push", ListMode::push}, {"ask", ListMode::poll}}, "Discovery");
+  s.sender_count = static_cast<int>(number(o, "Balancers", 1));
+  s.min_decide_interval = span(o, "TickMs", 0);
+  s.over_quota_weight = number(o, "OverShareWorth", 1);
   readDomain(o, s);
   readLimits(o, s);
   return s;
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -7,7 +7,7 @@
 
 #include "../decision/check.h"
 #include "../net/address.h"
-#include "../operate/door.h"
+#include "../operate/admin_server.h"
 
 namespace grademux {
 namespace {
@@ -56,7 +56,7 @@
 }  // namespace
 
 std::int64_t spareSockets(const Config& c) {
-  return kSpareSockets + (c.mgmt.empty() ? 0 : static_cast<std::int64_t>(operate::kCallers) + 2);
+  return kSpareSockets + (c.mgmt.empty() ? 0 : static_cast<std::int64_t>(operate::kMaxAdminConnections) + 2);
 }
 
 Settings readSettingsOf(const std::string& path) {
@@ -95,7 +95,7 @@
     c.known = object(o, "known");
   c.settings = readSettings(object(o, "settings"));
   validate(c.settings);
-  if (c.sockets - spareSockets(c) - c.settings.slots < 8)
+  if (c.sockets - spareSockets(c) - c.settings.max_in_flight < 8)
     bad("limits.sockets is too small");
   c.file = o;
   return c;
--- a/src/daemon/daemon_file.cpp
+++ b/src/daemon/daemon_file.cpp
@@ -19,9 +19,9 @@
 
 void readDoor(const toml::table& t, DaemonFile& file, std::vector<Mistake>& mistakes) {
   Table door(t, "door", mistakes, &file.effective);
-  DoorSpec spec;
+  ListenerConfig spec;
   const std::string kind = door.word("kind", {"http", "resp"});
-  spec.kind = kind == "resp" ? DoorKind::resp : DoorKind::http;
+  spec.kind = kind == "resp" ? ListenerKind::resp : ListenerKind::http;
   const bool placed = door.listen("listen", spec.listen);
   auto size = [&](const char* key, std::size_t& value, std::int64_t least, std::int64_t most) {
     value = static_cast<std::size_t>(door.whole(key, static_cast<std::int64_t>(value), least, most));
@@ -35,17 +35,17 @@
     size("pipeline", spec.limits.pipeline, 1, 1024);
     size("batch_window", spec.limits.batch_window, 1, 4096);
     size("max_request_bytes", spec.limits.request_bytes, 1024, 1 << 20);
-    seconds("max_wait_s", spec.limits.longest_wait, 0, 3600);
-    seconds("idle_s", spec.limits.idle, 1, 3600);
+    seconds("max_wait_s", spec.limits.max_wait, 0, 3600);
+    seconds("idle_s", spec.limits.idle_timeout, 1, 3600);
   }
   door.unknown(kind == "resp" ? " in a door of kind resp" : " in a door");
   if (!placed)
     return;
-  for (const DoorSpec& other : file.doors)
+  for (const ListenerConfig& other : file.listeners)
     if (sameAddress(other.listen, spec.listen))
       return door.mistake(t.get("listen")->source(),
                           "door.listen: an address of its own is expected, another door listens there");
-  file.doors.push_back(spec);
+  file.listeners.push_back(spec);
 }
 
 void readLog(const toml::table& table, DaemonFile& file, std::vector<Mistake>& mistakes) {
@@ -87,11 +87,11 @@
   if (n && !n->is_table())
     return top.expected("knowledge", "a table is expected, begun by [knowledge]");
   Table t(n ? *n->as_table() : none, "knowledge", mistakes, &file.effective);
-  knowledge::KeeperSpec& k = file.knowledge;
-  k.keep = t.truth("keep", alone);
+  knowledge::LearnedStateConfig& k = file.knowledge;
+  k.enabled = t.truth("keep", alone);
   k.interval = t.span("interval", k.interval, 100'000, 24LL * 3600 * 1'000'000);
-  k.most_bytes =
-      static_cast<std::uint64_t>(t.size("size", static_cast<std::int64_t>(k.most_bytes), 4096, 256LL << 20));
+  k.max_bytes =
+      static_cast<std::uint64_t>(t.size("size", static_cast<std::int64_t>(k.max_bytes), 4096, 256LL << 20));
   t.unknown(" in knowledge");
 }
 
@@ -107,7 +107,7 @@
   t.unknown(" in operators");
   if (!placed)
     return;
-  for (const DoorSpec& door : file.doors)
+  for (const ListenerConfig& door : file.listeners)
     if (sameAddress(door.listen, listen))
       return t.expected("listen", "an address of its own is expected, a door listens there");
   file.operators = listen;
@@ -120,7 +120,7 @@
   if (!n->is_table())
     return top.expected("fleet", "a table is expected, begun by [fleet]");
   Table t(*n->as_table(), "fleet", mistakes, &file.effective);
-  fleet::Spec f;
+  fleet::FleetConfig f;
   f.name = t.text("name", "");
   if (f.name.find_first_of("/ \t\n") != std::string::npos)
     t.expected("name", "a name without spaces and slashes is expected");
@@ -132,13 +132,13 @@
       t.expected("store", "an address and a port are expected, not \"" + a + "\"");
   f.prefix = t.text("prefix", f.prefix);
   // By the store's specification: 10 s to a day.
-  f.session = t.span("session", f.session, 10'000'000, 24LL * 3600 * 1'000'000);
-  f.stamp = t.truth("stamp", f.stamp);
-  f.judge_zones = t.truth("judge_zones", f.judge_zones);
-  f.zone_pause = t.span("zone_pause", f.zone_pause, 1'000'000, 3600LL * 1'000'000);
-  f.trail.bytes =
-      static_cast<std::uint64_t>(t.size("trail", static_cast<std::int64_t>(f.trail.bytes), 65536, 1LL << 40));
-  f.trail.age = t.span("trail_age", f.trail.age, 60'000'000, 3650LL * 24 * 3600 * 1'000'000);
+  f.session_ttl = t.span("session", f.session_ttl, 10'000'000, 24LL * 3600 * 1'000'000);
+  f.send_version_header = t.truth("stamp", f.send_version_header);
+  f.evacuate_zones = t.truth("judge_zones", f.evacuate_zones);
+  f.min_evacuation_time = t.span("zone_pause", f.min_evacuation_time, 1'000'000, 3600LL * 1'000'000);
+  f.audit_budget.bytes = static_cast<std::uint64_t>(
+      t.size("trail", static_cast<std::int64_t>(f.audit_budget.bytes), 65536, 1LL << 40));
+  f.audit_budget.age = t.span("trail_age", f.audit_budget.age, 60'000'000, 3650LL * 24 * 3600 * 1'000'000);
   t.unknown(" in fleet");
   file.fleet = std::move(f);
 }
@@ -160,7 +160,7 @@
     if (zones.empty())
       t.expected("zones", "names of zones are expected, as [\"a\", \"b\"]");
     for (const std::string& z : zones) {
-      const auto other = file.regions.of.emplace(z, name);
+      const auto other = file.regions.region_by_zone.emplace(z, name);
       if (!other.second)
         t.expected("zones", z + " is a zone of " + other.first->second);
     }
@@ -189,7 +189,7 @@
 
 std::int64_t DaemonFile::connections() const {
   std::int64_t sum = 0;
-  for (const DoorSpec& d : doors)
+  for (const ListenerConfig& d : listeners)
     sum += static_cast<std::int64_t>(d.limits.connections);
   return sum;
 }
@@ -212,7 +212,7 @@
     Site site;
     site.sources.defaults.regions = file.regions;
     if (readSite(top, path, site, mistakes, &file.effective)) {
-      if (file.doors.empty())
+      if (file.listeners.empty())
         top.mistake("a program that stands alone needs a [[door]]");
       file.site = std::move(site);
     }
--- a/src/daemon/daemon_file.h
+++ b/src/daemon/daemon_file.h
@@ -8,29 +8,29 @@
 #include <string>
 #include <vector>
 
-#include "../doors/http/server.h"
-#include "../fleet/part.h"
-#include "../knowledge/keeper.h"
+#include "../fleet/fleet_member.h"
+#include "../knowledge/learned_state_store.h"
+#include "../listener/http/http_listener.h"
 #include "../log/log.h"
 #include "site.h"
 
 namespace grademux {
 
-enum class DoorKind { resp, http };
+enum class ListenerKind { resp, http };
 
-struct DoorSpec {
-  DoorKind kind = DoorKind::http;
+struct ListenerConfig {
+  ListenerKind kind = ListenerKind::http;
   boost::asio::ip::tcp::endpoint listen;
-  HttpDoor::Limits limits;  // resp: `connections` alone
+  HttpListener::Limits limits;  // resp: `connections` alone
 };
 
 struct DaemonFile {
   std::string path;
-  std::vector<DoorSpec> doors;
+  std::vector<ListenerConfig> listeners;
   log::Spec log;
-  knowledge::KeeperSpec knowledge;
+  knowledge::LearnedStateConfig knowledge;
   std::optional<boost::asio::ip::tcp::endpoint> operators;  // where operators call
-  std::optional<fleet::Spec> fleet;                         // the fleet that this sender is in
+  std::optional<fleet::FleetConfig> fleet;                  // the fleet that this sender is in
   zones::Regions regions;
   std::optional<Site> site;          // there if the program can stand alone by this file
   std::vector<Effective> effective;  // every value, in the order of reading
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -12,7 +12,7 @@
 #include "../knowledge/command.h"
 #include "../membership/partners.h"
 #include "../net/address.h"
-#include "fleet_part.h"
+#include "fleet_membership.h"
 #include "service.h"
 #include "version.h"
 
@@ -32,7 +32,7 @@
   table.declare("daemon file", sources.partners);
   for (const FolderSpec& f : sources.folders) {
     bool unsettled = false;
-    FolderNews news = FolderReader(f, sources.defaults).look(false, unsettled);
+    FolderChanges news = FolderReader(f, sources.defaults).scan(false, unsettled);
     if (!news.unreadable.empty())
       told(f.path + ": " + news.unreadable);
     for (UnitChange& c : news.changes) {
@@ -69,7 +69,7 @@
     }
     return 0;
   }
-  std::cout << path << ": good, " << file.doors.size() << " doors";
+  std::cout << path << ": good, " << file.listeners.size() << " doors";
   if (file.site)
     std::cout << ", " << file.site->settings.classes.size() << " classes, " << table.partners()
               << " partners";
@@ -157,7 +157,7 @@
   std::string daemon, name, at, strictness, config;
   fleet::Where where;
   fleet::Change change;
-  audit::Question question;
+  audit::AuditQuery question;
   double lease_s = 0, binds_s = 0;
   bool as_json = false, at_once = false, region = false;
 
@@ -174,7 +174,7 @@
     propose->add_option("--settings", change.settings, "a digest; '' for any");
     propose->add_option("--daemon-file", change.daemon, "a digest; '' for any");
     propose->add_option("--program", change.program, "the least version; '' for any");
-    propose->add_option("--list", change.list, "the least version of the list of endpoints");
+    propose->add_option("--list", change.listPrefix, "the least version of the list of endpoints");
     propose->add_option("--mode", strictness, "strict: a sender whose lease has ended stops")
         ->check(CLI::IsMember({"strict", "lenient"}));
     propose->add_option("--lease", lease_s, "seconds that a sender acts on one read")
@@ -234,7 +234,7 @@
                                    at);
         if (!daemon.empty() || !where.store.empty()) {
           place();
-          question.summaries = summaries();
+          question.reports = summaries();
         } else if (question.folders.empty()) {
           throw std::runtime_error("state folders, --store or --daemon are expected");
         }
@@ -277,12 +277,12 @@
   }
 
  private:
-  std::vector<audit::Summary> summaries() const {
-    std::vector<audit::Summary> all;
-    for (const fleet::Report& r : fleet::reports(where)) {
-      all.push_back({r.name, r.standing, r.why, shown(r.own), r.at, r.live, {}});
-      for (const fleet::Acted& a : r.past)
-        all.back().past.push_back({a.from, a.plan, a.may});
+  std::vector<audit::SenderSummary> summaries() const {
+    std::vector<audit::SenderSummary> all;
+    for (const fleet::SenderReport& r : fleet::reports(where)) {
+      all.push_back({r.name, r.compliance, r.reason, toJson(r.versions), r.at, r.live, {}});
+      for (const fleet::ActionPeriod& a : r.action_history)
+        all.back().action_history.push_back({a.from, a.plan, a.allowed});
     }
     return all;
   }
@@ -313,7 +313,7 @@
       of.settings = readSettingsOf(config);
     else if (file.site)
       of.settings = file.site->settings;
-    const fleet::Own own = ownOf(of, file);
+    const fleet::RunningVersions own = runningVersions(of, file);
     if (!config.empty() || file.site)
       std::cout << "settings " << own.settings << '\n';
     if (!daemon.empty())
--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -28,15 +28,17 @@
   MessageClass c;
   c.name = t.text("name", "");
   const std::string effect = t.word("effect", {"safe", "keyed", "unsafe"});
-  c.effect = effect == "safe" ? Effect::safe : effect == "keyed" ? Effect::keyed : Effect::unsafe;
-  c.aim = t.span("aim", 5 * kSecond, kMs, kDay);
+  c.idempotency = effect == "safe"    ? Idempotency::idempotent
+                  : effect == "keyed" ? Idempotency::idempotency_key
+                                      : Idempotency::non_idempotent;
+  c.latency_objective = t.span("aim", 5 * kSecond, kMs, kDay);
   c.deadline = t.span("deadline", 60 * kSecond, kMs, kDay);
-  if (c.deadline < c.aim)
+  if (c.deadline < c.latency_objective)
     t.expected("deadline", "no less than aim is expected");
-  c.worth = t.real("worth", 1, 0, 1e9);
-  c.late_worth = t.real("late_worth", 0.3, 0, 1);
-  c.memory = t.span("memory", 0, 0, 30 * kDay);
-  if (c.effect == Effect::keyed && c.memory == 0)
+  c.priority_weight = t.real("worth", 1, 0, 1e9);
+  c.late_weight_fraction = t.real("late_worth", 0.3, 0, 1);
+  c.idempotency_window = t.span("memory", 0, 0, 30 * kDay);
+  if (c.idempotency == Idempotency::idempotency_key && c.idempotency_window == 0)
     t.expected("memory",
                "how long partners drop repeats of a key is expected in a class of effect \"keyed\"");
   c.ordered = t.truth("ordered", false);
@@ -79,18 +81,18 @@
 
 void readLimits(Table& t, Site& site) {
   Settings& s = site.settings;
-  s.max_open = static_cast<int>(t.whole("max_open", 20'000, 1, 10'000'000));
-  s.slots = static_cast<int>(t.whole("calls", 64, 1, 10'000));
+  s.max_open_messages = static_cast<int>(t.whole("max_open", 20'000, 1, 10'000'000));
+  s.max_in_flight = static_cast<int>(t.whole("calls", 64, 1, 10'000));
   s.max_attempts = static_cast<int>(t.whole("max_attempts", 12, 1, 1000));
-  s.max_pause = t.span("longest_pause", 3 * kSecond, 0, kDay);
-  s.dial_timeout = t.span("connect", kSecond, kMs, kDay);
-  s.conn_idle = t.span("idle", 10 * kSecond, 0, kDay);
-  s.fall_span = t.span("fall", 2 * kSecond, kMs, kDay);
-  s.ramp_time = t.span("ramp", 11 * kSecond, 0, kDay);
-  s.cold_share = t.real("cold_share", 0.3, 0.001, 1);
+  s.max_retry_after = t.span("longest_pause", 3 * kSecond, 0, kDay);
+  s.connect_timeout = t.span("connect", kSecond, kMs, kDay);
+  s.idle_connection_timeout = t.span("idle", 10 * kSecond, 0, kDay);
+  s.overload_collapse_time = t.span("fall", 2 * kSecond, kMs, kDay);
+  s.slow_start_time = t.span("ramp", 11 * kSecond, 0, kDay);
+  s.cold_capacity_fraction = t.real("cold_share", 0.3, 0.001, 1);
   s.overload_factor = t.real("overload_factor", 1.5, 0.001, 1000);
   site.sockets = t.whole("sockets", 1024, 64, 1'000'000);
-  if (site.sockets - kSpareSockets - s.slots < 8)
+  if (site.sockets - kSpareSockets - s.max_in_flight < 8)
     t.expected("sockets", "at least calls + " + std::to_string(kSpareSockets + 8) + " is expected");
   t.unknown(" in limits");
 }
@@ -116,11 +118,11 @@
   Settings& s = site.settings;
   s.kinds = {{"partner", false, 1}};
   s.zones = {""};
-  s.tick = kMs;
+  s.min_decide_interval = kMs;
   s.drain_grace = 250 * kMs;
-  s.order_pause = 500 * kMs;
-  s.may_cancel = s.told_pause = true;
-  s.weights = WeightKind::nominal;  // a partner's rate; without one its weight tells nothing
+  s.ordering_backoff = 500 * kMs;
+  s.cancel_allowed = s.retry_after_supported = true;
+  s.weight_kind = WeightKind::nominal;  // a partner's rate; without one its weight tells nothing
   Table l(*limits, "limits", mistakes, effective), j(*journal, "journal", mistakes, effective),
       d(*dns, "dns", mistakes, effective);
   readLimits(l, site);
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -12,14 +12,14 @@
 struct Admission : Attempts {
   using Attempts::Attempts;
 
-  void onArrival(const Arrival& a, ClassVersion c = nullptr) {
+  void onArrival(const MessageArrival& a, ClassVersion c = nullptr) {
     if (messages.count(a.id))
       return;
     for (const ClassVersion& k : classes)
       if (!c && k->name == a.message_class)
         c = k;
     if (!c)
-      return acts.push_back(Fail{a.id});
+      return acts.push_back(FailMessage{a.id});
     Message& m = messages[a.id];
     m.id = a.id;
     m.cls = c;
@@ -32,19 +32,20 @@
     m.dest->id = a.destination;
     ++m.dest->messages;
     count(m.dest->traffic);
-    m.handed_in = std::min(now, a.give_up_at - c->deadline);
-    const auto stretched = static_cast<Micros>(c->aim_stretch * static_cast<double>(a.estimate));
-    m.aim = std::min(c->deadline, c->aim + stretched);
-    m.end_at = a.give_up_at - 2 * set.tick;
+    m.handed_in = std::min(now, a.deadline - c->deadline);
+    const auto stretched =
+        static_cast<Micros>(c->latency_objective_stretch * static_cast<double>(a.estimated_work));
+    m.aim = std::min(c->deadline, c->latency_objective + stretched);
+    m.end_at = a.deadline - 2 * set.min_decide_interval;
     m.order = ++next_order;
-    if (c->ordered && !a.order_key.empty()) {
-      m.key = a.order_key;
+    if (c->ordered && !a.ordering_key.empty()) {
+      m.key = a.ordering_key;
       keys[m.key].line.push_back(&m);
     }
     ++open;
     ends.insert({m.end_at, m.id});
     hold(m, now);
-    if (open > set.max_open) {
+    if (open > set.max_open_messages) {
       finish(m, true);
       forget(m);
     }
@@ -52,24 +53,24 @@
 
   // What an earlier process of this sender took on. Its attempts count as made; one whose end was not heard
   // may have run, or is out still. Guards against a second effect after a restart.
-  void onResumed(const Resumed& r) {
-    onArrival(r.message, r.rules);
+  void onResumed(const RecoveredMessage& r) {
+    onArrival(r.message, r.class_version);
     auto it = messages.find(r.message.id);
     if (it == messages.end())
       return;
     Message& m = it->second;
     for (const PastAttempt& p : r.attempts) {
       auto s = servers.find(p.endpoint);
-      if (p.out && s != servers.end()) {
+      if (p.in_flight && s != servers.end()) {
         ++s->second.out;
-        noteOut(m, s->second, ++next_call, p.sent, -1);
+        noteOut(m, s->second, ++next_call, p.sent_at, -1);
         continue;
       }
       Attempt a;
       a.server = s == servers.end() ? nullptr : &s->second;
       if (a.server)
         ++a.server->attempts;
-      a.sent = p.sent;
+      a.sent = p.sent_at;
       a.out = false;
       a.may_have_run = p.may_have_run;
       m.attempts.push_back(a);
@@ -87,9 +88,10 @@
   // With all slots busy so are those that would come late, down to a short queue. Only for one of many: of
   // few senders all are busy in an outage only. Harm: refused in a short burst.
   void shed() {
-    const int most = std::max(1, set.max_open - std::max(1, static_cast<int>(kHoldReserve * set.max_open)));
-    const bool busy = many() && static_cast<int>(calls.size()) >= set.slots;
-    const double each = busy ? typical * common_slow / set.slots : 0;
+    const int most = std::max(
+        1, set.max_open_messages - std::max(1, static_cast<int>(kHoldReserve * set.max_open_messages)));
+    const bool busy = many() && static_cast<int>(calls.size()) >= set.max_in_flight;
+    const double each = busy ? typical * common_slow / set.max_in_flight : 0;
     double wait = each * static_cast<double>(held_all - blocked);  // of those that lack nothing but a slot
     if (open <= most && wait <= kQueue * least_aim)
       return;
--- a/src/decision/attempts.h
+++ b/src/decision/attempts.h
@@ -24,18 +24,18 @@
   bool maySend(const Message& m, const Server& s) const {
     if (static_cast<int>(m.attempts.size()) >= m.cls->max_attempts)
       return false;
-    if (m.out > 0 && !set.may_copy)
+    if (m.out > 0 && !set.hedging_allowed)
       return false;
-    if (m.cls->effect == Effect::safe || !mayHaveRun(m))
+    if (m.cls->idempotency == Idempotency::idempotent || !mayHaveRun(m))
       return true;
-    if (m.cls->effect == Effect::unsafe)
+    if (m.cls->idempotency == Idempotency::non_idempotent)
       return false;
     for (const Attempt& a : m.attempts) {
       if (!a.may_have_run)
         continue;
-      if (m.cls->group != RepeatGroup::all && (!a.server || a.server->zone != s.zone))
+      if (m.cls->idempotency_scope != IdempotencyScope::all && (!a.server || a.server->zone != s.zone))
         return false;
-      if (m.cls->group == RepeatGroup::cell && a.server->dest != s.dest)
+      if (m.cls->idempotency_scope == IdempotencyScope::cell && a.server->dest != s.dest)
         return false;
     }
     return now <= repeatUntil(m);
@@ -46,15 +46,16 @@
     Micros until = kNever;
     for (const Attempt& a : m.attempts)
       if (a.may_have_run)
-        until = std::min(until, a.sent + m.cls->memory - 2 * set.tick);
+        until = std::min(until, a.sent + m.cls->idempotency_window - 2 * set.min_decide_interval);
     return until;
   }
 
   // A refusal promises that handing the message in again does no harm.
   bool mayRefuse(const Message& m) const {
-    if (m.cls->effect == Effect::safe || !mayHaveRun(m))
+    if (m.cls->idempotency == Idempotency::idempotent || !mayHaveRun(m))
       return true;
-    return m.cls->effect == Effect::keyed && m.cls->group == RepeatGroup::all;
+    return m.cls->idempotency == Idempotency::idempotency_key &&
+           m.cls->idempotency_scope == IdempotencyScope::all;
   }
 
   bool anySendLeft(const Message& m) const {
@@ -78,7 +79,7 @@
     const Micros left = m.end_at - now;
     const Guard& g = s.guard;
     const double slowness = std::max({1.0, common_slow, g.samples > 0 ? g.recent : 1.0});
-    const double patience = m.cls->effect == Effect::unsafe ? kUnsafePatience : 1;
+    const double patience = m.cls->idempotency == Idempotency::non_idempotent ? kUnsafePatience : 1;
     const double most = kTimeoutRatio * patience * usualLatency(s) * slowness;
     return static_cast<Micros>(std::clamp(most, 1.0, static_cast<double>(std::max<Micros>(1, left))));
   }
@@ -94,28 +95,31 @@
     if (d.lost_idle < 0 || (idled >= 0 && idled < d.lost_idle))
       return;
     if (idled < 0) {
-      dead_score *= std::exp(-static_cast<double>(now - dead_at) / static_cast<double>(set.ramp_time + 1));
+      dead_score *=
+          std::exp(-static_cast<double>(now - dead_at) / static_cast<double>(set.slow_start_time + 1));
       ++dead_score;
-      dead_least = now - dead_at < set.ramp_time ? std::min(dead_least, d.lost_idle) : d.lost_idle;
+      dead_least = now - dead_at < set.slow_start_time ? std::min(dead_least, d.lost_idle) : d.lost_idle;
       dead_at = now;
     }
     d.lost_idle = -1;
   }
 
   Micros deadIdle() const {
-    const bool dead = dead_score > kDeadSigns / (many() ? 2 : 1) && now - dead_at < kSuspect * set.ramp_time;
+    const bool dead =
+        dead_score > kDeadSigns / (many() ? 2 : 1) && now - dead_at < kSuspect * set.slow_start_time;
     return dead ? dead_least / 2 : kNever;
   }
 
   // Where kept connections were found dead of late, what can't be repeated and further tries go on a fresh
   // one; the kept ones are closed for it, as endpoints take only so many. Harm: a handshake for each.
   Micros takeConnection(Server& s, const Message& m) {
-    const bool exposed = m.cls->effect == Effect::unsafe || !m.attempts.empty();
-    const bool stale = exposed && now - s.stale_at < kSuspect * set.ramp_time;
-    while (!s.idle.empty() && set.conn_idle > 0 && now - s.idle.front() >= set.conn_idle)
+    const bool exposed = m.cls->idempotency == Idempotency::non_idempotent || !m.attempts.empty();
+    const bool stale = exposed && now - s.stale_at < kSuspect * set.slow_start_time;
+    while (!s.idle.empty() && set.idle_connection_timeout > 0 &&
+           now - s.idle.front() >= set.idle_connection_timeout)
       s.idle.pop_front();
     if (!s.idle.empty() && (stale || now - s.idle.front() >= deadIdle())) {
-      acts.push_back(CloseIdle{s.id});
+      acts.push_back(CloseIdleConnections{s.id});
       s.idle.clear();
     }
     if (s.idle.empty())
@@ -132,11 +136,11 @@
     s.idle.push_back(now);
     const double others =
         std::max(0.0, perSecond(s.dest->traffic) - 1 / trafficSpan()) / readyServers(*s.dest);
-    const double least = kReuseLeast * set.senders / kCrowd;
-    const bool full_table = many() && now - s.no_connect < kSuspect * set.ramp_time;
-    if (!full_table && others * static_cast<double>(set.conn_idle) / kSecond >= least)
+    const double least = kReuseLeast * set.sender_count / kCrowd;
+    const bool full_table = many() && now - s.no_connect < kSuspect * set.slow_start_time;
+    if (!full_table && others * static_cast<double>(set.idle_connection_timeout) / kSecond >= least)
       return;
-    acts.push_back(CloseIdle{s.id});
+    acts.push_back(CloseIdleConnections{s.id});
     s.idle.clear();
   }
 
@@ -154,16 +158,16 @@
     } else {
       call = ++next_call;
       idled = takeConnection(s, m);
-      forming[&s] = {call, s.kind->per_call - 1};
+      forming[&s] = {call, s.kind->messages_per_call - 1};
       ++s.out;
       const double n = readyServers(d), own = perSecond(d.traffic);
       charge(s.guard, apart(s) ? s.guard.limit : d.guard.limit / n, own / n);
       if (!apart(s))
         charge(d.guard, d.guard.limit, own);
     }
-    const Micros until = m.cls->effect == Effect::keyed ? repeatUntil(m) : kNever;
+    const Micros until = m.cls->idempotency == Idempotency::idempotency_key ? repeatUntil(m) : kNever;
     noteOut(m, s, call, now, idled);
-    acts.push_back(Send{m.id, s.id, timeoutFor(m, s), until == kNever ? 0 : until - now + 1});
+    acts.push_back(StartAttempt{m.id, s.id, timeoutFor(m, s), until == kNever ? 0 : until - now + 1});
   }
   void noteOut(Message& m, Server& s, std::uint64_t call, Micros sent, Micros idled) {
     ++calls[call];
@@ -197,7 +201,8 @@
     // A message that can't be repeated is no trial: it would be lost where calls end in the unknown. It goes
     // after all when half of its time is used up.
     const bool risky = std::max(g.risk, s.guard.risk) > kRiskMost;
-    return !(m.cls->effect == Effect::unsafe && risky && now - m.handed_in < m.cls->deadline / 2);
+    return !(m.cls->idempotency == Idempotency::non_idempotent && risky &&
+             now - m.handed_in < m.cls->deadline / 2);
   }
 
   // The fewest calls out; then a kept connection, then the one that rested longest, at first a random one:
@@ -208,7 +213,7 @@
       std::size_t zone = 0;
       while (zone < set.zones.size() && set.zones[zone] != s.zone)
         ++zone;
-      const double fee = apart(s) && zone < set.zone_fee.size() ? set.zone_fee[zone] : 0;
+      const double fee = apart(s) && zone < set.zone_cost.size() ? set.zone_cost[zone] : 0;
       return std::make_tuple(sick(s) ? 1 : 0, fee, s.out, s.idle.empty(), s.used);
     };
     for (Server* s : d.servers) {
@@ -256,7 +261,7 @@
         rate = apart(*s) ? rate + rateOf(s->guard, s->guard.limit, perSecond(d.traffic) / readyServers(d))
                          : rateOf(d.guard, d.guard.limit, perSecond(d.traffic));
     const double wait = static_cast<double>(d.held.size()) * kSecond / std::max(rate, 1e-6);
-    return static_cast<Micros>(std::clamp(wait, static_cast<double>(set.tick), 1e12));
+    return static_cast<Micros>(std::clamp(wait, static_cast<double>(set.min_decide_interval), 1e12));
   }
 
   void release() {
@@ -266,7 +271,7 @@
     Place place{false, -1e300, 0};
     std::vector<Dest*> barred;
     double served = -1e300;  // the latest global tag that was
-    while (static_cast<int>(calls.size()) < set.slots) {
+    while (static_cast<int>(calls.size()) < set.max_in_flight) {
       Dest* d = nextFrom(place);
       if (!d)
         break;
@@ -302,7 +307,7 @@
     }
   }
 
-  void onOutcome(const Outcome& o) {
+  void onOutcome(const AttemptOutcome& o) {
     auto it = messages.find(o.id);
     if (it == messages.end())
       return;
@@ -313,25 +318,27 @@
     if (!a.out)
       return;
     settle(m, a);
-    if (o.result == Result::ok || o.result == Result::error || o.result == Result::full)
+    if (o.result == AttemptResult::ok || o.result == AttemptResult::error ||
+        o.result == AttemptResult::rejected)
       keepConnection(*a.server);
-    if (o.result == Result::ok || (a.late && (o.result == Result::timeout || a.called_off)))
-      noteConnection(*a.server->dest, a.idled, o.result != Result::ok);
-    a.may_have_run =
-        !(o.result == Result::full || o.result == Result::connect_failed || o.result == Result::not_sent);
-    if (o.result == Result::connect_failed)
+    if (o.result == AttemptResult::ok || (a.late && (o.result == AttemptResult::timeout || a.called_off)))
+      noteConnection(*a.server->dest, a.idled, o.result != AttemptResult::ok);
+    a.may_have_run = !(o.result == AttemptResult::rejected || o.result == AttemptResult::connect_failed ||
+                       o.result == AttemptResult::not_sent);
+    if (o.result == AttemptResult::connect_failed)
       a.server->no_connect = now;
-    if (o.stale)
+    if (o.stale_connection)
       a.server->stale_at = now;
-    learnLimit(*a.server, o.report);
-    learn(*a.server, o.result, o.rtt > 0 ? o.rtt : now - a.sent, o.wait, o.stale);
-    const bool runs_on = a.may_have_run && o.result != Result::ok && o.result != Result::error;
+    learnLimit(*a.server, o.limit_report);
+    learn(*a.server, o.result, o.round_trip > 0 ? o.round_trip : now - a.sent, o.retry_after,
+          o.stale_connection);
+    const bool runs_on = a.may_have_run && o.result != AttemptResult::ok && o.result != AttemptResult::error;
     if (runs_on && !m.key.empty()) {
       KeyLine& k = keys[m.key];
-      k.quiet_until = std::max(k.quiet_until, now + set.order_pause);
+      k.quiet_until = std::max(k.quiet_until, now + set.ordering_backoff);
       next_wake = std::min(next_wake, k.quiet_until);
     }
-    if (o.finished || o.result == Result::ok)
+    if (o.already_finished || o.result == AttemptResult::ok)
       close(m);
     if (!m.ended)
       again(m, *a.server);
@@ -366,9 +373,10 @@
     if (m.ended)
       return;
     if (worth_a_return && mayRefuse(m))
-      acts.push_back(Refuse{m.id, set.told_pause ? std::min(set.max_pause, drainTime(*m.dest)) : 0});
+      acts.push_back(RejectMessage{
+          m.id, set.retry_after_supported ? std::min(set.max_retry_after, drainTime(*m.dest)) : 0});
     else
-      acts.push_back(Fail{m.id});
+      acts.push_back(FailMessage{m.id});
     close(m);
   }
 
--- a/src/decision/bound.h
+++ b/src/decision/bound.h
@@ -24,7 +24,7 @@
   // What this sender may count on of a limit: an even part, or what it wants up to a fixed part. Guards busy
   // ones of many against starving on even parts. Harm: if all are busy the limit is overrun until refusals.
   double portion(double limit, double want) const {
-    return std::max(1.0 / set.senders, std::min(want / std::max(limit, 1e-9), kShareMost));
+    return std::max(1.0 / set.sender_count, std::min(want / std::max(limit, 1e-9), kShareMost));
   }
 
   // Of a limit that is used up. Among many each meets it seldom: who begins above an even part learns too
@@ -53,7 +53,8 @@
   // rare never try. Harm: a destination that was never away is slowed for RampTimeMs.
   double coldRate(const Guard& g, double limit, double own) const {
     const double warmth = std::min(1.0, static_cast<double>(now - g.cold_since) / kSecond / trafficSpan());
-    const double share = set.cold_share + (1 - set.cold_share) * (g.down ? 0 : warmth);
+    const double share =
+        set.cold_capacity_fraction + (1 - set.cold_capacity_fraction) * (g.down ? 0 : warmth);
     if (limit > 0)
       own = limit * portion(limit, own);
     return std::max(own, 1 / trafficSpan()) * share * set.overload_factor;
@@ -99,12 +100,12 @@
   }
 
   void learnLimit(Server& s, const std::optional<LimitReport>& report) {
-    if (!report || report->limit <= 0)
+    if (!report || report->rate_limit <= 0)
       return;
     Guard& g = scope(s);
-    g.limit = g.told ? 0.75 * g.limit + 0.25 * report->limit : report->limit;
+    g.limit = g.told ? 0.75 * g.limit + 0.25 * report->rate_limit : report->rate_limit;
     g.told = true;
-    if (many() && report->left < kNearlyUsed)
+    if (many() && report->remaining_fraction < kNearlyUsed)
       lower(g, kShareEase, ownAt(s));
   }
 
@@ -118,7 +119,7 @@
       g.part = 1;
     }
     const double gap = std::min<double>(kStretchMost, g.refused) * kSecond / rateOf(g, g.limit, own);
-    if (now - g.cut_at > set.fall_span / 4) {
+    if (now - g.cut_at > set.overload_collapse_time / 4) {
       lower(g, kShareCut, own);
       g.cut_at = now;
     }
--- a/src/decision/classes.h
+++ b/src/decision/classes.h
@@ -23,7 +23,7 @@
 inline double leastAim(const Settings& set) {  // microseconds
   double least = 1e300;
   for (const MessageClass& c : set.classes)
-    least = std::min(least, static_cast<double>(c.aim));
+    least = std::min(least, static_cast<double>(c.latency_objective));
   return least;
 }
 
--- a/src/decision/health.h
+++ b/src/decision/health.h
@@ -62,18 +62,19 @@
 
   // Failures, time-outs, failed connects and unbroken refusals are one kind of evidence: it does not serve.
   // Also guards against pushing over whatever returns. Harm: chance failures start a ramp.
-  void noteOutcome(Guard& g, Result r, bool hard) {
+  void noteOutcome(Guard& g, AttemptResult r, bool hard) {
     g.last_end = now;
-    const bool unknown = r == Result::error || r == Result::timeout || r == Result::reset;
+    const bool unknown =
+        r == AttemptResult::error || r == AttemptResult::timeout || r == AttemptResult::reset;
     g.risk += kFailGain * ((unknown ? 1.0 : 0.0) - g.risk);
-    if (r == Result::ok) {
-      const bool brief = g.failed <= kFailMost && now - g.first_bad < set.fall_span / 2;
+    if (r == AttemptResult::ok) {
+      const bool brief = g.failed <= kFailMost && now - g.first_bad < set.overload_collapse_time / 2;
       g.failed -= kFailGain * g.failed;
       if (g.down) {
         g.down = false;
         g.cold_since = brief ? -kNever : now;
         g.u = static_cast<double>(now);  // trials of a dead one were paced far apart
-      } else if (g.streak > 0 && g.first_bad != kNever && now - g.last_ok > set.fall_span) {
+      } else if (g.streak > 0 && g.first_bad != kNever && now - g.last_ok > set.overload_collapse_time) {
         g.cold_since = now;
       }
       g.streak = g.refused = 0;
@@ -90,8 +91,8 @@
       ++g.refused;
     }
     const Micros bad_for = now - std::max(g.last_ok, g.first_bad);
-    const bool shut = g.refused >= kStreak && bad_for > set.fall_span / 2;
-    const bool dead = g.streak > 0 && (many() || g.streak >= kStreak || bad_for > set.fall_span);
+    const bool shut = g.refused >= kStreak && bad_for > set.overload_collapse_time / 2;
+    const bool dead = g.streak > 0 && (many() || g.streak >= kStreak || bad_for > set.overload_collapse_time);
     if (g.failed > kFailMost || shut || dead) {
       if (shut && !hard)
         g.streak = std::max(g.streak, 1);
@@ -103,18 +104,18 @@
 
   // A kept connection that turns out dead tells of the path; the next call on a fresh one of the endpoint. A
   // told wait counts whatever became of the rest of its answer, or of the call.
-  void learn(Server& s, Result r, Micros rtt, Micros wait, bool stale) {
-    const bool mute = r == Result::cancelled || r == Result::not_sent || stale;
+  void learn(Server& s, AttemptResult r, Micros rtt, Micros wait, bool stale) {
+    const bool mute = r == AttemptResult::cancelled || r == AttemptResult::not_sent || stale;
     if (mute && wait == 0)
       return;
-    const bool hard = r != Result::ok && r != Result::full, was_down = scope(s).down;
-    if (r == Result::ok)
+    const bool hard = r != AttemptResult::ok && r != AttemptResult::rejected, was_down = scope(s).down;
+    if (r == AttemptResult::ok)
       typical += (static_cast<double>(rtt) - typical) / ++typical_of;
     for (Guard* g : {&s.guard, &s.dest->guard}) {
       if (mute || (apart(s) && g != &s.guard))
         continue;
-      if (r == Result::ok || r == Result::timeout)
-        noteLatency(*g, static_cast<double>(rtt), r == Result::ok);
+      if (r == AttemptResult::ok || r == AttemptResult::timeout)
+        noteLatency(*g, static_cast<double>(rtt), r == AttemptResult::ok);
       noteOutcome(*g, r, hard);
       if (many() && hard && g->down)
         g->u = std::max(g->u, static_cast<double>(now) + comeBack(*g, *s.dest));
@@ -122,11 +123,11 @@
     if (s.guard.samples > 4 && !mute)
       paces.set(&s, s.guard.recent, now);
     Guard& g = scope(s);
-    if (r == Result::full && !g.down)
+    if (r == AttemptResult::rejected && !g.down)
       refusedAt(s, wait > 0);
     // Nothing goes there before a told wait is over; after a long one, an outage, each adds its spread.
     double spread = 0;
-    if (wait > set.fall_span / 2) {
+    if (wait > set.overload_collapse_time / 2) {
       g.down = true;
       g.cold_since = now;
       spread = comeBack(g, *s.dest);
@@ -140,14 +141,15 @@
   void keepHealth(Server& s, bool was_down) {
     Guard& g = scope(s);
     const bool waits = g.wait_until > now && g.wait_until > g.noted_wait;
-    if (!waits && g.down == was_down && std::abs(g.cold_since - g.noted) <= set.fall_span / 2)
+    if (!waits && g.down == was_down && std::abs(g.cold_since - g.noted) <= set.overload_collapse_time / 2)
       return;
     g.noted = g.cold_since;
     g.noted_wait = g.wait_until > now ? g.wait_until : 0;
-    acts.push_back(Ailment{apart(s) ? s.id : "", s.dest->id, g.down, g.cold_since, g.noted_wait, now});
+    acts.push_back(
+        DestinationHealth{apart(s) ? s.id : "", s.dest->id, g.down, g.cold_since, g.noted_wait, now});
   }
 
-  void onAilment(const Ailment& a) {
+  void onAilment(const DestinationHealth& a) {
     auto s = servers.find(a.endpoint);
     if (!a.endpoint.empty() && s == servers.end())
       return;
@@ -155,15 +157,16 @@
     dests[a.destination].id = a.destination;
     old_dests.at(now + kept(), a.destination);
     g.down = a.down;
-    g.cold_since = g.noted = a.cold_since;
-    g.wait_until = g.noted_wait = a.wait_until;
+    g.cold_since = g.noted = a.warming_since;
+    g.wait_until = g.noted_wait = a.retry_after_until;
     if (!a.down)
       return;
     g.streak = std::max(g.streak, 1);
-    g.first_bad = std::min(g.first_bad, a.cold_since - set.fall_span);  // no brief one: it ends in a ramp
+    g.first_bad = std::min(g.first_bad,
+                           a.warming_since - set.overload_collapse_time);  // no brief one: it ends in a ramp
   }
 
-  int laneSlots() const { return std::max(1, static_cast<int>(kLaneShare * set.slots)); }
+  int laneSlots() const { return std::max(1, static_cast<int>(kLaneShare * set.max_in_flight)); }
   int laneUsed() const {
     std::set<std::uint64_t> used;  // calls, not messages: several may share one
     for (auto& [order, o] : outs)
@@ -175,7 +178,7 @@
   // Calls that were out when their destination fell sick may hold more than the lane. With no slot left for
   // the healthy the most overdue are called off, those first that may go again. Harm: a slow answer is lost.
   void clearLane() {
-    if (!set.may_cancel || static_cast<int>(calls.size()) < set.slots)
+    if (!set.cancel_allowed || static_cast<int>(calls.size()) < set.max_in_flight)
       return;
     int excess = laneUsed() - laneSlots();
     std::vector<std::pair<Message*, std::size_t>> late;
@@ -187,13 +190,13 @@
         late.push_back(o);
     }
     std::stable_sort(late.begin(), late.end(), [](const auto& a, const auto& b) {
-      return a.first->cls->effect < b.first->cls->effect;
+      return a.first->cls->idempotency < b.first->cls->idempotency;
     });
     for (auto& [m, i] : late) {
       if (excess-- <= 0)
         return;
       m->attempts[i].called_off = true;
-      acts.push_back(Cancel{m->id, static_cast<int>(i)});
+      acts.push_back(CancelAttempt{m->id, static_cast<int>(i)});
     }
   }
 };
--- a/src/decision/logic.cpp
+++ b/src/decision/logic.cpp
@@ -10,18 +10,18 @@
 struct Turn : Retune {
   using Retune::Retune;
 
-  void on(const Arrival& e) { onArrival(e); }
-  void on(const Resumed& e) { onResumed(e); }
-  void on(const Ailment& e) { onAilment(e); }
-  void on(const Stopping& e) { stop_at = e.at; }
-  void on(const Outcome& e) { onOutcome(e); }
-  void on(const ListUpdate& e) { onList(e); }
-  void on(const Wake&) {}
-  void on(const Lesson& e) { onLesson(e); }
-  void on(const Experience& e) { onExperience(e); }
-  void on(const Survey& e) { onSurvey(e); }
-  void on(const Retuned& e) { onRetuned(e); }
-  void on(const Gone& e) {
+  void on(const MessageArrival& e) { onArrival(e); }
+  void on(const RecoveredMessage& e) { onResumed(e); }
+  void on(const DestinationHealth& e) { onAilment(e); }
+  void on(const ShutdownScheduled& e) { stop_at = e.at; }
+  void on(const AttemptOutcome& e) { onOutcome(e); }
+  void on(const EndpointListUpdate& e) { onList(e); }
+  void on(const TimerFired&) {}
+  void on(const LearnedEndpoint& e) { onLesson(e); }
+  void on(const LearnedPool& e) { onExperience(e); }
+  void on(const ExportLearned& e) { onSurvey(e); }
+  void on(const SettingsChanged& e) { onRetuned(e); }
+  void on(const MessageWithdrawn& e) {
     auto it = messages.find(e.id);
     if (it == messages.end())
       return;
@@ -34,11 +34,11 @@
       next_wake = std::min(next_wake, ends.begin()->first);
     if (next_wake == kNever)
       return;
-    next_wake = std::max(next_wake, now + std::max<Micros>(1, set.tick));
+    next_wake = std::max(next_wake, now + std::max<Micros>(1, set.min_decide_interval));
     if (wake_at > now && wake_at <= next_wake)
       return;
     wake_at = next_wake;
-    acts.push_back(WakeIn{wake_at - now});
+    acts.push_back(SetTimer{wake_at - now});
   }
 
   std::vector<Action> decide(Micros at, const std::vector<Event>& events) {
@@ -48,7 +48,7 @@
     for (const Event& e : events)
       std::visit([this](const auto& x) { on(x); }, e);
     // A slowdown common to all is no sickness: each is held against the median of what all show.
-    paces.expire(now - 2 * set.fall_span);
+    paces.expire(now - 2 * set.overload_collapse_time);
     common_slow = paces.size() < 3 ? 1 : std::max(1.0, paces.median());
     countOverdue();
     endLate();
--- a/src/decision/recall.h
+++ b/src/decision/recall.h
@@ -11,42 +11,42 @@
   using Membership::Membership;
 
   void give(const Guard& g, const std::string& endpoint, const Dest& d) {
-    Lesson l;
+    LearnedEndpoint l;
     l.endpoint = endpoint;
     l.destination = d.id;
-    l.limit = g.limit;
-    l.told = g.told;
-    l.part = g.limit > 0 ? g.part : 0;
-    l.usual = g.samples > 0 ? static_cast<Micros>(g.usual) : 0;
+    l.rate_limit = g.limit;
+    l.limit_is_reported = g.told;
+    l.quota_fraction = g.limit > 0 ? g.part : 0;
+    l.typical_latency = g.samples > 0 ? static_cast<Micros>(g.usual) : 0;
     l.samples = g.samples;
-    l.risk = g.risk;
-    l.heard = std::max<Micros>(0, g.last_end);
+    l.unknown_outcome_fraction = g.risk;
+    l.last_outcome_at = std::max<Micros>(0, g.last_end);
     if (endpoint.empty()) {
-      l.traffic = perSecond(d.traffic);
-      l.came = d.traffic.latest();
+      l.message_rate = perSecond(d.traffic);
+      l.last_message_at = d.traffic.latest();
     }
-    if (l.heard > 0 || l.came > 0)
+    if (l.last_outcome_at > 0 || l.last_message_at > 0)
       acts.push_back(std::move(l));
   }
 
-  void onSurvey(const Survey& q) {
-    Surveyed end;
+  void onSurvey(const ExportLearned& q) {
+    LearnedExported end;
     end.after = q.after;
     auto it = dests.upper_bound(q.after);
-    for (int left = q.most; it != dests.end() && left > 0; ++it, --left) {
+    for (int left = q.max_destinations; it != dests.end() && left > 0; ++it, --left) {
       end.after = it->first;
       give(it->second.guard, "", it->second);
       for (const Server* s : it->second.servers)
         give(s->guard, s->id, it->second);
     }
-    end.all = it == dests.end();
+    end.complete = it == dests.end();
     end.pool = {
         typical, typical_of, dead_score, dead_score > 0 ? dead_least : 0, std::max<Micros>(0, dead_at), now};
     acts.push_back(end);
   }
 
   // What this process has learned already counts more.
-  void onLesson(const Lesson& l) {
+  void onLesson(const LearnedEndpoint& l) {
     const auto s = servers.find(l.endpoint);
     const bool whole = l.endpoint.empty();
     if (!whole && (s == servers.end() || s->second.dest->id != l.destination))
@@ -58,33 +58,33 @@
     Guard& g = whole ? d.guard : s->second.guard;
     if (g.last_end != -kNever)
       return;
-    if (l.limit > 0 && (l.told || g.limit <= 0)) {
-      g.limit = l.limit;
-      g.told = l.told;
+    if (l.rate_limit > 0 && (l.limit_is_reported || g.limit <= 0)) {
+      g.limit = l.rate_limit;
+      g.told = l.limit_is_reported;
     }
-    if (l.part > 0) {
-      g.part = std::min(l.part, g.told ? 1.0 : 1e3);
+    if (l.quota_fraction > 0) {
+      g.part = std::min(l.quota_fraction, g.told ? 1.0 : 1e3);
       g.part_at = now;
     }
-    if (l.samples > 0 && l.usual > 0) {
-      g.usual = static_cast<double>(l.usual);
+    if (l.samples > 0 && l.typical_latency > 0) {
+      g.usual = static_cast<double>(l.typical_latency);
       g.samples = l.samples;
     }
-    g.risk = std::clamp(l.risk, 0.0, 1.0);
-    if (whole && l.traffic > 0 && d.traffic.latest() == 0)
-      d.traffic.set(now, l.traffic);
+    g.risk = std::clamp(l.unknown_outcome_fraction, 0.0, 1.0);
+    if (whole && l.message_rate > 0 && d.traffic.latest() == 0)
+      d.traffic.set(now, l.message_rate);
   }
 
-  void onExperience(const Experience& p) {
-    if (typical_of == 0 && p.typical_of > 0) {
-      typical = p.typical;
-      typical_of = p.typical_of;
+  void onExperience(const LearnedPool& p) {
+    if (typical_of == 0 && p.latency_samples > 0) {
+      typical = p.mean_latency;
+      typical_of = p.latency_samples;
     }
-    if (dead_score > 0 || p.dead_score <= 0)
+    if (dead_score > 0 || p.stale_connection_score <= 0)
       return;
-    dead_score = p.dead_score;
-    dead_least = p.dead_least;
-    dead_at = p.dead_at;
+    dead_score = p.stale_connection_score;
+    dead_least = p.stale_after_idle;
+    dead_at = p.stale_observed_at;
   }
 };
 
--- a/src/decision/retention.h
+++ b/src/decision/retention.h
@@ -34,7 +34,7 @@
     };
     const auto forget_health = [this](const Guard& g, const std::string& endpoint, std::int64_t destination) {
       if (g.noted != -kNever)
-        acts.push_back(Ailment{endpoint, destination, false, -kNever, 0, now});
+        acts.push_back(DestinationHealth{endpoint, destination, false, -kNever, 0, now});
     };
     std::string id;
     while (old_servers.due(now, id)) {
--- a/src/decision/retune.h
+++ b/src/decision/retune.h
@@ -11,16 +11,16 @@
 struct Retune : Recall {
   using Recall::Recall;
 
-  void onRetuned(const Retuned& e) {
+  void onRetuned(const SettingsChanged& e) {
     const Settings old = std::exchange(set, e.settings);  // servers point at its kinds until they are moved
     classes = classesOf(set);
     least_aim = leastAim(set);
-    if (set.list != old.list)
-      ask_at = set.list == ListMode::ask ? 0 : kNever;
+    if (set.list_mode != old.list_mode)
+      ask_at = set.list_mode == ListMode::poll ? 0 : kNever;
     for (auto& [id, s] : servers) {
-      const Kind* had = s.kind;
+      const DestinationKind* had = s.kind;
       s.kind = &plain_kind;
-      for (const Kind& k : set.kinds)
+      for (const DestinationKind& k : set.kinds)
         if (had != &plain_kind && k.name == had->name)
           s.kind = &k;
     }
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -48,7 +48,7 @@
 struct Server {
   std::string id, zone;
   Dest* dest = nullptr;
-  const Kind* kind = nullptr;
+  const DestinationKind* kind = nullptr;
   EndpointState state = EndpointState::gone;
   double weight = 0;
   int out = 0;       // calls out
@@ -143,23 +143,23 @@
   double common_slow = 1, least_aim = 0;
   double dead_score = 0;  // signs of connections that die idle, decayed; the shortest that died
   Micros dead_least = kNever, dead_at = -kNever;
-  Kind plain_kind;
+  DestinationKind plain_kind;
 
   State(Settings s, std::uint64_t seed) : set(std::move(s)), random(seed) {
     tenant_rate.resize(set.tenants.size());
     classes = classesOf(set);
     least_aim = leastAim(set);
-    ask_at = set.list == ListMode::ask ? 0 : kNever;
+    ask_at = set.list_mode == ListMode::poll ? 0 : kNever;
   }
 
-  bool apart(const Server& s) const { return s.kind->routes_apart; }
+  bool apart(const Server& s) const { return s.kind->has_separate_routes; }
   Guard& scope(Server& s) { return apart(s) ? s.guard : s.dest->guard; }
 
   // The list told of a drain or removal: nothing new goes there from that moment, well inside the grace.
   bool usable(const Server& s) const { return s.state == EndpointState::ready; }
 
-  bool cold(const Guard& g) const { return g.down || now - g.cold_since < set.ramp_time; }
-  bool many() const { return kRare * set.senders > 1; }
+  bool cold(const Guard& g) const { return g.down || now - g.cold_since < set.slow_start_time; }
+  bool many() const { return kRare * set.sender_count > 1; }
 
   double readyServers(const Dest& d) const {
     const auto n =
@@ -169,11 +169,14 @@
 
   // What is gone is remembered at least so long: an id that returns before finds its state.
   Micros kept() const {
-    return 1 + std::max(2 * set.fall_span, static_cast<Micros>(kRemember * trafficSpan() * kSecond));
+    return 1 +
+           std::max(2 * set.overload_collapse_time, static_cast<Micros>(kRemember * trafficSpan() * kSecond));
   }
 
-  double fallSpan() const { return static_cast<double>(std::max<Micros>(1, set.fall_span)); }
-  double trafficSpan() const { return static_cast<double>(std::max<Micros>(1, set.ramp_time)) / kSecond; }
+  double fallSpan() const { return static_cast<double>(std::max<Micros>(1, set.overload_collapse_time)); }
+  double trafficSpan() const {
+    return static_cast<double>(std::max<Micros>(1, set.slow_start_time)) / kSecond;
+  }
   double perSecond(const Rate& r) const { return r.perSecond(now, trafficSpan()); }
   void count(Rate& r) { r.count(now, trafficSpan()); }
 
--- a/src/decision/tags.h
+++ b/src/decision/tags.h
@@ -21,7 +21,7 @@
 
   double weightOf(const Dest& d) const {
     for (const Server* s : d.servers)
-      if (s->state == EndpointState::ready && set.weights != WeightKind::none && s->weight > 0)
+      if (s->state == EndpointState::ready && set.weight_kind != WeightKind::none && s->weight > 0)
         return s->weight;
     return 1;
   }
@@ -39,7 +39,7 @@
     m.not_before = not_before;
     m.held_as = ++next_held;
     d.held.add(&m);
-    d.aims.insert(static_cast<double>(m.cls->aim));
+    d.aims.insert(static_cast<double>(m.cls->latency_objective));
     ++held_all;
     d.period = *d.aims.begin();  // M: one start for each aim of the most urgent held class
     const double step = kSecond / weightOf(d), t = static_cast<double>(now);
@@ -55,7 +55,7 @@
   void unhold(Message& m, bool started) {
     Dest& d = *m.dest;
     d.held.remove(&m);
-    d.aims.erase(d.aims.find(static_cast<double>(m.cls->aim)));
+    d.aims.erase(d.aims.find(static_cast<double>(m.cls->latency_objective)));
     --held_all;
     m.held = false;
     if (started) {
@@ -117,11 +117,11 @@
   double tenantFactor(int t) const {
     if (t < 0)
       return 1;
-    const double quota = set.tenants[static_cast<std::size_t>(t)].quota / set.senders;
+    const double quota = set.tenants[static_cast<std::size_t>(t)].quota / set.sender_count;
     const double rate = perSecond(tenant_rate[static_cast<std::size_t>(t)]);
     if (quota <= 0 || rate <= quota)
       return 1;
-    return quota / rate + (1 - quota / rate) * set.over_share_worth;
+    return quota / rate + (1 - quota / rate) * set.over_quota_weight;
   }
 
   // Which held message of a destination takes its tag: the one that loses most by waiting for the backlog.
@@ -132,11 +132,11 @@
     double share = 1;
     if (age >= deadline)
       return 0;
-    if (age > aim && set.late == LateRule::line)
-      share = 1 - (1 - c.late_worth) * (age - aim) / (deadline - aim);
+    if (age > aim && set.lateness_penalty == LatenessPenalty::linear)
+      share = 1 - (1 - c.late_weight_fraction) * (age - aim) / (deadline - aim);
     else if (age > aim)
-      share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
-    return c.worth * share * tenantFactor(m.tenant);
+      share = std::max(c.late_weight_fraction, std::exp2(-(age - aim) / aim));
+    return c.priority_weight * share * tenantFactor(m.tenant);
   }
 };
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -25,23 +25,23 @@
 Agent::Agent(asio::io_context& io, tcp::endpoint peer, std::string host)
     : io_(io), peer_(std::move(peer)), host_(std::move(host)), timer_(io) {}
 
-void Agent::ask(HttpRequest request, Micros limit, HttpConnection::Done done) {
+void Agent::request(HttpRequest request, Micros limit, HttpConnection::Done done) {
   if (!connection_ || !connection_->reusable())
     connection_ = std::make_unique<HttpConnection>(io_, peer_, host_, kListLimit);
-  connection_->exchange(std::move(request), Asking::kConnect, limit, std::move(done));
+  connection_->exchange(std::move(request), PollSchedule::kConnect, limit, std::move(done));
 }
 
-void Agent::later(Micros pause, std::function<void()> then) {
+void Agent::retryAfterDelay(Micros pause, std::function<void()> then) {
   connection_.reset();
   timer_.expires_after(std::chrono::microseconds(pause));
-  timer_.async_wait([this, mine = ++turn_, then = std::move(then)](const boost::system::error_code& e) {
-    if (!e && mine == turn_)
+  timer_.async_wait([this, mine = ++generation_, then = std::move(then)](const boost::system::error_code& e) {
+    if (!e && mine == generation_)
       then();
   });
 }
 
 void Agent::stop() {
-  ++turn_;
+  ++generation_;
   timer_.cancel();
   connection_.reset();
 }
@@ -52,80 +52,80 @@
   host_ = std::move(host);
 }
 
-void Watcher::start(std::int64_t from) {
-  ++asked_;
+void EndpointWatcher::start(std::int64_t from) {
+  ++generation_;
   agent_.stop();
   from_ = from;
-  ask();
+  poll();
 }
 
-void Watcher::moveTo(tcp::endpoint peer, std::string host) {
+void EndpointWatcher::moveTo(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
-  asking_.answered();  // another agent: what was learned of the one before says nothing of it
+  schedule_.onAnswered();  // another agent: what was learned of the one before says nothing of it
   silent_ = false;
   start(-1);
 }
 
-void Watcher::ask() {
+void EndpointWatcher::poll() {
   HttpRequest r;
   r.method = "GET";
   r.target = "/v1/endpoints";
-  const Micros hold = silent_ || from_ < 0 ? 0 : Asking::kHold;
+  const Micros hold = silent_ || from_ < 0 ? 0 : PollSchedule::kHold;
   if (from_ >= 0)
     r.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(hold / 1000);
-  agent_.ask(std::move(r), hold + Asking::kSilence, [this](const HttpAnswer& a) {
+  agent_.request(std::move(r), hold + PollSchedule::kSilence, [this](const HttpAnswer& a) {
     if (a.how != Exchanged::answered || a.status != 200 || !a.whole) {
       const bool turned_away = a.how == Exchanged::answered && a.status == kTurnedAway;
       silent_ = !turned_away;
-      return askLater(turned_away ? asking_.afterTurnedAway() : asking_.afterBroken());
+      return schedulePoll(turned_away ? schedule_.delayAfterRejection() : schedule_.delayAfterFailure());
     }
     if (a.body.size() <= kReadAtOnce)
-      return take([&a] { return readList(json::parse(a.body)); });
+      return take([&a] { return parseEndpointList(json::parse(a.body)); });
     // A long list is read on the worker: it would hold up the loop for its length.
-    worker_.run([this, mine = asked_, body = a.body]() -> std::function<void()> {
-      std::packaged_task<ListAnswer()> read([&body] { return readList(json::parse(body)); });
+    worker_.run([this, mine = generation_, body = a.body]() -> std::function<void()> {
+      std::packaged_task<EndpointListAnswer()> read([&body] { return parseEndpointList(json::parse(body)); });
       read();
-      const auto answer = std::make_shared<std::future<ListAnswer>>(read.get_future());
+      const auto answer = std::make_shared<std::future<EndpointListAnswer>>(read.get_future());
       return [this, mine, answer] {
-        if (mine == asked_)
+        if (mine == generation_)
           take([&answer] { return answer->get(); });
       };
     });
   });
 }
 
-void Watcher::take(const std::function<ListAnswer()>& read) {
+void EndpointWatcher::take(const std::function<EndpointListAnswer()>& read) {
   try {
     from_ = on_answer_(read());
   } catch (const std::exception& e) {
     // Guards against one garbled answer ending the watch: the whole list is asked for afresh.
-    log::write(log::Event::discovery_garbled, {{"cause", e.what()}});
+    log::write(log::Event::discovery_malformed, {{"cause", e.what()}});
     from_ = -1;
-    return askLater(asking_.afterBroken());
+    return schedulePoll(schedule_.delayAfterFailure());
   }
-  asking_.answered();
+  schedule_.onAnswered();
   silent_ = false;
-  ask();
+  poll();
 }
 
-void Watcher::askLater(Micros pause) {
-  agent_.later(pause, [this] { ask(); });
+void EndpointWatcher::schedulePoll(Micros pause) {
+  agent_.retryAfterDelay(pause, [this] { poll(); });
 }
 
-void Notices::owe(const std::string& id, const Notice& notice) {
+void NoticeClient::enqueueNotice(const std::string& id, const Notice& notice) {
   owed_.emplace_back(id, notice);
   if (out_ == 0 && !waiting_)
     send();
 }
 
-void Notices::moveTo(tcp::endpoint peer, std::string host) {
+void NoticeClient::moveTo(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
   out_ = 0;
   waiting_ = false;
   send();
 }
 
-void Notices::send() {
+void NoticeClient::send() {
   if (owed_.empty())
     return;
   out_ = std::min(owed_.size(), most_);
@@ -135,12 +135,12 @@
   r.fields.emplace_back("Content-Type", "application/json");
   for (std::size_t i = 0; i < out_; ++i) {
     json line{{"message", owed_[i].first},
-              {"outcome", owed_[i].second.handed_back ? "handed_back" : "given_up"}};
-    if (owed_[i].second.handed_back && owed_[i].second.retry_in_ms > 0)
-      line["retry_in_ms"] = owed_[i].second.retry_in_ms;
+              {"outcome", owed_[i].second.returned ? "handed_back" : "given_up"}};
+    if (owed_[i].second.returned && owed_[i].second.retry_after_ms > 0)
+      line["retry_in_ms"] = owed_[i].second.retry_after_ms;
     r.body += line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
   }
-  agent_.ask(std::move(r), kNoticeLimit, [this](const HttpAnswer& a) {
+  agent_.request(std::move(r), kNoticeLimit, [this](const HttpAnswer& a) {
     const std::size_t told = out_;
     out_ = 0;
     const bool unreadable = a.how == Exchanged::answered && a.status == 400;
@@ -149,10 +149,10 @@
       return send();
     }
     if (unreadable)
-      log::write(log::Event::discovery_notice_refused, {{"message", owed_.front().first}});
+      log::write(log::Event::discovery_notice_rejected, {{"message", owed_.front().first}});
     if (!unreadable && (a.how != Exchanged::answered || a.status / 100 != 2)) {
       waiting_ = true;
-      return agent_.later(kNoticePause, [this] {
+      return agent_.retryAfterDelay(kNoticePause, [this] {
         waiting_ = false;
         send();
       });
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -9,11 +9,11 @@
 #include <memory>
 #include <set>
 
-#include "../core/notices.h"
+#include "../core/delivery_notifier.h"
 #include "../core/worker.h"
 #include "../membership/membership.h"
 #include "../net/http_connection.h"
-#include "asking.h"
+#include "poll_schedule.h"
 
 namespace grademux {
 
@@ -21,14 +21,15 @@
 class Agent {
  public:
   Agent(boost::asio::io_context& io, tcp::endpoint peer, std::string host);
-  void ask(HttpRequest request, Micros limit, HttpConnection::Done done);
-  void later(Micros pause, std::function<void()> then);  // drops the connection, goes on after the pause
-  void moveTo(tcp::endpoint peer, std::string host);     // calls off what is under way
-  void stop();                                           // the same, and drops the connection
+  void request(HttpRequest request, Micros limit, HttpConnection::Done done);
+  void retryAfterDelay(Micros pause,
+                       std::function<void()> then);   // drops the connection, goes on after the pause
+  void moveTo(tcp::endpoint peer, std::string host);  // calls off what is under way
+  void stop();                                        // the same, and drops the connection
 
  private:
   boost::asio::io_context& io_;
-  std::uint64_t turn_ = 0;  // what belongs to an earlier one is ignored
+  std::uint64_t generation_ = 0;  // what belongs to an earlier one is ignored
   tcp::endpoint peer_;
   std::string host_;
   std::unique_ptr<HttpConnection> connection_;
@@ -36,43 +37,46 @@
 };
 
 // The platform's membership.
-class Watcher : public Membership {
+class EndpointWatcher : public Membership {
  public:
   // The loop must not run on once this is gone. `senders`: how many of them ask the same discovery.
-  Watcher(Agent agent, Worker& worker, Hear on_answer, int senders, std::uint64_t seed)
-      : agent_(std::move(agent)), worker_(worker), on_answer_(std::move(on_answer)), asking_(senders, seed) {}
+  EndpointWatcher(Agent agent, Worker& worker, OnAnswer on_answer, int senders, std::uint64_t seed)
+      : agent_(std::move(agent)),
+        worker_(worker),
+        on_answer_(std::move(on_answer)),
+        schedule_(senders, seed) {}
   void start(std::int64_t from) override;
   void refresh() override {}                          // it is told at once of all that changes
   void moveTo(tcp::endpoint peer, std::string host);  // asks there, for the whole list
   // Asks no more, until it is started again.
   void pause() {
-    ++asked_;
+    ++generation_;
     agent_.stop();
   }
-  void setSenders(int senders) { asking_.setSenders(senders); }
+  void setSenderCount(int senders) { schedule_.setSenderCount(senders); }
 
  private:
-  void ask();
-  void askLater(Micros pause);
-  void take(const std::function<ListAnswer()>& read);
+  void poll();
+  void schedulePoll(Micros pause);
+  void take(const std::function<EndpointListAnswer()>& read);
 
   Agent agent_;
   Worker& worker_;
-  Hear on_answer_;
-  Asking asking_;
+  OnAnswer on_answer_;
+  PollSchedule schedule_;
   std::int64_t from_ = -1;
-  bool silent_ = false;      // the last call broke off or was not answered
-  std::uint64_t asked_ = 0;  // counts starts: a list of before one that is read still is ignored
+  bool silent_ = false;           // the last call broke off or was not answered
+  std::uint64_t generation_ = 0;  // counts starts: a list of before one that is read still is ignored
 };
 
 // Sends notices until each has been answered, however often that takes.
-class Notices : public EndNotices {
+class NoticeClient : public DeliveryNotifier {
  public:
   using OnTold = std::function<void(const std::string& id)>;
-  Notices(Agent agent, OnTold on_told) : agent_(std::move(agent)), on_told_(std::move(on_told)) {}
-  void owe(const std::string& id, const Notice& notice) override;
+  NoticeClient(Agent agent, OnTold on_told) : agent_(std::move(agent)), on_told_(std::move(on_told)) {}
+  void enqueueNotice(const std::string& id, const Notice& notice) override;
   void moveTo(tcp::endpoint peer, std::string host);  // all that is owed is told there
-  std::size_t owed() const override { return owed_.size(); }
+  std::size_t pendingNotices() const override { return owed_.size(); }
 
  private:
   void send();
--- a/src/discovery/asking.h
+++ b/src/discovery/poll_schedule.h
@@ -16,7 +16,7 @@
 
 namespace grademux {
 
-class Asking {
+class PollSchedule {
  public:
   // A watch call may wait so long for news; an answer that is later than that by kSilence won't come. A
   // change counts as told 6 s after discovery had it and could be reached, whatever became of the call
@@ -34,19 +34,19 @@
   static constexpr Micros kPause = 100'000, kBrokenMost = 1'000'000;
 
   // `senders`: how many ask the same discovery; 1 or less: nobody else.
-  Asking(int senders, std::uint64_t seed) : senders_(std::max(1, senders)), pauses_(seed) {}
+  PollSchedule(int senders, std::uint64_t seed) : senders_(std::max(1, senders)), pauses_(seed) {}
 
-  void setSenders(int senders) { senders_ = std::max(1, senders); }
+  void setSenderCount(int senders) { senders_ = std::max(1, senders); }
 
   // How long to wait, in microseconds.
-  Micros afterBroken() { return pauses_.next(kPause, kBrokenMost); }
+  Micros delayAfterFailure() { return pauses_.next(kPause, kBrokenMost); }
   // It answered that it can't answer (503): too many ask.
-  Micros afterTurnedAway() {
+  Micros delayAfterRejection() {
     const Micros alone = pauses_.next(kPause, kBrokenMost);
     const Micros most = ++refusals_ > kSoonRefusals ? kSpreadMost : kSpreadSoon;
     return std::max(alone, pauses_.within(spread(kFurtherCalls, most)));
   }
-  void answered() {
+  void onAnswered() {
     pauses_.succeeded();
     refusals_ = 0;
   }
--- a/src/fleet/command.h
+++ b/src/fleet/command.h
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "part.h"
+#include "fleet_member.h"
 
 namespace grademux::fleet {
 
@@ -17,7 +17,7 @@
 struct Change {
   std::string by, why;
   std::optional<std::string> settings, daemon, program;  // digests and version; empty: whatever a sender has
-  std::optional<std::int64_t> list;
+  std::optional<std::int64_t> listPrefix;
   std::string like;  // asks for what this sender acts by
   std::optional<bool> strict;
   std::optional<Micros> lease, binds_after;
@@ -25,7 +25,7 @@
 };
 
 // What all senders told last. Throws when the store does not answer.
-std::vector<Report> reports(const Where& where);
+std::vector<SenderReport> reports(const Where& where);
 int status(const Where& where, bool as_json);
 int showPlan(const Where& where, bool as_json);
 int propose(const Where& where, const Change& change);
--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -62,7 +62,7 @@
   return std::max<std::int64_t>(0, n);
 }
 
-void readEntries(const HttpAnswer& a, Answered& to) {
+void readEntries(const HttpAnswer& a, StoreResult& to) {
   to.index = indexOf(a);
   if (a.status == 404)
     return;
@@ -70,17 +70,17 @@
   if (!all.is_array())
     bad("a list of entries is expected");
   for (const json& e : all) {
-    Entry entry;
+    StoreEntry entry;
     entry.key = text(e, "Key");
     entry.value = absent(e, "Value") ? "" : decoded(text(e, "Value"));
     entry.session = text(e, "Session", "");
-    entry.changed = integer(e, "ModifyIndex");
+    entry.modify_index = integer(e, "ModifyIndex");
     to.entries.push_back(std::move(entry));
   }
 }
 
-void readTruth(const HttpAnswer& a, Answered& to) {
-  to.done = a.status == 200 && a.body.compare(0, 4, "true") == 0;
+void readTruth(const HttpAnswer& a, StoreResult& to) {
+  to.applied = a.status == 200 && a.body.compare(0, 4, "true") == 0;
 }
 
 }  // namespace
@@ -94,7 +94,7 @@
 }
 
 void Consul::ask(Line& line, const std::string& method, const std::string& target, const std::string& body,
-                 Micros limit, Read read, Done done) {
+                 Micros limit, Read read, Callback done) {
   Call call;
   call.request.method = method;
   call.request.target = target;
@@ -119,20 +119,20 @@
   line.connection->exchange(
       std::move(call.request), connect, call.limit,
       [this, &line, read = std::move(call.read), done = std::move(call.done), address](const HttpAnswer& a) {
-        Answered to;
-        to.clock = dateOf(a);
+        StoreResult to;
+        to.store_time = dateOf(a);
         const bool sound = a.how == Exchanged::answered && a.whole && (a.status == 200 || a.status == 404);
         if (sound) {
           try {
             read(a, to);
             to.ok = true;
           } catch (const std::exception& e) {
-            to.why = address + ": " + e.what();
+            to.error = address + ": " + e.what();
           }
         } else {
-          to.why = address + (a.how == Exchanged::answered
-                                  ? " answers " + std::to_string(a.status) + " " + a.body.substr(0, 120)
-                                  : " does not answer");
+          to.error = address + (a.how == Exchanged::answered
+                                    ? " answers " + std::to_string(a.status) + " " + a.body.substr(0, 120)
+                                    : " does not answer");
         }
         if (!to.ok) {
           ++line.at;
@@ -144,7 +144,7 @@
       });
 }
 
-void Consul::read(const std::string& key, std::int64_t after, Micros wait, Done done) {
+void Consul::read(const std::string& key, std::int64_t after, Micros wait, Callback done) {
   std::string target = "/v1/kv/" + encoded(key) + "?consistent";
   const bool held = after > 0;
   if (held)
@@ -153,17 +153,18 @@
   ask(held_, "GET", target, "", limit_ + (held ? wait + wait / 16 : 0), readEntries, std::move(done));
 }
 
-void Consul::list(const std::string& prefix, Done done) {
+void Consul::listPrefix(const std::string& prefix, Callback done) {
   ask(quick_, "GET", "/v1/kv/" + encoded(prefix) + "?consistent&recurse", "", limit_, readEntries,
       std::move(done));
 }
 
-void Consul::swap(const std::string& key, const std::string& value, std::int64_t changed, Done done) {
+void Consul::compareAndSwap(const std::string& key, const std::string& value, std::int64_t changed,
+                            Callback done) {
   ask(quick_, "PUT", "/v1/kv/" + encoded(key) + "?cas=" + std::to_string(changed), value, limit_, readTruth,
       std::move(done));
 }
 
-void Consul::open(const std::string& name, Micros ttl, Done done) {
+void Consul::openSession(const std::string& name, Micros ttl, Callback done) {
   // What a session held stays to be read: who was there, and as what.
   const json o = {{"Name", name},
                   {"TTL", std::to_string(ttl / 1'000'000) + "s"},
@@ -171,26 +172,27 @@
                   {"LockDelay", "0s"}};
   ask(
       quick_, "PUT", "/v1/session/create", o.dump(), limit_,
-      [](const HttpAnswer& a, Answered& to) {
+      [](const HttpAnswer& a, StoreResult& to) {
         if (a.status != 200)
           bad("no session is given");
         to.session = text(json::parse(a.body), "ID");
-        to.done = true;
+        to.applied = true;
       },
       std::move(done));
 }
 
-void Consul::renew(const std::string& session, Done done) {
+void Consul::renewSession(const std::string& session, Callback done) {
   ask(
       quick_, "PUT", "/v1/session/renew/" + encoded(session), "", limit_,
-      [](const HttpAnswer& a, Answered& to) { to.done = a.status == 200; }, std::move(done));
+      [](const HttpAnswer& a, StoreResult& to) { to.applied = a.status == 200; }, std::move(done));
 }
 
-void Consul::close(const std::string& session, Done done) {
+void Consul::destroySession(const std::string& session, Callback done) {
   ask(quick_, "PUT", "/v1/session/destroy/" + encoded(session), "", limit_, readTruth, std::move(done));
 }
 
-void Consul::hold(const std::string& key, const std::string& value, const std::string& session, Done done) {
+void Consul::acquireKey(const std::string& key, const std::string& value, const std::string& session,
+                        Callback done) {
   ask(quick_, "PUT", "/v1/kv/" + encoded(key) + "?acquire=" + encoded(session), value, limit_, readTruth,
       std::move(done));
 }
--- a/src/fleet/consul.h
+++ b/src/fleet/consul.h
@@ -17,21 +17,23 @@
   // be read. `limit`: for an answer that is not held back.
   Consul(boost::asio::io_context& io, std::vector<std::string> addresses, Micros limit = 2'000'000);
 
-  void read(const std::string& key, std::int64_t after, Micros wait, Done done) override;
-  void list(const std::string& prefix, Done done) override;
-  void swap(const std::string& key, const std::string& value, std::int64_t changed, Done done) override;
-  void open(const std::string& name, Micros ttl, Done done) override;
-  void renew(const std::string& session, Done done) override;
-  void close(const std::string& session, Done done) override;
-  void hold(const std::string& key, const std::string& value, const std::string& session, Done done) override;
+  void read(const std::string& key, std::int64_t after, Micros wait, Callback done) override;
+  void listPrefix(const std::string& prefix, Callback done) override;
+  void compareAndSwap(const std::string& key, const std::string& value, std::int64_t changed,
+                      Callback done) override;
+  void openSession(const std::string& name, Micros ttl, Callback done) override;
+  void renewSession(const std::string& session, Callback done) override;
+  void destroySession(const std::string& session, Callback done) override;
+  void acquireKey(const std::string& key, const std::string& value, const std::string& session,
+                  Callback done) override;
 
  private:
-  using Read = std::function<void(const HttpAnswer&, Answered&)>;  // of an answer with status 200 or 404
+  using Read = std::function<void(const HttpAnswer&, StoreResult&)>;  // of an answer with status 200 or 404
   struct Call {
     HttpRequest request;
     Micros limit = 0;
     Read read;
-    Done done;
+    Callback done;
   };
   // One exchange at a time, the others wait in line.
   struct Line {
@@ -41,7 +43,7 @@
     bool busy = false;
   };
   void ask(Line& line, const std::string& method, const std::string& target, const std::string& body,
-           Micros limit, Read read, Done done);
+           Micros limit, Read read, Callback done);
   void next(Line& line);
 
   boost::asio::io_context& io_;
--- a/src/fleet/plan.cpp
+++ b/src/fleet/plan.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-json shownNeeds(const Needs& n) {
+json shownNeeds(const PlanRequirements& n) {
   json o = json::object();
   if (!n.settings.empty())
     o["settings"] = n.settings;
@@ -19,18 +19,18 @@
     o["daemon"] = n.daemon;
   if (!n.program.empty())
     o["program"] = n.program;
-  if (n.list >= 0)
-    o["list"] = n.list;
+  if (n.listPrefix >= 0)
+    o["list"] = n.listPrefix;
   return o;
 }
 
-Needs readNeeds(const json& o, const std::string& path, std::vector<std::string>& unknown) {
-  Needs n;
+PlanRequirements readNeeds(const json& o, const std::string& path, std::vector<std::string>& unknown) {
+  PlanRequirements n;
   n.settings = text(o, "settings", "");
   n.daemon = text(o, "daemon", "");
   n.program = text(o, "program", "");
   if (!absent(o, "list"))
-    n.list = integer(o, "list");
+    n.listPrefix = integer(o, "list");
   for (const auto& [key, value] : o.items())
     if (key != "settings" && key != "daemon" && key != "program" && key != "list")
       unknown.push_back(path + "." + key);
@@ -43,121 +43,121 @@
 
 }  // namespace
 
-std::string digestOf(const std::string& canonical) {
+std::string planDigest(const std::string& canonical) {
   char hex[17];
   std::snprintf(hex, sizeof hex, "%016" PRIx64,
                 static_cast<std::uint64_t>(XXH3_64bits(canonical.data(), canonical.size())));
   return hex;
 }
 
-Plan readPlan(const json& o) {
+Plan parsePlan(const json& o) {
   if (!o.is_object())
     bad("the plan is not an object");
   Plan p;
   p.number = integer(o, "number");
   if (p.number < 1)
     bad("number: 1 or more is expected");
-  p.needs = readNeeds(object(o, "needs"), "needs", p.unknown);
+  p.requirements = readNeeds(object(o, "needs"), "needs", p.unknown_fields);
   std::vector<std::string> past;  // what a plan that is over asked for binds nobody
-  p.before = readNeeds(optionalObject(o, "before"), "before", past);
+  p.previous_requirements = readNeeds(optionalObject(o, "before"), "before", past);
   p.strict = truth(o, "strict");
   p.lease = span(o, "lease_ms");
-  p.binds_after = span(o, "binds_after_ms");
+  p.effective_after = span(o, "binds_after_ms");
   if (p.lease < kLeastLease || p.lease > kMostLease)
     bad("lease_ms: 1000 to 3600000 is expected");
-  if (p.binds_after < 0)
+  if (p.effective_after < 0)
     bad("binds_after_ms: no less than 0 is expected");
-  p.most_shut_out = number(o, "most_shut_out", 0.25);
-  if (!(p.most_shut_out >= 0 && p.most_shut_out <= 1))
+  p.max_fenced_fraction = number(o, "most_shut_out", 0.25);
+  if (!(p.max_fenced_fraction >= 0 && p.max_fenced_fraction <= 1))
     bad("most_shut_out: 0 to 1 is expected");
   if (!absent(o, "shut_out"))
     for (const json& name : array(o, "shut_out")) {
       if (!name.is_string())
         bad("shut_out: names are expected");
-      p.shut_out.insert(name.get<std::string>());
+      p.fenced.insert(name.get<std::string>());
     }
   p.halted = truth(o, "halted", false);
   for (const auto& [zone, state] : optionalObject(o, "zones").items())
-    p.zones[zone] = zones::readState(state);
-  p.by = text(o, "by", "");
-  p.why = text(o, "why", "");
+    p.zones[zone] = zones::parseState(state);
+  p.author = text(o, "by", "");
+  p.reason = text(o, "why", "");
   if (!absent(o, "at_us"))
-    p.at = integer(o, "at_us");
+    p.changed_at = integer(o, "at_us");
   for (const auto& [key, value] : o.items())
     if (std::none_of(std::begin(kFields), std::end(kFields), [&](const char* f) { return key == f; }))
-      p.unknown.push_back(key);
+      p.unknown_fields.push_back(key);
   return p;
 }
 
-json shown(const Plan& p) {
+json toJson(const Plan& p) {
   json states = json::object();
   for (const auto& [zone, s] : p.zones)
-    states[zone] = zones::shown(s);
+    states[zone] = zones::toJson(s);
   return {{"number", p.number},
-          {"needs", shownNeeds(p.needs)},
-          {"before", shownNeeds(p.before)},
+          {"needs", shownNeeds(p.requirements)},
+          {"before", shownNeeds(p.previous_requirements)},
           {"strict", p.strict},
           {"lease_ms", p.lease / 1000},
-          {"binds_after_ms", p.binds_after / 1000},
-          {"most_shut_out", p.most_shut_out},
-          {"shut_out", p.shut_out},
+          {"binds_after_ms", p.effective_after / 1000},
+          {"most_shut_out", p.max_fenced_fraction},
+          {"shut_out", p.fenced},
           {"halted", p.halted},
           {"zones", std::move(states)},
-          {"by", p.by},
-          {"why", p.why},
-          {"at_us", p.at}};
+          {"by", p.author},
+          {"why", p.reason},
+          {"at_us", p.changed_at}};
 }
 
-std::string digestOf(const Plan& p) {
-  return digestOf(shown(p).dump());
+std::string planDigest(const Plan& p) {
+  return planDigest(toJson(p).dump());
 }
 
-std::string refuses(const Plan& now, const Plan& next) {
+std::string transitionError(const Plan& now, const Plan& next) {
   if (next.number != now.number + 1)
     return "its number is " + std::to_string(next.number) + ", " + std::to_string(now.number + 1) +
            " would follow";
   // Whoever acts by a lenient plan does not stop: there is no lease to wait for.
-  if (next.strict && now.strict && next.binds_after < now.lease)
-    return "it would bind after " + std::to_string(next.binds_after / 1000) +
+  if (next.strict && now.strict && next.effective_after < now.lease)
+    return "it would bind after " + std::to_string(next.effective_after / 1000) +
            " ms: a sender that is cut off acts on for the " + std::to_string(now.lease / 1000) +
            " ms of its lease";
   return "";
 }
 
-Plan following(const Plan& now, const std::string& by, const std::string& why, Micros at) {
+Plan nextPlan(const Plan& now, const std::string& by, const std::string& why, Micros at) {
   Plan p = now;
   ++p.number;
   if (!now.halted)
-    p.before = now.needs;
+    p.previous_requirements = now.requirements;
   p.halted = false;
-  p.binds_after = std::max(now.binds_after, now.strict ? now.lease : 0);
-  p.by = by;
-  p.why = why;
-  p.at = at;
-  p.unknown.clear();
+  p.effective_after = std::max(now.effective_after, now.strict ? now.lease : 0);
+  p.author = by;
+  p.reason = why;
+  p.changed_at = at;
+  p.unknown_fields.clear();
   return p;
 }
 
-Plan halting(const Plan& now, const std::string& by, const std::string& why, Micros at) {
-  Plan p = following(now, by, why, at);
-  p.needs = p.before = now.before;
+Plan haltedPlan(const Plan& now, const std::string& by, const std::string& why, Micros at) {
+  Plan p = nextPlan(now, by, why, at);
+  p.requirements = p.previous_requirements = now.previous_requirements;
   p.halted = true;
   return p;
 }
 
-json shown(const Own& o) {
+json toJson(const RunningVersions& o) {
   return {{"program", o.program},
           {"settings", o.settings},
           {"daemon", o.daemon},
-          {"list", o.list},
+          {"list", o.list_version},
           {"plan", o.plan}};
 }
-Own readOwn(const json& o) {
+RunningVersions parseRunningVersions(const json& o) {
   return {text(o, "program", ""), text(o, "settings", ""), text(o, "daemon", ""),
           absent(o, "list") ? -1 : integer(o, "list"), absent(o, "plan") ? 0 : integer(o, "plan")};
 }
 
-bool olderProgram(const std::string& a, const std::string& b) {
+bool isOlderVersion(const std::string& a, const std::string& b) {
   std::size_t i = 0, j = 0;
   const auto part = [](const std::string& s, std::size_t& at) {
     std::int64_t n = 0;
@@ -175,45 +175,49 @@
   return false;
 }
 
-std::vector<Lack> lacks(const Own& own, const Plan& plan, const std::string& name) {
-  std::vector<Lack> all;
-  const auto add = [&](Lack::What what, std::string says) { all.push_back({what, std::move(says)}); };
-  if (plan.shut_out.count(name))
-    add(Lack::What::word, "shut out by " + plan.by + ": " + plan.why);
-  for (const std::string& f : plan.unknown)
-    add(Lack::What::field, "program " + own.program + " does not know " + f);
-  const Needs& n = plan.needs;
-  if (!n.program.empty() && olderProgram(own.program, n.program))
-    add(Lack::What::program, "program " + own.program + ", " + n.program + " or newer is asked for");
+std::vector<MissingRequirement> missingRequirements(const RunningVersions& own, const Plan& plan,
+                                                    const std::string& name) {
+  std::vector<MissingRequirement> all;
+  const auto add = [&](MissingRequirement::Kind what, std::string says) {
+    all.push_back({what, std::move(says)});
+  };
+  if (plan.fenced.count(name))
+    add(MissingRequirement::Kind::word, "shut out by " + plan.author + ": " + plan.reason);
+  for (const std::string& f : plan.unknown_fields)
+    add(MissingRequirement::Kind::field, "program " + own.program + " does not know " + f);
+  const PlanRequirements& n = plan.requirements;
+  if (!n.program.empty() && isOlderVersion(own.program, n.program))
+    add(MissingRequirement::Kind::program,
+        "program " + own.program + ", " + n.program + " or newer is asked for");
   if (!n.settings.empty() && n.settings != own.settings)
-    add(Lack::What::settings, "settings " + own.settings + ", " + n.settings + " is asked for");
+    add(MissingRequirement::Kind::settings, "settings " + own.settings + ", " + n.settings + " is asked for");
   if (!n.daemon.empty() && n.daemon != own.daemon)
-    add(Lack::What::daemon, "daemon file " + own.daemon + ", " + n.daemon + " is asked for");
-  if (n.list > own.list)
-    add(Lack::What::list,
-        "list " + std::to_string(own.list) + ", " + std::to_string(n.list) + " or newer is asked for");
+    add(MissingRequirement::Kind::daemon, "daemon file " + own.daemon + ", " + n.daemon + " is asked for");
+  if (n.listPrefix > own.list_version)
+    add(MissingRequirement::Kind::listPrefix, "list " + std::to_string(own.list_version) + ", " +
+                                                  std::to_string(n.listPrefix) + " or newer is asked for");
   return all;
 }
 
-std::string textOf(const std::vector<Lack>& lacks) {
+std::string toString(const std::vector<MissingRequirement>& lacks) {
   std::string all;
-  for (const Lack& l : lacks)
-    all += (all.empty() ? "" : "; ") + l.says;
+  for (const MissingRequirement& l : lacks)
+    all += (all.empty() ? "" : "; ") + l.description;
   return all;
 }
 
-json shown(const Report& r) {
+json toJson(const SenderReport& r) {
   json past = json::array(), votes = json::object();
   for (const auto& [zone, v] : r.zones)
-    votes[zone] = zones::shown(v);
-  for (const Acted& a : r.past)
-    past.push_back({a.from, a.plan, a.may});
+    votes[zone] = zones::toJson(v);
+  for (const ActionPeriod& a : r.action_history)
+    past.push_back({a.from, a.plan, a.allowed});
   json all{{"name", r.name},
-           {"standing", r.standing},
-           {"why", r.why},
+           {"standing", r.compliance},
+           {"why", r.reason},
            {"host", r.host},
-           {"own", shown(r.own)},
-           {"heard", r.heard},
+           {"own", toJson(r.versions)},
+           {"heard", r.newest_plan},
            {"lease_ms", r.lease / 1000},
            {"strict", r.strict},
            {"since_us", r.since},
@@ -226,24 +230,24 @@
     all["regions"] = r.regions;
   return all;
 }
-Report readReport(const json& o) {
+SenderReport parseReport(const json& o) {
   if (!o.is_object())
     bad("a report is not an object");
-  Report r;
+  SenderReport r;
   r.name = text(o, "name");
-  r.standing = text(o, "standing", "");
-  r.why = text(o, "why", "");
+  r.compliance = text(o, "standing", "");
+  r.reason = text(o, "why", "");
   r.host = text(o, "host", "");
   r.process = text(o, "process", "");
-  r.own = readOwn(object(o, "own"));
-  r.heard = absent(o, "heard") ? 0 : integer(o, "heard");
+  r.versions = parseRunningVersions(object(o, "own"));
+  r.newest_plan = absent(o, "heard") ? 0 : integer(o, "heard");
   r.strict = truth(o, "strict", false);
   r.lease = absent(o, "lease_ms") ? 0 : span(o, "lease_ms");
   r.since = absent(o, "since_us") ? 0 : integer(o, "since_us");
   r.at = absent(o, "at_us") ? 0 : integer(o, "at_us");
   r.epoch = absent(o, "epoch") ? 0 : integer(o, "epoch");
   for (const auto& [zone, v] : optionalObject(o, "zones").items())
-    r.zones[zone] = zones::readVote(v);
+    r.zones[zone] = zones::parseVote(v);
   for (const auto& [zone, region] : optionalObject(o, "regions").items()) {
     if (!region.is_string())
       bad("not a text: regions." + zone);
@@ -258,31 +262,31 @@
     if (!a.is_array() || a.size() != 3 || !a[0].is_number_integer() || !a[1].is_number_integer() ||
         !a[2].is_boolean())
       bad("past: [time, plan, may] are expected");
-    r.past.push_back({a[0], a[1], a[2]});
+    r.action_history.push_back({a[0], a[1], a[2]});
   }
   return r;
 }
 
-std::string rankOf(std::int64_t plan, const std::string& name) {
-  return digestOf(std::to_string(plan) + " " + name);
+std::string probeRank(std::int64_t plan, const std::string& name) {
+  return planDigest(std::to_string(plan) + " " + name);
 }
 
-bool tooManyBehind(const Plan& plan, const std::vector<Report>& senders, std::string& names) {
+bool tooManyLagging(const Plan& plan, const std::vector<SenderReport>& senders, std::string& names) {
   // What a halt asks for was in force: one that can't be followed either is the operator's to mend.
   if (!plan.strict || plan.halted)
     return false;
   std::size_t all = 0, behind = 0;
-  for (const Report& r : senders) {
-    const bool out = r.standing == kShutOut && r.heard >= plan.number;  // and holds no session
-    if ((!r.live && !out) || plan.shut_out.count(r.name))
+  for (const SenderReport& r : senders) {
+    const bool out = r.compliance == kFencedName && r.newest_plan >= plan.number;  // and holds no session
+    if ((!r.live && !out) || plan.fenced.count(r.name))
       continue;  // a word is the operator's to count
     ++all;
-    if (r.own.plan >= plan.number || lacks(r.own, plan, r.name).empty())
+    if (r.versions.plan >= plan.number || missingRequirements(r.versions, plan, r.name).empty())
       continue;
     ++behind;
     names += (names.empty() ? "" : ", ") + r.name;
   }
-  return static_cast<double>(behind) > plan.most_shut_out * static_cast<double>(all);
+  return static_cast<double>(behind) > plan.max_fenced_fraction * static_cast<double>(all);
 }
 
 }  // namespace grademux::fleet
--- a/src/fleet/standing.h
+++ b/src/fleet/plan_compliance.h
@@ -19,58 +19,59 @@
 // Of a span by the own clock. Quartz is off by 0.01%; a machine whose clock runs 1% slow is broken.
 constexpr double kMargin = 0.01;
 
-enum class Kind {
+enum class Compliance {
   current,
   catching_up,  // a newer plan is known, and something that it asks for is missing
   unknown,      // the store has not answered lately; what was known last still holds
-  shut_out      // nothing new is taken on and no call begun
+  fenced        // nothing new is taken on and no call begun
 };
-inline const char* nameOf(Kind k) {
-  constexpr const char* kNames[] = {"current", "catching up", "unknown", kShutOut};
+inline const char* nameOf(Compliance k) {
+  constexpr const char* kNames[] = {"current", "catching up", "unknown", kFencedName};
   return kNames[static_cast<int>(k)];
 }
 
-class Standing {
+class PlanCompliance {
  public:
-  struct Verdict {
-    Kind kind = Kind::unknown;
-    bool may = false;
+  struct Decision {
+    Compliance compliance = Compliance::unknown;
+    bool allowed = false;
     Micros until = 0;  // when `may` ends unless more is heard; kNever: not by itself
-    std::string why;
+    std::string reason;
   };
   static constexpr Micros kNever = INT64_MAX / 4;
 
-  explicit Standing(std::string name, double margin = kMargin) : name_(std::move(name)), margin_(margin) {}
+  explicit PlanCompliance(std::string name, double margin = kMargin)
+      : name_(std::move(name)), margin_(margin) {}
 
   // Of an earlier process: what it had taken over. It says how to go on while the store is silent, and gives
   // no lease.
-  void remember(const Plan& plan) {
+  void restorePlan(const Plan& plan) {
     acting_ = plan;
     newest_ = plan;
     known_ = true;
   }
   // A read that was asked for at `asked` shows this plan; number 0: none. False: it is older than, or another
   // than, what is known here, and tells nothing. The store has lost something then.
-  bool heard(const Plan& plan, Micros asked) {
-    lost_.clear();
+  bool onPlanReceived(const Plan& plan, Micros asked) {
+    lost_reason_.clear();
     if (known_ && (plan.number < newest_.number ||
-                   (plan.number == newest_.number && digestOf(plan) != digestOf(newest_)))) {
-      lost_ = "the store has plan " + std::to_string(plan.number) + ", here " +
-              std::to_string(newest_.number) + " is known" +
-              (plan.number == newest_.number ? ", and it is another" : "");
+                   (plan.number == newest_.number && planDigest(plan) != planDigest(newest_)))) {
+      lost_reason_ = "the store has plan " + std::to_string(plan.number) + ", here " +
+                     std::to_string(newest_.number) + " is known" +
+                     (plan.number == newest_.number ? ", and it is another" : "");
       return false;
     }
-    answered_ = std::max(answered_, asked);
+    last_answer_at_ = std::max(last_answer_at_, asked);
     if (plan.number == acting_.number && (known_ || plan.number == 0)) {
-      fresh_ = std::max(fresh_, asked);
+      acting_confirmed_at_ = std::max(acting_confirmed_at_, asked);
     } else if (newest_.number == acting_.number || !known_) {
       // The first that is newer. When one between was missed, nothing is known of when that binds.
       const bool next = known_ && plan.number == acting_.number + 1;
-      behind_for_ = next && plan.strict ? std::max(acting_.lease, plan.binds_after) : acting_.lease;
+      lag_allowance_ = next && plan.strict ? std::max(acting_.lease, plan.effective_after) : acting_.lease;
     }
     if (!known_ || plan.number > newest_.number) {
       newest_ = plan;
-      met_ = asked;
+      newest_seen_at_ = asked;
     }
     if (!known_ && plan.number == 0)
       acting_ = plan;
@@ -80,16 +81,18 @@
 
   const Plan& acting() const { return acting_; }
   const Plan& newest() const { return newest_; }
-  bool heardOf() const { return known_; }
-  std::vector<Lack> lacking(const Own& own) const { return lacks(own, newest_, name_); }
+  bool hasPlan() const { return known_; }
+  std::vector<MissingRequirement> missingFor(const RunningVersions& own) const {
+    return missingRequirements(own, newest_, name_);
+  }
   // Whether the newest plan is to be taken over; the caller writes it to disk first, then says takenOver().
   // Not on a read that its lease has nearly outlived: one that was held back for long, say. The next one is
   // on its way, and until then the plan before still gives the right; where it does not, any lease will do.
-  bool due(const Own& own, Micros now) const {
-    if (!known_ || answered_ == kLong || newest_.number <= acting_.number || !lacking(own).empty())
+  bool due(const RunningVersions& own, Micros now) const {
+    if (!known_ || last_answer_at_ == kLong || newest_.number <= acting_.number || !missingFor(own).empty())
       return false;
-    const Micros lease = less(newest_.lease), gone = now - answered_;
-    return !newest_.strict || gone < lease / 2 || (gone < lease && !at(now, own).may);
+    const Micros lease = withMargin(newest_.lease), gone = now - last_answer_at_;
+    return !newest_.strict || gone < lease / 2 || (gone < lease && !at(now, own).allowed);
   }
   // `number`: of the newest at the time at which it was written.
   void takenOver(const Plan& plan) {
@@ -98,77 +101,83 @@
     acting_ = plan;
     // Shown by the last read, if that was it; else a newer one is known, and its lease is the one before.
     if (plan.number == newest_.number)
-      fresh_ = answered_;
+      acting_confirmed_at_ = last_answer_at_;
     else
-      behind_for_ = std::min(behind_for_, plan.lease);
+      lag_allowance_ = std::min(lag_allowance_, plan.lease);
   }
 
-  Verdict at(Micros now, const Own& own) const {
-    Verdict v;
+  Decision at(Micros now, const RunningVersions& own) const {
+    Decision v;
     if (!known_) {
-      v.why = "the store has not answered since the start";
-      v.kind = Kind::shut_out;
+      v.reason = "the store has not answered since the start";
+      v.compliance = Compliance::fenced;
       return v;
     }
-    if (newest_.shut_out.count(name_)) {
-      v.why = textOf(lacking(own));
-      v.kind = Kind::shut_out;
+    if (newest_.fenced.count(name_)) {
+      v.reason = toString(missingFor(own));
+      v.compliance = Compliance::fenced;
       return v;
     }
     const bool behind = newest_.number > acting_.number;
     // A sender that was changed by hand can act under neither the plan that it had taken over nor the newest.
-    const bool astray = !lacking(own).empty() && !lacks(own, acting_, name_).empty();
-    const Micros lease = behind ? behind_for_ : acting_.lease;
-    const Micros ends = !newest_.strict ? kNever : astray ? kNever * -1 : fresh_ + less(lease);
-    const std::string missing = textOf(lacking(own));
-    const bool silent = now - answered_ > acting_.lease / 2;
-    v.may = now < ends;
+    const bool astray = !missingFor(own).empty() && !missingRequirements(own, acting_, name_).empty();
+    const Micros lease = behind ? lag_allowance_ : acting_.lease;
+    const Micros ends = !newest_.strict ? kNever
+                        : astray        ? kNever * -1
+                                        : acting_confirmed_at_ + withMargin(lease);
+    const std::string missing = toString(missingFor(own));
+    const bool silent = now - last_answer_at_ > acting_.lease / 2;
+    v.allowed = now < ends;
     v.until = ends;
-    if (!v.may)
-      v.kind = Kind::shut_out;
-    else if (silent || !lost_.empty())
-      v.kind = Kind::unknown;
+    if (!v.allowed)
+      v.compliance = Compliance::fenced;
+    else if (silent || !lost_reason_.empty())
+      v.compliance = Compliance::unknown;
     else
-      v.kind = behind || astray ? Kind::catching_up : Kind::current;
+      v.compliance = behind || astray ? Compliance::catching_up : Compliance::current;
     if (!missing.empty())
-      v.why = "plan " + std::to_string(newest_.number) + ": " + missing;
-    else if (!lost_.empty())
-      v.why = lost_;
+      v.reason = "plan " + std::to_string(newest_.number) + ": " + missing;
+    else if (!lost_reason_.empty())
+      v.reason = lost_reason_;
     else if (silent)
-      v.why = answered_ == kLong ? "the store has not answered since the start" : "the store does not answer";
+      v.reason = last_answer_at_ == kLong ? "the store has not answered since the start"
+                                          : "the store does not answer";
     else if (behind)
-      v.why = "plan " + std::to_string(newest_.number) + " is being taken over";
+      v.reason = "plan " + std::to_string(newest_.number) + " is being taken over";
     return v;
   }
 
   // Whether the newest plan that is known can't have been followed by another that binds: for what needs a
   // lease under a lenient plan too.
   bool leased(Micros now) const {
-    return known_ && lost_.empty() && answered_ != kLong && now < answered_ + less(newest_.lease);
+    return known_ && lost_reason_.empty() && last_answer_at_ != kLong &&
+           now < last_answer_at_ + withMargin(newest_.lease);
   }
 
   // The share of the time that a sender which is behind has to follow the newest plan, from when it heard of
   // it and however it stood before: 0 to 1; 0 where it will not be shut out.
-  double gone(Micros now) const {
+  double lagFraction(Micros now) const {
     if (!known_ || !newest_.strict || newest_.number == acting_.number)
       return 0;
-    const Micros from = std::max(fresh_, met_);
-    return std::min(1.0, static_cast<double>(now - from) / static_cast<double>(less(behind_for_)));
+    const Micros from = std::max(acting_confirmed_at_, newest_seen_at_);
+    return std::min(1.0, static_cast<double>(now - from) / static_cast<double>(withMargin(lag_allowance_)));
   }
 
  private:
   static constexpr Micros kLong = INT64_MIN / 4;  // before anything
-  Micros less(Micros lease) const { return static_cast<Micros>(static_cast<double>(lease) * (1 - margin_)); }
+  Micros withMargin(Micros lease) const {
+    return static_cast<Micros>(static_cast<double>(lease) * (1 - margin_));
+  }
 
   std::string name_;
   double margin_;
   Plan acting_, newest_;
   bool known_ = false;
-  std::string lost_;
-  Micros fresh_ = kLong;     // the last asking that showed `acting_` to be the newest
-  Micros answered_ = kLong;  // the last asking that showed anything
-  Micros met_ = kLong;       // the first that showed `newest_`
-  Micros behind_for_ = 0;    // from fresh_, since a newer one is known
+  std::string lost_reason_;
+  Micros acting_confirmed_at_ = kLong;  // the last asking that showed `acting_` to be the newest
+  Micros last_answer_at_ = kLong;       // the last asking that showed anything
+  Micros newest_seen_at_ = kLong;       // the first that showed `newest_`
+  Micros lag_allowance_ = 0;            // from fresh_, since a newer one is known
 };
 
 }  // namespace grademux::fleet
--- a/src/fleet/store.h
+++ b/src/fleet/store.h
@@ -17,42 +17,43 @@
 
 namespace grademux::fleet {
 
-struct Entry {
+struct StoreEntry {
   std::string key, value, session;  // session: that holds it; empty: nobody
-  std::int64_t changed = 0;         // pass it to swap()
+  std::int64_t modify_index = 0;    // pass it to swap()
 };
 
-struct Answered {
+struct StoreResult {
   bool ok = false;
-  std::string why;             // not ok: for people
-  std::vector<Entry> entries;  // of read(), in the order of keys; none: there is no such key
-  std::int64_t index = 0;      // of read(): to wait for what comes after it
-  bool done = false;           // of what changes something: it was done; else somebody came first
-  std::string session;         // of open()
-  Micros clock = 0;            // Unix time of the store, to the second; 0: not told
+  std::string error;                // not ok: for people
+  std::vector<StoreEntry> entries;  // of read(), in the order of keys; none: there is no such key
+  std::int64_t index = 0;           // of read(): to wait for what comes after it
+  bool applied = false;             // of what changes something: it was done; else somebody came first
+  std::string session;              // of open()
+  Micros store_time = 0;            // Unix time of the store, to the second; 0: not told
 };
 
 class Store {
  public:
-  using Done = std::function<void(const Answered&)>;
+  using Callback = std::function<void(const StoreResult&)>;
   virtual ~Store() = default;
 
   // The key as it is now: what was changed before the call was made is seen, whichever node answers (a read
   // that a lagging node may answer is no use: a lease hangs on it). With `after` above 0 the answer may be
   // held back for `wait` until there is something newer than that index. One such read at a time.
-  virtual void read(const std::string& key, std::int64_t after, Micros wait, Done done) = 0;
+  virtual void read(const std::string& key, std::int64_t after, Micros wait, Callback done) = 0;
   // All keys that begin so.
-  virtual void list(const std::string& prefix, Done done) = 0;
+  virtual void listPrefix(const std::string& prefix, Callback done) = 0;
   // Puts the value in place if the key was last changed at `changed`; 0: if there is no such key.
-  virtual void swap(const std::string& key, const std::string& value, std::int64_t changed, Done done) = 0;
+  virtual void compareAndSwap(const std::string& key, const std::string& value, std::int64_t changed,
+                              Callback done) = 0;
   // A session that ends by itself when it is not renewed for `ttl`; renew() answers not done when it has.
-  virtual void open(const std::string& name, Micros ttl, Done done) = 0;
-  virtual void renew(const std::string& session, Done done) = 0;
+  virtual void openSession(const std::string& name, Micros ttl, Callback done) = 0;
+  virtual void renewSession(const std::string& session, Callback done) = 0;
   // Ends it, whoever's it is: what it holds is held by nobody, and it can hold nothing more.
-  virtual void close(const std::string& session, Done done) = 0;
+  virtual void destroySession(const std::string& session, Callback done) = 0;
   // Puts the value in place and holds the key, if nobody else does and the session stands.
-  virtual void hold(const std::string& key, const std::string& value, const std::string& session,
-                    Done done) = 0;
+  virtual void acquireKey(const std::string& key, const std::string& value, const std::string& session,
+                          Callback done) = 0;
 };
 
 }  // namespace grademux::fleet
--- a/src/handover/taker.cpp
+++ b/src/handover/handover_target.cpp
@@ -1,5 +1,5 @@
 // grademux: the process that comes; see taker.h.
-#include "taker.h"
+#include "handover_target.h"
 
 #include <boost/asio/post.hpp>
 
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-Taker::Taker(boost::asio::io_context& io, FolderLock& lock, Owned owned, Ended ended, Gone gone,
-             Failed failed)
+HandoverTarget::HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Owned owned, Ended ended,
+                               Gone gone, Failed failed)
     : io_(io),
       lock_(lock),
       owned_(std::move(owned)),
@@ -25,29 +25,29 @@
       failed_(std::move(failed)),
       timer_(io) {}
 
-void Taker::begin(Micros patience) {
+void HandoverTarget::start(Micros patience) {
   until_ = monotonicNow() + patience;
-  go();
+  attempt();
 }
 
-void Taker::later(Micros pause) {
+void HandoverTarget::scheduleRetry(Micros pause) {
   timer_.expires_after(std::chrono::microseconds(pause));
   timer_.async_wait([this](boost::system::error_code e) {
     if (!e)
-      go();
+      attempt();
   });
 }
 
-void Taker::go() {
+void HandoverTarget::attempt() {
   if (owns_)
     return;
   if (lock_.take())
-    return own(given_ ? &*given_ : nullptr);
+    return onOwned(given_ ? &*given_ : nullptr);
   const Micros now = monotonicNow();
   if (now >= until_)
     return failed_(why_);
   if (given_)
-    return later(kFreed);
+    return scheduleRetry(kFreed);
   if (asked_ && now >= answer_by_) {  // it hangs, or is of a version that knows nothing of this
     other_.reset();
     asked_ = false;
@@ -58,7 +58,7 @@
     socket.connect(channelIn(lock_.fd()), e);
     if (!e) {
       other_ = std::make_unique<LineSocket>(
-          std::move(socket), [this](const Message& m) { hear(m); },
+          std::move(socket), [this](const Message& m) { onMessage(m); },
           [this] {
             boost::asio::post(io_, [this] {
               other_.reset();
@@ -73,21 +73,21 @@
   if (other_ && !asked_) {
     asked_ = true;
     answer_by_ = now + kAnswer;
-    other_->say(Take{});
+    other_->send(HandoverRequest{});
   }
-  later(kAgain);
+  scheduleRetry(kAgain);
 }
 
-void Taker::hear(const Message& m) {
-  if (const auto* refused = std::get_if<Refused>(&m)) {
-    why_ = refused->why;
+void HandoverTarget::onMessage(const Message& m) {
+  if (const auto* refused = std::get_if<HandoverRejected>(&m)) {
+    why_ = refused->reason;
     asked_ = false;
-  } else if (const auto* given = std::get_if<Given>(&m)) {
+  } else if (const auto* given = std::get_if<OwnershipReleased>(&m)) {
     if (owns_ || given_)
       return;
     given_ = *given;
-    boost::asio::post(io_, [this] { go(); });
-  } else if (const auto* ended = std::get_if<handover::Ended>(&m)) {
+    boost::asio::post(io_, [this] { attempt(); });
+  } else if (const auto* ended = std::get_if<handover::AttemptFinished>(&m)) {
     if (owns_)
       ended_(ended->outcome);
     else
@@ -95,11 +95,11 @@
   }
 }
 
-void Taker::own(const Given* given) {
+void HandoverTarget::onOwned(const OwnershipReleased* given) {
   owns_ = true;
   timer_.cancel();
   owned_(given);
-  for (const Outcome& o : early_)
+  for (const AttemptOutcome& o : early_)
     ended_(o);
   early_.clear();
   if (given && !other_)
--- a/src/handover/taker.h
+++ b/src/handover/handover_target.h
@@ -15,32 +15,33 @@
 
 namespace grademux::handover {
 
-class Taker {
+class HandoverTarget {
  public:
   // Called once, with the lock held. Null: nobody had the folder, or it died.
-  using Owned = std::function<void(const Given* given)>;
+  using Owned = std::function<void(const OwnershipReleased* given)>;
   // The end of a call that stayed with the earlier process; then, once, that it is gone.
-  using Ended = std::function<void(const Outcome&)>;
+  using Ended = std::function<void(const AttemptOutcome&)>;
   using Gone = std::function<void()>;
   // Called once when the folder could not be had in time, with what to tell people.
   using Failed = std::function<void(const std::string& why)>;
 
-  Taker(boost::asio::io_context& io, FolderLock& lock, Owned owned, Ended ended, Gone gone, Failed failed);
+  HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Owned owned, Ended ended, Gone gone,
+                 Failed failed);
 
   // Asks, and goes on asking for so long (microseconds).
-  void begin(Micros patience);
-  void say(const Message& m) {
+  void start(Micros patience);
+  void send(const Message& m) {
     if (other_)
-      other_->say(m);
+      other_->send(m);
   }
   // It is on record that this process owns the folder.
-  void taken() { say(Taken{}); }
+  void confirmOwnership() { send(OwnershipAcquired{}); }
 
  private:
-  void go();
-  void later(Micros pause);
-  void hear(const Message& m);
-  void own(const Given* given);
+  void attempt();
+  void scheduleRetry(Micros pause);
+  void onMessage(const Message& m);
+  void onOwned(const OwnershipReleased* given);
 
   boost::asio::io_context& io_;
   FolderLock& lock_;
@@ -50,10 +51,10 @@
   Failed failed_;
   boost::asio::steady_timer timer_;
   std::unique_ptr<LineSocket> other_;
-  std::optional<Given> given_;
+  std::optional<OwnershipReleased> given_;
   Micros until_ = 0, answer_by_ = 0;
   std::string why_ = "it does not answer";
-  std::vector<Outcome> early_;  // heard before the folder was owned
+  std::vector<AttemptOutcome> early_;  // heard before the folder was owned
   bool asked_ = false, owns_ = false;
 };
 
--- a/src/handover/line_socket.cpp
+++ b/src/handover/line_socket.cpp
@@ -13,11 +13,11 @@
 using boost::system::error_code;
 
 struct LineSocket::State : std::enable_shared_from_this<State> {
-  State(Socket s, Heard h, Over o) : socket(std::move(s)), heard(std::move(h)), over(std::move(o)) {}
+  State(Socket s, OnMessage h, OnClosed o) : socket(std::move(s)), heard(std::move(h)), over(std::move(o)) {}
 
   Socket socket;
-  Heard heard;
-  Over over;
+  OnMessage heard;
+  OnClosed over;
   std::array<char, 16384> piece{};
   std::string in, out, next;  // next: said while a write is out
   bool open = true, writing = false;
@@ -39,7 +39,7 @@
       const std::string line = in.substr(from, at - from);
       from = at + 1;
       try {
-        const Message m = readMessage(line);
+        const Message m = parseMessage(line);
         heard(m);
       } catch (const BadInput&) {
         return end();
@@ -48,7 +48,7 @@
     if (!open)
       return;
     in.erase(0, from);
-    if (in.size() > kLongest)
+    if (in.size() > kMaxLineBytes)
       return end();
     read();
   }
@@ -83,7 +83,7 @@
   }
 };
 
-LineSocket::LineSocket(Socket socket, Heard heard, Over over)
+LineSocket::LineSocket(Socket socket, OnMessage heard, OnClosed over)
     : state_(std::make_shared<State>(std::move(socket), std::move(heard), std::move(over))) {
   state_->read();
 }
@@ -94,14 +94,14 @@
   state_->socket.close(ignored);
 }
 
-void LineSocket::say(const Message& m) {
+void LineSocket::send(const Message& m) {
   if (!state_->open)
     return;
-  state_->next += lineOf(m);
+  state_->next += serialize(m);
   state_->write();
 }
 
-bool LineSocket::unsaid() const {
+bool LineSocket::hasUnsent() const {
   return state_->open && !(state_->out.empty() && state_->next.empty());
 }
 
--- a/src/handover/line_socket.h
+++ b/src/handover/line_socket.h
@@ -13,17 +13,17 @@
 class LineSocket {
  public:
   using Socket = boost::asio::local::stream_protocol::socket;
-  using Heard = std::function<void(const Message&)>;
-  using Over = std::function<void()>;  // once; not if this is destroyed first
+  using OnMessage = std::function<void(const Message&)>;
+  using OnClosed = std::function<void()>;  // once; not if this is destroyed first
 
   // What can't be read ends the channel.
-  LineSocket(Socket socket, Heard heard, Over over);
+  LineSocket(Socket socket, OnMessage heard, OnClosed over);
   ~LineSocket();  // closes it; what was said goes out first as far as the kernel takes it
   LineSocket(const LineSocket&) = delete;
   LineSocket& operator=(const LineSocket&) = delete;
 
-  void say(const Message& m);
-  bool unsaid() const;  // something waits to go out
+  void send(const Message& m);
+  bool hasUnsent() const;  // something waits to go out
 
  private:
   struct State;
--- a/src/handover/messages.cpp
+++ b/src/handover/messages.cpp
@@ -7,87 +7,89 @@
 
 namespace {
 
-json idOf(const CallId& c) {
-  return json::array({c.first, c.second});
+json idOf(const AttemptId& c) {
+  return json::array({c.message_id, c.attempt});
 }
 
-CallId readId(const json& j) {
+AttemptId readId(const json& j) {
   if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer())
     bad("a call is its message's id and a number");
   return {j[0].get<std::string>(), j[1].get<int>()};
 }
 
 struct Writer {
-  json operator()(const Take& m) const { return {{"take", {{"version", m.version}}}}; }
-  json operator()(const Taken&) const { return {{"taken", json::object()}}; }
-  json operator()(const CancelCall& m) const { return {{"cancel", {{"call", idOf(m.call)}}}}; }
-  json operator()(const Refused& m) const { return {{"refused", {{"why", m.why}}}}; }
-  json operator()(const Given& m) const {
+  json operator()(const HandoverRequest& m) const { return {{"take", {{"version", m.version}}}}; }
+  json operator()(const OwnershipAcquired&) const { return {{"taken", json::object()}}; }
+  json operator()(const CancelInherited& m) const { return {{"cancel", {{"call", idOf(m.attempt)}}}}; }
+  json operator()(const HandoverRejected& m) const { return {{"refused", {{"why", m.reason}}}}; }
+  json operator()(const OwnershipReleased& m) const {
     json out = json::array();
-    for (const CallId& c : m.out)
+    for (const AttemptId& c : m.in_flight)
       out.push_back(idOf(c));
     return {{"given", {{"standby", m.standby}, {"out", std::move(out)}}}};
   }
-  json operator()(const Ended& m) const {
-    const Outcome& o = m.outcome;
+  json operator()(const AttemptFinished& m) const {
+    const AttemptOutcome& o = m.outcome;
     json j{{"call", idOf({o.id, o.attempt})},
            {"result", static_cast<int>(o.result)},
-           {"finished", o.finished},
-           {"wait", o.wait},
-           {"rtt", o.rtt},
-           {"stale", o.stale}};
-    if (o.report)
-      j["report"] = {{"left", o.report->left}, {"limit", o.report->limit}};
+           {"finished", o.already_finished},
+           {"wait", o.retry_after},
+           {"rtt", o.round_trip},
+           {"stale", o.stale_connection}};
+    if (o.limit_report)
+      j["report"] = {{"left", o.limit_report->remaining_fraction}, {"limit", o.limit_report->rate_limit}};
     return {{"ended", std::move(j)}};
   }
 };
 
-Outcome readOutcome(const json& j) {
-  Outcome o;
-  std::tie(o.id, o.attempt) = readId(field(j, "call"));
+AttemptOutcome readOutcome(const json& j) {
+  AttemptOutcome o;
+  AttemptId id = readId(field(j, "call"));
+  o.id = std::move(id.message_id);
+  o.attempt = id.attempt;
   const std::int64_t result = integer(j, "result");
-  if (result < 0 || result > static_cast<std::int64_t>(Result::not_sent))
+  if (result < 0 || result > static_cast<std::int64_t>(AttemptResult::not_sent))
     bad("unknown result");
-  o.result = static_cast<Result>(result);
-  o.finished = truth(j, "finished");
-  o.wait = integer(j, "wait");
-  o.rtt = integer(j, "rtt");
-  o.stale = truth(j, "stale");
+  o.result = static_cast<AttemptResult>(result);
+  o.already_finished = truth(j, "finished");
+  o.retry_after = integer(j, "wait");
+  o.round_trip = integer(j, "rtt");
+  o.stale_connection = truth(j, "stale");
   if (!absent(j, "report")) {
     const json& r = object(j, "report");
-    o.report = LimitReport{number(r, "left"), number(r, "limit")};
+    o.limit_report = LimitReport{number(r, "left"), number(r, "limit")};
   }
   return o;
 }
 
 }  // namespace
 
-std::string lineOf(const Message& m) {
+std::string serialize(const Message& m) {
   return std::visit(Writer{}, m).dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-Message readMessage(const std::string& line) {
+Message parseMessage(const std::string& line) {
   const json j = json::parse(line, nullptr, false);
   if (!j.is_object() || j.size() != 1)
     bad("one message is expected");
   const std::string kind = j.begin().key();
   const json& m = object(j, kind.c_str());
   if (kind == "take")
-    return Take{integer(m, "version")};
+    return HandoverRequest{integer(m, "version")};
   if (kind == "taken")
-    return Taken{};
+    return OwnershipAcquired{};
   if (kind == "cancel")
-    return CancelCall{readId(field(m, "call"))};
+    return CancelInherited{readId(field(m, "call"))};
   if (kind == "refused")
-    return Refused{text(m, "why")};
+    return HandoverRejected{text(m, "why")};
   if (kind == "ended")
-    return Ended{readOutcome(m)};
+    return AttemptFinished{readOutcome(m)};
   if (kind != "given")
     bad("unknown message: " + kind);
-  Given g;
+  OwnershipReleased g;
   g.standby = truth(m, "standby");
   for (const json& c : array(m, "out"))
-    g.out.push_back(readId(c));
+    g.in_flight.push_back(readId(c));
   return g;
 }
 
--- a/src/handover/messages.h
+++ b/src/handover/messages.h
@@ -11,33 +11,34 @@
 
 namespace grademux::handover {
 
-constexpr std::int64_t kVersion = 1;       // of this channel; another one is refused
-constexpr std::size_t kLongest = 4 << 20;  // bytes of a line
+constexpr std::int64_t kProtocolVersion = 1;    // of this channel; another one is refused
+constexpr std::size_t kMaxLineBytes = 4 << 20;  // bytes of a line
 
 // From the process that comes:
-struct Take {  // it is prepared, and asks for folder and journal
-  std::int64_t version = kVersion;
+struct HandoverRequest {  // it is prepared, and asks for folder and journal
+  std::int64_t version = kProtocolVersion;
 };
-struct Taken {};     // it owns both, which is on record: there is no way back
-struct CancelCall {  // of a call that is out still
-  CallId call;
+struct OwnershipAcquired {};  // it owns both, which is on record: there is no way back
+struct CancelInherited {      // of a call that is out still
+  AttemptId attempt;
 };
 
 // From the one that goes:
-struct Refused {  // not now; the caller may ask again
-  std::string why;
+struct HandoverRejected {  // not now; the caller may ask again
+  std::string reason;
 };
-struct Given {  // folder and journal are free, and nothing is written there any more
+struct OwnershipReleased {  // folder and journal are free, and nothing is written there any more
   bool standby = false;
-  std::vector<CallId> out;  // calls that stay with it to their end
+  std::vector<AttemptId> in_flight;  // calls that stay with it to their end
 };
-struct Ended {  // one of these calls is over
-  Outcome outcome;
+struct AttemptFinished {  // one of these calls is over
+  AttemptOutcome outcome;
 };
 
-using Message = std::variant<Take, Taken, CancelCall, Refused, Given, Ended>;
+using Message = std::variant<HandoverRequest, OwnershipAcquired, CancelInherited, HandoverRejected,
+                             OwnershipReleased, AttemptFinished>;
 
-std::string lineOf(const Message& m);          // with its end
-Message readMessage(const std::string& line);  // without its end; throws BadInput saying what is wrong
+std::string serialize(const Message& m);        // with its end
+Message parseMessage(const std::string& line);  // without its end; throws BadInput saying what is wrong
 
 }  // namespace grademux::handover
--- a/src/knowledge/command.cpp
+++ b/src/knowledge/command.cpp
@@ -12,9 +12,9 @@
 
 #include "../core/clock.h"
 #include "../core/file.h"
-#include "ageing.h"
-#include "book.h"
-#include "keeper.h"
+#include "learned_state_file.h"
+#include "learned_state_store.h"
+#include "trust_decay.h"
 
 namespace grademux::knowledge {
 
@@ -43,25 +43,26 @@
   return out.str();
 }
 
-json shown(const Known& k, Micros now) {
-  const Lesson& l = k.lesson;
-  const Lesson a = aged(l, now);
+json shown(const LearnedRecord& k, Micros now) {
+  const LearnedEndpoint& l = k.learned;
+  const LearnedEndpoint a = decayed(l, now);
   const auto round = [](double x) {
     return static_cast<double>(static_cast<std::int64_t>(x * 1000 + 0.5)) / 1000;
   };
-  json j = {{"destination", l.destination},
-            {"limit", round(l.limit)},
-            {"told", l.told},
-            {"part", round(l.part)},
-            {"usual_ms", round(static_cast<double>(l.usual) / 1000)},
-            {"traffic", round(l.traffic)},
-            {"risk", round(l.risk)},
-            {"heard_ms_ago", l.heard > 0 ? json((now - l.heard) / 1000) : json()},
-            {"trust",
-             {{"limit", a.limit > 0 ? round(trust(l.heard, now, kLimitTrust)) : 0},
-              {"part", a.part > 0 ? round(trust(l.heard, now, kPartTrust)) : 0},
-              {"usual", a.samples > 0 ? round(trust(l.heard, now, kLatencyTrust)) : 0},
-              {"traffic", a.traffic > 0 ? round(trust(l.came, now, kTrafficTrust)) : 0}}}};
+  json j = {
+      {"destination", l.destination},
+      {"limit", round(l.rate_limit)},
+      {"told", l.limit_is_reported},
+      {"part", round(l.quota_fraction)},
+      {"usual_ms", round(static_cast<double>(l.typical_latency) / 1000)},
+      {"traffic", round(l.message_rate)},
+      {"risk", round(l.unknown_outcome_fraction)},
+      {"heard_ms_ago", l.last_outcome_at > 0 ? json((now - l.last_outcome_at) / 1000) : json()},
+      {"trust",
+       {{"limit", a.rate_limit > 0 ? round(trustFactor(l.last_outcome_at, now, kLimitTrust)) : 0},
+        {"part", a.quota_fraction > 0 ? round(trustFactor(l.last_outcome_at, now, kPartTrust)) : 0},
+        {"usual", a.samples > 0 ? round(trustFactor(l.last_outcome_at, now, kLatencyTrust)) : 0},
+        {"traffic", a.message_rate > 0 ? round(trustFactor(l.last_message_at, now, kTrafficTrust)) : 0}}}};
   if (!l.endpoint.empty())
     j["endpoint"] = l.endpoint, j["address"] = k.address;
   return j;
@@ -70,31 +71,31 @@
 }  // namespace
 
 int show(const std::string& folder, bool as_json) {
-  const Reading r = readBook(Keeper::pathIn(folder), "");
-  if (!r.there || !r.refused.empty()) {
-    std::cerr << "grademux: " << Keeper::pathIn(folder) << ": "
-              << (r.there ? r.refused : "nothing is kept there") << '\n';
+  const DecodedFile r = loadLearnedState(LearnedStateStore::pathIn(folder), "");
+  if (!r.found || !r.error.empty()) {
+    std::cerr << "grademux: " << LearnedStateStore::pathIn(folder) << ": "
+              << (r.found ? r.error : "nothing is kept there") << '\n';
     return kUnusable;
   }
   const Micros now = unixNow();
-  std::vector<Known> known = r.book.known;
-  std::sort(known.begin(), known.end(), [](const Known& a, const Known& b) {
-    return std::tie(a.lesson.destination, a.lesson.endpoint) <
-           std::tie(b.lesson.destination, b.lesson.endpoint);
+  std::vector<LearnedRecord> known = r.state.records;
+  std::sort(known.begin(), known.end(), [](const LearnedRecord& a, const LearnedRecord& b) {
+    return std::tie(a.learned.destination, a.learned.endpoint) <
+           std::tie(b.learned.destination, b.learned.endpoint);
   });
   if (as_json) {
     json all = json::array();
-    for (const Known& k : known)
+    for (const LearnedRecord& k : known)
       all.push_back(shown(k, now));
-    std::cout << json{{"sender", r.book.sender},
-                      {"written_ms_ago", (now - r.book.written) / 1000},
+    std::cout << json{{"sender", r.state.sender},
+                      {"written_ms_ago", (now - r.state.written) / 1000},
                       {"damaged", r.damaged},
                       {"known", std::move(all)}}
                      .dump()
               << '\n';
     return 0;
   }
-  std::cout << "of " << r.book.sender << ", written " << since(r.book.written, now) << " ago, "
+  std::cout << "of " << r.state.sender << ", written " << since(r.state.written, now) << " ago, "
             << known.size() << " records";
   if (r.damaged > 0)
     std::cout << ", " << r.damaged << " damaged";
@@ -117,24 +118,27 @@
       s.resize(static_cast<std::size_t>(width), ' ');
     return s;
   };
-  for (const Known& k : known) {
-    const Lesson& l = k.lesson;
-    const Lesson a = aged(l, now);
+  for (const LearnedRecord& k : known) {
+    const LearnedEndpoint& l = k.learned;
+    const LearnedEndpoint a = decayed(l, now);
     std::cout << std::left << std::setw(13) << l.destination << std::setw(26)
-              << (l.endpoint.empty() ? "(all)" : l.endpoint) << std::setw(11) << since(l.heard, now)
-              << cell(l.limit, trust(l.heard, now, kLimitTrust), a.limit > 0, 15)
-              << cell(l.part, trust(l.heard, now, kPartTrust), a.part > 0, 15)
-              << cell(static_cast<double>(l.usual) / 1000, trust(l.heard, now, kLatencyTrust), a.samples > 0,
-                      16)
-              << cell(l.traffic, trust(l.came, now, kTrafficTrust), a.traffic > 0, 0) << '\n';
+              << (l.endpoint.empty() ? "(all)" : l.endpoint) << std::setw(11) << since(l.last_outcome_at, now)
+              << cell(l.rate_limit, trustFactor(l.last_outcome_at, now, kLimitTrust), a.rate_limit > 0, 15)
+              << cell(l.quota_fraction, trustFactor(l.last_outcome_at, now, kPartTrust), a.quota_fraction > 0,
+                      15)
+              << cell(static_cast<double>(l.typical_latency) / 1000,
+                      trustFactor(l.last_outcome_at, now, kLatencyTrust), a.samples > 0, 16)
+              << cell(l.message_rate, trustFactor(l.last_message_at, now, kTrafficTrust), a.message_rate > 0,
+                      0)
+              << '\n';
   }
   return 0;
 }
 
 int forget(const std::string& folder, std::optional<std::int64_t> destination) {
-  const std::string path = Keeper::pathIn(folder);
-  Reading r = readBook(path, "");
-  if (!r.there) {
+  const std::string path = LearnedStateStore::pathIn(folder);
+  DecodedFile r = loadLearnedState(path, "");
+  if (!r.found) {
     std::cerr << "grademux: " << path << ": nothing is kept there\n";
     return kUnusable;
   }
@@ -146,17 +150,17 @@
     std::cout << "forgotten: all\n";
     return 0;
   }
-  if (!r.refused.empty()) {
-    std::cerr << "grademux: " << path << ": " << r.refused << '\n';
+  if (!r.error.empty()) {
+    std::cerr << "grademux: " << path << ": " << r.error << '\n';
     return kUnusable;
   }
-  const std::size_t before = r.book.known.size();
-  auto& all = r.book.known;
+  const std::size_t before = r.state.records.size();
+  auto& all = r.state.records;
   all.erase(std::remove_if(all.begin(), all.end(),
-                           [&](const Known& k) { return k.lesson.destination == *destination; }),
+                           [&](const LearnedRecord& k) { return k.learned.destination == *destination; }),
             all.end());
   std::size_t left_out = 0;
-  const std::string wrong = replaceFile(path, encode(r.book, UINT64_MAX, left_out));
+  const std::string wrong = replaceFile(path, encode(r.state, UINT64_MAX, left_out));
   if (!wrong.empty()) {
     std::cerr << "grademux: " << path << ": " << wrong << '\n';
     return kUnusable;
--- a/src/knowledge/book.cpp
+++ b/src/knowledge/learned_state_file.cpp
@@ -1,5 +1,5 @@
 // grademux: the file of what was learned; see book.h.
-#include "book.h"
+#include "learned_state_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -66,74 +66,77 @@
   return std::max<Micros>(0, value<Micros>(j, name, 0));
 }
 
-json shown(const Known& k) {
-  const Lesson& l = k.lesson;
-  json j = {{"d", l.destination}, {"heard", l.heard}};
+json shown(const LearnedRecord& k) {
+  const LearnedEndpoint& l = k.learned;
+  json j = {{"d", l.destination}, {"heard", l.last_outcome_at}};
   if (!l.endpoint.empty())
     j["e"] = l.endpoint;
   if (!k.address.empty())
     j["at"] = k.address;
-  if (l.limit > 0)
-    j["limit"] = l.limit;
-  if (l.told)
+  if (l.rate_limit > 0)
+    j["limit"] = l.rate_limit;
+  if (l.limit_is_reported)
     j["told"] = true;
-  if (l.part > 0)
-    j["part"] = l.part;
+  if (l.quota_fraction > 0)
+    j["part"] = l.quota_fraction;
   if (l.samples > 0)
-    j["usual"] = l.usual, j["n"] = l.samples;
-  if (l.risk > 0)
-    j["risk"] = l.risk;
-  if (l.traffic > 0)
-    j["traffic"] = l.traffic, j["came"] = l.came;
+    j["usual"] = l.typical_latency, j["n"] = l.samples;
+  if (l.unknown_outcome_fraction > 0)
+    j["risk"] = l.unknown_outcome_fraction;
+  if (l.message_rate > 0)
+    j["traffic"] = l.message_rate, j["came"] = l.last_message_at;
   return j;
 }
 
-Known knownOf(const json& j) {
-  Known k;
-  Lesson& l = k.lesson;
+LearnedRecord knownOf(const json& j) {
+  LearnedRecord k;
+  LearnedEndpoint& l = k.learned;
   l.destination = value<std::int64_t>(j, "d", 0);
-  l.heard = moment(j, "heard");
+  l.last_outcome_at = moment(j, "heard");
   l.endpoint = value<std::string>(j, "e", "");
   k.address = value<std::string>(j, "at", "");
-  l.limit = value<double>(j, "limit", 0);
-  l.told = value<bool>(j, "told", false);
-  l.part = value<double>(j, "part", 0);
-  l.usual = moment(j, "usual");
-  l.samples = l.usual > 0 ? std::max(0, value<int>(j, "n", 0)) : 0;
-  l.risk = std::min(1.0, value<double>(j, "risk", 0));
-  l.traffic = value<double>(j, "traffic", 0);
-  l.came = moment(j, "came");
+  l.rate_limit = value<double>(j, "limit", 0);
+  l.limit_is_reported = value<bool>(j, "told", false);
+  l.quota_fraction = value<double>(j, "part", 0);
+  l.typical_latency = moment(j, "usual");
+  l.samples = l.typical_latency > 0 ? std::max(0, value<int>(j, "n", 0)) : 0;
+  l.unknown_outcome_fraction = std::min(1.0, value<double>(j, "risk", 0));
+  l.message_rate = value<double>(j, "traffic", 0);
+  l.last_message_at = moment(j, "came");
   return k;
 }
 
-json shown(const Experience& p) {
-  return {{"heard", p.heard},           {"typical", p.typical},       {"n", p.typical_of},
-          {"dead_score", p.dead_score}, {"dead_least", p.dead_least}, {"dead_at", p.dead_at}};
+json shown(const LearnedPool& p) {
+  return {{"heard", p.last_outcome_at},       {"typical", p.mean_latency},
+          {"n", p.latency_samples},           {"dead_score", p.stale_connection_score},
+          {"dead_least", p.stale_after_idle}, {"dead_at", p.stale_observed_at}};
 }
-Experience experienceOf(const json& j) {
-  Experience p;
-  p.heard = moment(j, "heard");
-  p.typical = value<double>(j, "typical", 0);
-  p.typical_of = std::max(0, value<int>(j, "n", 0));
-  p.dead_score = value<double>(j, "dead_score", 0);
-  p.dead_least = moment(j, "dead_least");
-  p.dead_at = moment(j, "dead_at");
+LearnedPool experienceOf(const json& j) {
+  LearnedPool p;
+  p.last_outcome_at = moment(j, "heard");
+  p.mean_latency = value<double>(j, "typical", 0);
+  p.latency_samples = std::max(0, value<int>(j, "n", 0));
+  p.stale_connection_score = value<double>(j, "dead_score", 0);
+  p.stale_after_idle = moment(j, "dead_least");
+  p.stale_observed_at = moment(j, "dead_at");
   return p;
 }
 
 }  // namespace
 
-std::string encode(const Book& book, std::uint64_t most_bytes, std::size_t& left_out) {
+std::string encode(const LearnedStateFile& book, std::uint64_t most_bytes, std::size_t& left_out) {
   std::string out;
   frame(out, {{"what", kWhat},
-              {"form", kForm},
+              {"form", kFormatVersion},
               {"sender", book.sender},
               {"written", book.written},
               {"pool", shown(book.pool)}});
-  std::vector<const Known*> newest;
-  for (const Known& k : book.known)
+  std::vector<const LearnedRecord*> newest;
+  for (const LearnedRecord& k : book.records)
     newest.push_back(&k);
-  const auto at = [](const Known* k) { return std::max(k->lesson.heard, k->lesson.came); };
+  const auto at = [](const LearnedRecord* k) {
+    return std::max(k->learned.last_outcome_at, k->learned.last_message_at);
+  };
   std::stable_sort(newest.begin(), newest.end(), [&](auto* a, auto* b) { return at(a) > at(b); });
   left_out = 0;
   for (std::size_t i = 0; i < newest.size(); ++i) {
@@ -148,9 +151,9 @@
   return out.size() <= most_bytes ? out : "";
 }
 
-Reading decode(const std::string& bytes, const std::string& sender) {
-  Reading r;
-  r.there = true;
+DecodedFile decode(const std::string& bytes, const std::string& sender) {
+  DecodedFile r;
+  r.found = true;
   bool head = false;
   for (std::size_t at = 0; at < bytes.size();) {
     const std::size_t left = bytes.size() - at;
@@ -171,45 +174,46 @@
       continue;
     }
     if (head) {
-      r.book.known.push_back(knownOf(j));
+      r.state.records.push_back(knownOf(j));
       continue;
     }
     head = true;
-    r.book.sender = value<std::string>(j, "sender", "");
-    r.book.written = moment(j, "written");
+    r.state.sender = value<std::string>(j, "sender", "");
+    r.state.written = moment(j, "written");
     const int form = value<int>(j, "form", 0);
     if (value<std::string>(j, "what", "") != kWhat)
-      r.refused = "not a file of knowledge";
-    else if (form != kForm)
-      r.refused = "it has form " + std::to_string(form) + ", " + std::to_string(kForm) + " is read here";
-    else if (!sender.empty() && r.book.sender != sender)
-      r.refused = "it is of " + r.book.sender + ", this is " + sender;
-    if (!r.refused.empty())
+      r.error = "not a file of knowledge";
+    else if (form != kFormatVersion)
+      r.error =
+          "it has form " + std::to_string(form) + ", " + std::to_string(kFormatVersion) + " is read here";
+    else if (!sender.empty() && r.state.sender != sender)
+      r.error = "it is of " + r.state.sender + ", this is " + sender;
+    if (!r.error.empty())
       return r;
     const auto pool = j.find("pool");
     if (pool != j.end() && pool->is_object())
-      r.book.pool = experienceOf(*pool);
+      r.state.pool = experienceOf(*pool);
   }
   if (!head)
-    r.refused = bytes.empty() ? "it is empty" : "its head is damaged";
+    r.error = bytes.empty() ? "it is empty" : "its head is damaged";
   return r;
 }
 
-Reading readBook(const std::string& path, const std::string& sender) {
-  Reading r;
+DecodedFile loadLearnedState(const std::string& path, const std::string& sender) {
+  DecodedFile r;
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) {
-    r.there = errno != ENOENT;
-    if (r.there)
-      r.refused = std::strerror(errno);
+    r.found = errno != ENOENT;
+    if (r.found)
+      r.error = std::strerror(errno);
     return r;
   }
   std::string bytes;
   if (!readAll(fd, bytes, kMostFile))
-    r.refused = std::strerror(errno);
+    r.error = std::strerror(errno);
   ::close(fd);
-  r.there = true;
-  return r.refused.empty() ? decode(bytes, sender) : r;
+  r.found = true;
+  return r.error.empty() ? decode(bytes, sender) : r;
 }
 
 }  // namespace grademux::knowledge
--- a/src/knowledge/book.h
+++ b/src/knowledge/learned_state_file.h
@@ -15,31 +15,31 @@
 
 namespace grademux::knowledge {
 
-constexpr int kForm = 1;
+constexpr int kFormatVersion = 1;
 
-struct Known {
-  Lesson lesson;
+struct LearnedRecord {
+  LearnedEndpoint learned;
   std::string address;  // of an endpoint when that was learned: another one is another machine
 };
 
-struct Book {
+struct LearnedStateFile {
   std::string sender;
   Micros written = 0;
-  Experience pool;
-  std::vector<Known> known;
+  LearnedPool pool;
+  std::vector<LearnedRecord> records;
 };
 
 // With `most_bytes` as a bound, what was heard of longest ago is left out, and counted.
-std::string encode(const Book& book, std::uint64_t most_bytes, std::size_t& left_out);
+std::string encode(const LearnedStateFile& book, std::uint64_t most_bytes, std::size_t& left_out);
 
-struct Reading {
-  Book book;
-  bool there = false;
-  std::string refused;      // why nothing of it is used
+struct DecodedFile {
+  LearnedStateFile state;
+  bool found = false;
+  std::string error;        // why nothing of it is used
   std::size_t damaged = 0;  // records, at least, that are not used
 };
 // `sender`: whose it has to be; empty: anyone's.
-Reading decode(const std::string& bytes, const std::string& sender);
-Reading readBook(const std::string& path, const std::string& sender);
+DecodedFile decode(const std::string& bytes, const std::string& sender);
+DecodedFile loadLearnedState(const std::string& path, const std::string& sender);
 
 }  // namespace grademux::knowledge
--- a/src/knowledge/keeper.h
+++ b/src/knowledge/learned_state_store.h
@@ -7,43 +7,44 @@
 #include <functional>
 
 #include "../core/worker.h"
-#include "book.h"
+#include "learned_state_file.h"
 
 namespace grademux::knowledge {
 
 // `[knowledge]` of the daemon file.
-struct KeeperSpec {
-  bool keep = false;
+struct LearnedStateConfig {
+  bool enabled = false;
   Micros interval = 10'000'000;
-  std::uint64_t most_bytes = 4 << 20;  // of the file; twice as much while it is written
-  bool operator==(const KeeperSpec& o) const {
-    return keep == o.keep && interval == o.interval && most_bytes == o.most_bytes;
+  std::uint64_t max_bytes = 4 << 20;  // of the file; twice as much while it is written
+  bool operator==(const LearnedStateConfig& o) const {
+    return enabled == o.enabled && interval == o.interval && max_bytes == o.max_bytes;
   }
 };
 
-class Keeper {
+class LearnedStateStore {
  public:
-  // What is known of some destinations, and Surveyed; as Host::survey().
-  using Learned = std::function<void(std::vector<Known>, const Surveyed&)>;
-  using Survey = std::function<void(std::int64_t after, int most, Learned)>;
-  using Room = std::function<std::uint64_t()>;              // bytes left to it and its old file
-  using Beside = std::function<void(std::uint64_t bytes)>;  // is told how many it takes
+  // What is known of some destinations, and LearnedExported; as DeliveryEngine::survey().
+  using Learned = std::function<void(std::vector<LearnedRecord>, const LearnedExported&)>;
+  using Export = std::function<void(std::int64_t after, int most, Learned)>;
+  using AvailableBytes = std::function<std::uint64_t()>;         // bytes left to it and its old file
+  using ReportBytes = std::function<void(std::uint64_t bytes)>;  // is told how many it takes
 
-  Keeper(boost::asio::io_context& io, Worker& worker, KeeperSpec spec, const std::string& folder,
-         std::string sender, Survey survey, Room room, Beside beside);
+  LearnedStateStore(boost::asio::io_context& io, Worker& worker, LearnedStateConfig spec,
+                    const std::string& folder, std::string sender, Export survey, AvailableBytes room,
+                    ReportBytes beside);
 
   // What an earlier process left, at once; why it is not used goes to the log.
-  Book read();
+  LearnedStateFile load();
   void start();
   // Something that matters was learned: the next write comes soon.
-  void soon();
+  void writeSoon();
   // A daemon file that was read again.
-  void change(KeeperSpec spec);
+  void applyConfig(LearnedStateConfig spec);
   // The process ends, or gives its folder to another: writes this on the spot.
-  void finish(Book book);
+  void finish(LearnedStateFile book);
   void resume();  // after finish(): the folder stayed with this process
   // The file goes, for the journal's sake. False while it is being written: it goes then.
-  bool giveWay();
+  bool freeSpace();
 
   static std::string pathIn(const std::string& folder) { return folder + "/knowledge"; }
 
@@ -57,23 +58,23 @@
     Micros took = 0;
   };
   void schedule(Micros span);
-  void gather(std::int64_t after);
+  void collect(std::int64_t after);
   void write();
-  void told(const Written& w);
-  static Written put(const std::string& path, const Book& book, std::uint64_t most_bytes);
+  void onWritten(const Written& w);
+  static Written writeFile(const std::string& path, const LearnedStateFile& book, std::uint64_t most_bytes);
   std::uint64_t mostBytes() const;
 
   Worker& worker_;
-  KeeperSpec spec_;
+  LearnedStateConfig spec_;
   std::string path_, sender_;
-  Survey survey_;
-  Room room_;
-  Beside beside_;
+  Export export_;
+  AvailableBytes available_bytes_;
+  ReportBytes report_bytes_;
   boost::asio::steady_timer timer_;
   Micros due_ = 0;
-  Book book_;
+  LearnedStateFile state_;
   std::uint64_t bytes_ = 0;  // of the file that is there
-  bool busy_ = false, writing_ = false, gave_way_ = false, failing_ = false, stopped_ = false;
+  bool busy_ = false, writing_ = false, space_freed_ = false, failing_ = false, stopped_ = false;
 };
 
 }  // namespace grademux::knowledge
--- a/src/doors/http/server.cpp
+++ b/src/listener/http/http_listener.cpp
@@ -1,5 +1,5 @@
 // grademux: the HTTP door's connections; see server.h.
-#include "server.h"
+#include "http_listener.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 #include <variant>
 
 #include "../../core/clock.h"
-#include "../listener.h"
+#include "../listening_socket.h"
 #include "messages.h"
 
 namespace grademux {
@@ -21,7 +21,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using boost::system::error_code;
-using namespace http_door;
+using namespace http_listener;
 
 namespace {
 
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-struct HttpDoor::Session : std::enable_shared_from_this<Session> {
+struct HttpListener::Session : std::enable_shared_from_this<Session> {
   // The place of one request in the order of answers. What stands in `out` may be written once it is first.
   struct Slot {
     std::string out;
@@ -71,9 +71,9 @@
   };
   using Parser = http::request_parser<http::buffer_body>;
 
-  Session(HttpDoor& d, tcp::socket s) : door(d), socket(std::move(s)), number(++d.next_id_) {}
+  Session(HttpListener& d, tcp::socket s) : door(d), socket(std::move(s)), number(++d.next_id_) {}
 
-  HttpDoor& door;
+  HttpListener& door;
   tcp::socket socket;
   const std::int64_t number;  // among the door's connections
   std::string in, body, writing;
@@ -117,7 +117,7 @@
 
   void read() {
     error_code e;
-    const std::size_t n = socket.read_some(asio::buffer(door.piece_), e);
+    const std::size_t n = socket.read_some(asio::buffer(door.read_buffer_), e);
     if (e == asio::error::would_block || e == asio::error::try_again)
       return wait();
     if (e == asio::error::eof)
@@ -128,7 +128,7 @@
       thrown += n;
       return thrown >= kDiscard ? close() : wait();
     }
-    in.append(door.piece_.data(), n);
+    in.append(door.read_buffer_.data(), n);
     go();
   }
 
@@ -267,7 +267,7 @@
   std::shared_ptr<Slot> place() {
     if (!placed) {
       slots.push_back(std::make_shared<Slot>());
-      ++door.open_;
+      ++door.open_requests_;
       placed = true;
     }
     return slots.back();
@@ -277,7 +277,7 @@
     const auto slot = place();
     placed = false;
     used = true;
-    const bool keep = parser->keep_alive() && !door.away();
+    const bool keep = parser->keep_alive() && !door.isDraining();
     if (!keep)
       last = true;
     slot->close = !keep;
@@ -302,7 +302,7 @@
     if (t.resource == Resource::batch)
       return notAllowed(slot, "POST");
     if (method == http::verb::get) {
-      slot->late = [this, id = t.id] { return statusOf(id, door.core_->status(id)); };
+      slot->late = [this, id = t.id] { return statusOf(id, door.handler_->status(id)); };
       return flush();
     }
     if (method != http::verb::put)
@@ -321,46 +321,51 @@
     body.clear();
     if (const auto* wrong = std::get_if<Problem>(&read))
       return answer(slot, problemOf(*wrong, id));
-    if (door.refuses())
+    if (door.rejectsNewRequests())
       return answer(slot, draining(id));
     Micros patience = 0;
     for (const auto& [name, value] : fields)
       if (name == "prefer")
         if (const auto seconds = waitAsked(value))
-          patience = std::min(door.limits_.longest_wait, std::min<Micros>(*seconds, 86400) * 1'000'000);
+          patience = std::min(door.limits_.max_wait, std::min<Micros>(*seconds, 86400) * 1'000'000);
     auto& s = std::get<Submission>(read);
-    s.door = "http";
-    door.core_->submit(std::move(s), [self = shared_from_this(), slot, id, patience](const Answer& a) {
-      if (!self->open)
-        return;
-      if (a.kind != Answer::Kind::accepted || a.end || patience == 0 || self->door.away())
-        return self->answer(slot, answerOf(id, a));
-      self->waitForEnd(slot, id, patience);
-    });
+    s.listener_kind = "http";
+    door.handler_->submit(std::move(s),
+                          [self = shared_from_this(), slot, id, patience](const SubmissionResult& a) {
+                            if (!self->open)
+                              return;
+                            if (a.kind != SubmissionResult::Kind::accepted || a.final_outcome ||
+                                patience == 0 || self->door.isDraining())
+                              return self->answer(slot, answerOf(id, a));
+                            self->waitForEnd(slot, id, patience);
+                          });
   }
 
   void waitForEnd(const std::shared_ptr<Slot>& slot, const std::string& id, Micros patience) {
     slot->id = id;
     slot->wait_until = monotonicNow() + patience;
     waits.push_back(slot);
-    door.core_->whenEnded(id, [self = weak_from_this(), s = std::weak_ptr<Slot>(slot), id](const End& e) {
-      const auto session = self.lock();
-      const auto there = s.lock();
-      if (session && there && !there->done)
-        session->answer(there, endOf(id, e));
-    });
+    door.handler_->notifyWhenFinished(
+        id, [self = weak_from_this(), s = std::weak_ptr<Slot>(slot), id](const FinalOutcome& e) {
+          const auto session = self.lock();
+          const auto there = s.lock();
+          if (session && there && !there->done)
+            session->answer(there, endOf(id, e));
+        });
   }
 
   // It has waited long enough: the message is taken on, and has no end yet.
-  void tellOpen(const std::shared_ptr<Slot>& slot) { answer(slot, answerOf(slot->id, Answer::accepted())); }
+  void tellOpen(const std::shared_ptr<Slot>& slot) {
+    answer(slot, answerOf(slot->id, SubmissionResult::accepted()));
+  }
 
   // ---- batches
 
   void beginBatch() {
     batch = std::make_shared<Batch>();
     batch->slot = place();
-    batch->slot->out =
-        chunkedHead("application/x-ndjson", door.away() || !parser->keep_alive(), unixNow() / 1'000'000);
+    batch->slot->out = chunkedHead("application/x-ndjson", door.isDraining() || !parser->keep_alive(),
+                                   unixNow() / 1'000'000);
     batch->line_since = monotonicNow();
   }
 
@@ -402,20 +407,20 @@
       return done(*line, {}, problemOf(tooLong()));
     std::string id;
     auto read = readLine(text, id);
-    if (!usableToken(id))
+    if (!isValidToken(id))
       id.clear();
     if (const auto* wrong = std::get_if<Problem>(&read))
       return done(*line, id, problemOf(*wrong));
-    if (door.refuses())
+    if (door.rejectsNewRequests())
       return done(*line, id, draining(id));
     auto& s = std::get<Submission>(read);
-    s.door = "http";
+    s.listener_kind = "http";
     const auto shared = b.shared_from_this();
-    door.core_->submit(std::move(s),
-                       [self = shared_from_this(), b = shared, line, id, done](const Answer& a) {
-                         done(*line, id, answerOf(id, a));
-                         self->advance(*b);
-                       });
+    door.handler_->submit(std::move(s),
+                          [self = shared_from_this(), b = shared, line, id, done](const SubmissionResult& a) {
+                            done(*line, id, answerOf(id, a));
+                            self->advance(*b);
+                          });
   }
 
   // Moves answered lines, in order, to where they may be written.
@@ -497,7 +502,7 @@
   void render(const std::shared_ptr<Slot>& slot, const Response& r) {
     const bool useless = r.status / 100 == 4 && r.status != 429;
     faults = useless ? faults + 1 : 0;
-    if (faults >= kMostFaults || (door.away() && slot == slots.back())) {
+    if (faults >= kMostFaults || (door.isDraining() && slot == slots.back())) {
       slot->close = slot == slots.back();
       last = last || slot->close;
     }
@@ -554,14 +559,14 @@
     writing.clear();
     if (writing.capacity() > kPiece)
       writing.shrink_to_fit();
-    door.open_ -= owed;
+    door.open_requests_ -= owed;
     owed = 0;
     if (hang_up)
       return hangUp();
     if (slots.empty()) {
       if (ended)
         return close();
-      if (door.away() && !parser && in.empty() && nothingCame())
+      if (door.isDraining() && !parser && in.empty() && nothingCame())
         return hangUp();
       if (!parser)
         since = monotonicNow();
@@ -616,15 +621,15 @@
     }
     if (!open || last)
       return;
-    if (door.away()) {
-      if (idle() && now >= std::max(since, door.away_since_) + momentOf(number))
+    if (door.isDraining()) {
+      if (idle() && now >= std::max(since, door.draining_since_) + drainDelay(number))
         return hangUpIfIdle();
       // A batch that goes on and on: what was read of it keeps its answers.
-      if (batch && !batch->whole && now - door.away_since_ >= kSentAway)
+      if (batch && !batch->whole && now - door.draining_since_ >= kDrainDeadline)
         return spoil({503, "draining", "hand the rest in elsewhere, or here again later"});
     }
     if (idle()) {
-      if (now - since >= (used ? door.limits_.idle : kFirstByte))
+      if (now - since >= (used ? door.limits_.idle_timeout : kFirstByte))
         hangUpIfIdle();
       return;
     }
@@ -638,8 +643,8 @@
     }
     if (now - (batch ? std::max(since, batch->line_since) : since) >= kWhole) {
       const Problem slow{408, "too-slow", "2 s from the first byte to the last are allowed"};
-      if (batch && batch->line.empty() && !batch->too_long && now - batch->line_since < door.limits_.idle &&
-          head_done)
+      if (batch && batch->line.empty() && !batch->too_long &&
+          now - batch->line_since < door.limits_.idle_timeout && head_done)
         return;  // between lines a batch may rest as long as a connection may
       socket.cancel();
       fail(slow);
@@ -659,7 +664,7 @@
     if (!open)
       return;
     open = false;
-    door.open_ -= slots.size() + owed;
+    door.open_requests_ -= slots.size() + owed;
     slots.clear();
     owed = 0;
     closeDrained(socket);
@@ -667,28 +672,28 @@
   }
 };
 
-HttpDoor::HttpDoor(asio::io_context& io, const tcp::endpoint& listen, Limits limits)
-    : io_(io), acceptor_(io), pause_(io), sweeper_(io), limits_(limits), piece_(kPiece) {
-  bindDoor(acceptor_, listen);
+HttpListener::HttpListener(asio::io_context& io, const tcp::endpoint& listen, Limits limits)
+    : io_(io), acceptor_(io), accept_timer_(io), sweep_timer_(io), limits_(limits), read_buffer_(kPiece) {
+  bindListener(acceptor_, listen);
   acceptor_.set_option(asio::socket_base::send_buffer_size(kKernelBuffer));
   acceptor_address_ = acceptor_.local_endpoint();
 }
 
-HttpDoor::~HttpDoor() {
+HttpListener::~HttpListener() {
   const auto all = sessions_;
   for (const auto& s : all)
     s->close();
 }
 
-void HttpDoor::start(Intake& core, const operate::State& state) {
-  core_ = &core;
+void HttpListener::start(SubmissionHandler& core, const operate::ServiceState& state) {
+  handler_ = &core;
   state_ = &state;
   acceptor_.listen();
   accept();
   sweep();
 }
 
-void HttpDoor::accept() {
+void HttpListener::accept() {
   if (!makeRoom())
     return retryAccept();  // all have a request open: newcomers wait in the backlog
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
@@ -706,16 +711,16 @@
   });
 }
 
-void HttpDoor::retryAccept() {
-  pause_.expires_after(std::chrono::milliseconds(20));
-  pause_.async_wait([this](error_code stopped) {
+void HttpListener::retryAccept() {
+  accept_timer_.expires_after(std::chrono::milliseconds(20));
+  accept_timer_.async_wait([this](error_code stopped) {
     if (!stopped && !removed_)
       accept();
   });
 }
 
 // At the limit the connection that has idled longest makes room, if for long enough.
-bool HttpDoor::makeRoom() {
+bool HttpListener::makeRoom() {
   if (sessions_.size() < limits_.connections)
     return true;
   std::shared_ptr<Session> longest;
@@ -728,30 +733,30 @@
   return true;
 }
 
-void HttpDoor::sweep() {
+void HttpListener::sweep() {
   const Micros now = monotonicNow();
   const auto all = sessions_;
   for (const auto& s : all)
     if (s->open)
       s->checkLimit(now);
-  sweeper_.expires_after(std::chrono::microseconds(kSweep));
-  sweeper_.async_wait([this](error_code stopped) {
+  sweep_timer_.expires_after(std::chrono::microseconds(kSweep));
+  sweep_timer_.async_wait([this](error_code stopped) {
     if (!stopped)
       sweep();
   });
 }
 
-void HttpDoor::drain(Leaving how) {
-  away_since_ = monotonicNow();
-  if (how == Leaving::removed) {
+void HttpListener::drain(DrainReason how) {
+  draining_since_ = monotonicNow();
+  if (how == DrainReason::removed) {
     removed_ = true;
     error_code ignored;
     acceptor_.close(ignored);
-    pause_.cancel();
+    accept_timer_.cancel();
   }
   const auto all = sessions_;
   for (const auto& s : all)
-    s->drainNow(how != Leaving::standby);
+    s->drainNow(how != DrainReason::standby);
 }
 
 }  // namespace grademux
--- a/src/doors/http/server.h
+++ b/src/listener/http/http_listener.h
@@ -8,31 +8,31 @@
 #include <set>
 #include <vector>
 
-#include "../door.h"
+#include "../listener.h"
 
 namespace grademux {
 
-class HttpDoor : public Door {
+class HttpListener : public Listener {
  public:
   struct Limits {
     std::size_t connections = 256;
     std::size_t pipeline = 16;           // requests of a connection read and not answered
     std::size_t batch_window = 64;       // lines of a batch read and not answered
     std::size_t request_bytes = 131072;  // the body of a request, or one line of a batch
-    Micros longest_wait = 30'000'000;    // a client's "Prefer: wait" is cut to it
-    Micros idle = 60'000'000;            // a connection without a request is closed after it
+    Micros max_wait = 30'000'000;        // a client's "Prefer: wait" is cut to it
+    Micros idle_timeout = 60'000'000;    // a connection without a request is closed after it
   };
 
   // Binds `listen`; throws std::runtime_error when it can't.
-  HttpDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Limits limits);
-  ~HttpDoor() override;
-  HttpDoor(const HttpDoor&) = delete;
-  HttpDoor& operator=(const HttpDoor&) = delete;
-
-  void start(Intake& core, const operate::State& state) override;
-  void drain(Leaving how) override;
-  std::size_t open() const override { return open_; }
-  std::size_t connections() const override { return sessions_.size(); }
+  HttpListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Limits limits);
+  ~HttpListener() override;
+  HttpListener(const HttpListener&) = delete;
+  HttpListener& operator=(const HttpListener&) = delete;
+
+  void start(SubmissionHandler& core, const operate::ServiceState& state) override;
+  void drain(DrainReason how) override;
+  std::size_t openRequests() const override { return open_requests_; }
+  std::size_t connectionCount() const override { return sessions_.size(); }
   boost::asio::ip::tcp::endpoint address() const override { return acceptor_address_; }
   void setLimits(Limits limits) { limits_ = limits; }  // hold from the next request on
 
@@ -42,20 +42,22 @@
   void retryAccept();
   bool makeRoom();
   void sweep();
-  bool away() const { return removed_ || state_->sendsAway(); }
-  bool refuses() const { return removed_ || state_->stopping(); }  // what has not begun here begins elsewhere
+  bool isDraining() const { return removed_ || state_->isDraining(); }
+  bool rejectsNewRequests() const {
+    return removed_ || state_->isStopping();
+  }  // what has not begun here begins elsewhere
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::ip::tcp::endpoint acceptor_address_;
-  boost::asio::steady_timer pause_, sweeper_;
+  boost::asio::steady_timer accept_timer_, sweep_timer_;
   Limits limits_;
-  Intake* core_ = nullptr;
-  const operate::State* state_ = nullptr;
-  Micros away_since_ = 0;  // drained last
+  SubmissionHandler* handler_ = nullptr;
+  const operate::ServiceState* state_ = nullptr;
+  Micros draining_since_ = 0;  // drained last
   std::set<std::shared_ptr<Session>> sessions_;
-  std::vector<char> piece_;  // what is read goes through it: a connection that waits holds no buffer
-  std::size_t open_ = 0;
+  std::vector<char> read_buffer_;  // what is read goes through it: a connection that waits holds no buffer
+  std::size_t open_requests_ = 0;
   std::int64_t next_id_ = 0;  // of connections
   bool removed_ = false;
 };
