--- a/src/doors/http/messages.cpp
+++ b/src/listener/http/messages.cpp
@@ -7,7 +7,7 @@
 
 #include "../../core/json_fields.h"
 
-namespace grademux::http_door {
+namespace grademux::http_listener {
 
 namespace {
 
@@ -62,15 +62,15 @@
 
 // What holds for a message wherever its fields stood.
 std::optional<Problem> checked(const Submission& s) {
-  if (!usableToken(s.message.id) || s.message.id.empty())
+  if (!isValidToken(s.message.id) || s.message.id.empty())
     return unusable("id: 1 to 256 printable ASCII characters without spaces are expected");
   if (s.message.message_class.empty())
     return unusable("class: a name is expected");
-  if (!usableToken(s.message.idempotency_key))
+  if (!isValidToken(s.message.idempotency_key))
     return unusable("key: at most 256 printable ASCII characters without spaces are expected");
-  if (s.message.order_key.size() > kLongestToken)
+  if (s.message.ordering_key.size() > kMaxTokenBytes)
     return unusable("order_key: at most 256 bytes are expected");
-  if (s.may_last < 1000 || s.may_last > kLongestLife)
+  if (s.time_to_live < 1000 || s.time_to_live > kMaxTimeToLive)
     return unusable("deadline_ms: a whole number of milliseconds from 1 to 86400000 is expected");
   if (s.message.body.size() > kLongestBody)
     return Problem{413, "body-too-long", "the message's body may have 65536 bytes"};
@@ -108,14 +108,14 @@
     const json& destination = grademux::field(o, "destination");
     const bool named = destination.is_string() && !destination.get<std::string>().empty();
     if (named && !wholeNumber(destination))
-      s.partner = destination;
+      s.destination_name = destination;
     else
       s.message.destination = wholeIn(o, "destination");
     const std::int64_t ms = wholeIn(o, "deadline_ms");
-    s.may_last = ms > 0 && ms <= kLongestLife / 1000 ? ms * 1000 : 0;
+    s.time_to_live = ms > 0 && ms <= kMaxTimeToLive / 1000 ? ms * 1000 : 0;
     s.message.idempotency_key = text(o, "key", "");
-    s.message.order_key = text(o, "order_key", "");
-    s.message.repeat = truth(o, "repeat", false);
+    s.message.ordering_key = text(o, "order_key", "");
+    s.message.resubmitted = truth(o, "repeat", false);
     if (o.contains("body") && o.contains("body_base64"))
       return unusable("body and body_base64 are both there: one is expected");
     s.message.body = text(o, "body", "");
@@ -145,18 +145,18 @@
   if (number)
     s.message.destination = *number;
   else
-    s.partner = *destination;
+    s.destination_name = *destination;
   const std::string* deadline = field(fields, "grademux-deadline-ms");
   const auto ms = deadline ? wholeNumber(*deadline) : std::nullopt;
-  s.may_last = ms && *ms <= kLongestLife / 1000 ? *ms * 1000 : 0;
+  s.time_to_live = ms && *ms <= kMaxTimeToLive / 1000 ? *ms * 1000 : 0;
   if (const std::string* key = field(fields, "idempotency-key"))
     s.message.idempotency_key = *key;
   if (const std::string* key = field(fields, "grademux-order-key"))
-    s.message.order_key = *key;
+    s.message.ordering_key = *key;
   if (const std::string* repeat = field(fields, "grademux-repeat")) {
     if (*repeat != "true" && *repeat != "false")
       return unusable("Grademux-Repeat: true or false is expected");
-    s.message.repeat = *repeat == "true";
+    s.message.resubmitted = *repeat == "true";
   }
   if (auto wrong = checked(s))
     return *wrong;
@@ -248,7 +248,7 @@
   if (target.find('?') != std::string_view::npos)
     return Problem{400, "malformed-request", "this resource has no query"};
   const auto id = percentDecoded(target.substr(prefix));
-  if (!id || !usableToken(*id))
+  if (!id || !isValidToken(*id))
     return Problem{400, "malformed-request",
                    "id: 1 to 256 printable ASCII characters without spaces are expected"};
   return Target{Resource::message, *id};
@@ -294,41 +294,41 @@
   return std::nullopt;
 }
 
-Response endOf(const std::string& id, const End& e) {
+Response endOf(const std::string& id, const FinalOutcome& e) {
   Response r;
-  json o{{"id", id}, {"state", nameOf(e.how)}, {"ended_ms", e.at / 1000}};
-  if (e.how == Ending::handed_back)
-    comeBack(r, o, e.pause);
+  json o{{"id", id}, {"state", nameOf(e.status)}, {"ended_ms", e.at / 1000}};
+  if (e.status == FinalStatus::returned)
+    comeBack(r, o, e.retry_after);
   r.body = dumped(o);
   return r;
 }
 
-Response answerOf(const std::string& id, const Answer& a) {
+Response answerOf(const std::string& id, const SubmissionResult& a) {
   switch (a.kind) {
-    case Answer::Kind::accepted: {
-      if (a.end)
-        return endOf(id, *a.end);
+    case SubmissionResult::Kind::accepted: {
+      if (a.final_outcome)
+        return endOf(id, *a.final_outcome);
       Response r;
       r.status = 202;
       r.body = dumped({{"id", id}, {"state", "open"}});
       return r;
     }
-    case Answer::Kind::refused:
-      return problemWith({429, "refused", "nothing ran: handing it in again is harmless"}, id, a.pause);
-    case Answer::Kind::rejected:
-      return problemOf({422, a.code, a.why}, id);
-    case Answer::Kind::conflict:
+    case SubmissionResult::Kind::rejected:
+      return problemWith({429, "refused", "nothing ran: handing it in again is harmless"}, id, a.retry_after);
+    case SubmissionResult::Kind::invalid:
+      return problemOf({422, a.code, a.reason}, id);
+    case SubmissionResult::Kind::conflict:
       return problemOf({409, "id-conflict", "a message with other content was handed in under this id"}, id);
-    case Answer::Kind::given_up:
+    case SubmissionResult::Kind::failed:
       break;
   }
   return problemOf({422, "given-up", "it was not taken on; its time does not suffice"}, id);
 }
 
-Response statusOf(const std::string& id, const Status& s) {
-  if (s.state == Status::State::ended)
-    return endOf(id, s.end);
-  if (s.state == Status::State::unknown)
+Response statusOf(const std::string& id, const MessageStatus& s) {
+  if (s.state == MessageStatus::State::finished)
+    return endOf(id, s.outcome);
+  if (s.state == MessageStatus::State::unknown)
     return problemOf({404, "unknown-message", "it was never taken on, or ended too long ago"}, id);
   Response r;
   r.body = dumped({{"id", id}, {"state", "open"}});
@@ -367,4 +367,4 @@
          (close ? "Connection: close\r\n" : "") + "\r\n";
 }
 
-}  // namespace grademux::http_door
+}  // namespace grademux::http_listener
--- a/src/doors/http/messages.h
+++ b/src/listener/http/messages.h
@@ -11,7 +11,7 @@
 
 #include "../../core/message.h"
 
-namespace grademux::http_door {
+namespace grademux::http_listener {
 
 // A problem document (RFC 9457): `code` ends its type, urn:grademux:problem:CODE.
 struct Problem {
@@ -46,9 +46,9 @@
 std::optional<std::int64_t> waitAsked(const std::string& prefer);
 
 // An answer to a submission, as one document; `id` goes into it.
-Response answerOf(const std::string& id, const Answer& a);
-Response endOf(const std::string& id, const End& e);
-Response statusOf(const std::string& id, const Status& s);
+Response answerOf(const std::string& id, const SubmissionResult& a);
+Response endOf(const std::string& id, const FinalOutcome& e);
+Response statusOf(const std::string& id, const MessageStatus& s);
 Response problemOf(const Problem& p, const std::string& id = {});
 Response draining(const std::string& id = {});
 // The same as one line of a batch's answer: the document with id and status in it, and its end.
@@ -59,4 +59,4 @@
 // The head of an answer whose body follows in chunks.
 std::string chunkedHead(const char* type, bool close, std::int64_t now);
 
-}  // namespace grademux::http_door
+}  // namespace grademux::http_listener
--- a/src/doors/listener.cpp
+++ b/src/listener/listening_socket.cpp
@@ -1,5 +1,5 @@
 // grademux: doors' addresses; see listener.h.
-#include "listener.h"
+#include "listening_socket.h"
 
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -18,7 +18,7 @@
 constexpr int kMostPieces = 64;  // read away before a close
 }  // namespace
 
-void bindDoor(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address) {
+void bindListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address) {
   using boost::asio::socket_base;
   try {
     acceptor.open(address.protocol());
@@ -33,8 +33,8 @@
   }
 }
 
-void takeDoor(boost::asio::ip::tcp::acceptor& acceptor, int passed,
-              const boost::asio::ip::tcp::endpoint& address) {
+void adoptListeningSocket(boost::asio::ip::tcp::acceptor& acceptor, int passed,
+                          const boost::asio::ip::tcp::endpoint& address) {
   std::ostringstream what;
   what << "door at " << address << ": descriptor " << passed << " was passed and ";
   const auto wrong = [&](const std::string& why) { throw std::runtime_error(what.str() + why); };
--- a/src/doors/listener.h
+++ b/src/listener/listening_socket.h
@@ -8,13 +8,13 @@
 // Opens and binds; nothing is accepted before it is told to listen. What the kernel buffers for each
 // connection counts as this sender's memory, so it is bounded here (bytes). Throws std::runtime_error naming
 // the address.
-void bindDoor(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address);
+void bindListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address);
 
 // Takes a listening socket that the process was started with, in place of binding. It is another's, too: it
 // is never shut down here, and closing it ends only this process's part in it. Throws std::runtime_error
 // saying what is wrong if the descriptor is not open, no TCP socket, not listening, or of another address.
-void takeDoor(boost::asio::ip::tcp::acceptor& acceptor, int passed,
-              const boost::asio::ip::tcp::endpoint& address);
+void adoptListeningSocket(boost::asio::ip::tcp::acceptor& acceptor, int passed,
+                          const boost::asio::ip::tcp::endpoint& address);
 
 // Closes a client's connection at once, in the order that loses least: sends the end, reads away what has
 // come, for a bounded amount, then closes. A close over unread input resets the connection, and replies that
--- a/src/doors/resp/commands.cpp
+++ b/src/listener/resp/commands.cpp
@@ -238,20 +238,20 @@
   return e->run(words, c, facts);
 }
 
-std::string statusReply(const Status& s, int protocol) {
+std::string statusReply(const MessageStatus& s, int protocol) {
   switch (s.state) {
-    case Status::State::unknown:
+    case MessageStatus::State::unknown:
       return protocol == 3 ? kNull : kNullArray;
-    case Status::State::open:
+    case MessageStatus::State::open:
       return arrayOf({bulk("state"), bulk("open")});
-    case Status::State::ended:
+    case MessageStatus::State::finished:
       break;
   }
-  std::vector<std::string> fields{bulk("state"), bulk(nameOf(s.end.how)), bulk("ended_ms"),
-                                  number(s.end.at / 1000)};
-  if (s.end.pause > 0) {
+  std::vector<std::string> fields{bulk("state"), bulk(nameOf(s.outcome.status)), bulk("ended_ms"),
+                                  number(s.outcome.at / 1000)};
+  if (s.outcome.retry_after > 0) {
     fields.push_back(bulk("retry_after_ms"));
-    fields.push_back(number((s.end.pause + 999) / 1000));
+    fields.push_back(number((s.outcome.retry_after + 999) / 1000));
   }
   return arrayOf(fields);
 }
--- a/src/doors/resp/commands.h
+++ b/src/listener/resp/commands.h
@@ -45,7 +45,7 @@
 bool knowsCommand(std::string_view word, bool whole);
 
 // Fields and values of what is known of a message; a null for one that is not known.
-std::string statusReply(const Status& s, int protocol);
+std::string statusReply(const MessageStatus& s, int protocol);
 
 // MSG.WAIT's milliseconds, as microseconds, at most kLongestRespWait; false if it is no whole number.
 constexpr Micros kLongestRespWait = 30'000'000;
--- a/src/doors/resp/put_request.cpp
+++ b/src/listener/resp/put_request.cpp
@@ -33,22 +33,22 @@
     if (name == "c") {
       put.message.message_class = value;
     } else if (name == "d") {
-      if (!wholeNumber(value, n) || n > kLongestLife / kMicrosPerMilli)
+      if (!wholeNumber(value, n) || n > kMaxTimeToLive / kMicrosPerMilli)
         return "malformed d";
-      put.may_last = n * kMicrosPerMilli;
+      put.time_to_live = n * kMicrosPerMilli;
       timed = true;
     } else if (name == "dest") {
       // What begins like a number is one, or wrong: partners' names don't.
       const bool named = !value.empty() && value.find_first_not_of("+-0123456789.") != std::string::npos;
       if (named)
-        put.partner = value;
+        put.destination_name = value;
       else if (!wholeNumber(value, put.message.destination))
         return "malformed dest";
       addressed = true;
     } else if (name == "k") {
       put.message.idempotency_key = value;
     } else if (name == "r" || name == "again") {
-      put.message.repeat = put.message.repeat || value == "1";
+      put.message.resubmitted = put.message.resubmitted || value == "1";
     }
   }
   if (put.message.message_class.empty())
@@ -64,32 +64,33 @@
 
 PutRequest readPut(std::vector<std::string>& words) {
   PutRequest put;
-  TakenOn& message = put.submission.message;
+  AcceptedMessage& message = put.submission.message;
   if (words[1].find_first_not_of('0') != std::string::npos)
-    message.order_key = words[1];
+    message.ordering_key = words[1];
   message.id = words[2];
   message.body = std::move(words[4]);
-  put.submission.door = "resp";
-  if (message.id.empty() || !usableToken(message.id))
+  put.submission.listener_kind = "resp";
+  if (message.id.empty() || !isValidToken(message.id))
     put.error = "malformed id";
   else if (const char* wrong = readFields(words[3], put.submission))
     put.error = wrong;
-  else if (!usableToken(message.idempotency_key))
+  else if (!isValidToken(message.idempotency_key))
     put.error = "malformed k";
   return put;
 }
 
-std::string replyTo(const Answer& answer) {
+std::string replyTo(const SubmissionResult& answer) {
   switch (answer.kind) {
-    case Answer::Kind::accepted:
+    case SubmissionResult::Kind::accepted:
       return "+OK\r\n";
-    case Answer::Kind::refused:
-      return answer.pause > 0 ? "-BUSY " + std::to_string((answer.pause + 999) / 1000) + "\r\n" : "-BUSY\r\n";
-    case Answer::Kind::rejected:
-      return "-ERR " + answer.why + "\r\n";
-    case Answer::Kind::conflict:
+    case SubmissionResult::Kind::rejected:
+      return answer.retry_after > 0 ? "-BUSY " + std::to_string((answer.retry_after + 999) / 1000) + "\r\n"
+                                    : "-BUSY\r\n";
+    case SubmissionResult::Kind::invalid:
+      return "-ERR " + answer.reason + "\r\n";
+    case SubmissionResult::Kind::conflict:
       return "-ERR the id is another message's\r\n";
-    case Answer::Kind::given_up:
+    case SubmissionResult::Kind::failed:
       break;
   }
   return "-ERR given up\r\n";
--- a/src/doors/resp/put_request.h
+++ b/src/listener/resp/put_request.h
@@ -19,6 +19,6 @@
 PutRequest readPut(std::vector<std::string>& words);
 
 // The reply line to a submission, with its end.
-std::string replyTo(const Answer& answer);
+std::string replyTo(const SubmissionResult& answer);
 
 }  // namespace grademux
--- a/src/doors/resp/server.cpp
+++ b/src/listener/resp/resp_listener.cpp
@@ -1,11 +1,11 @@
 // grademux: the RESP2 listener; see server.h.
-#include "server.h"
+#include "resp_listener.h"
 
 #include <algorithm>
 #include <chrono>
 
 #include "../../core/clock.h"
-#include "../listener.h"
+#include "../listening_socket.h"
 
 namespace grademux {
 
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-RespDoor::RespDoor(asio::io_context& io, const tcp::endpoint& listen, Limits limits, int passed)
+RespListener::RespListener(asio::io_context& io, const tcp::endpoint& listen, Limits limits, int passed)
     : io_(io),
       acceptor_(io),
       accept_timer_(io),
@@ -33,19 +33,19 @@
       read_buffer_(kReadBuffer),
       passed_listener_(passed >= 0) {
   if (passed_listener_)
-    takeDoor(acceptor_, passed, listen);
+    adoptListeningSocket(acceptor_, passed, listen);
   else
-    bindDoor(acceptor_, listen);
+    bindListener(acceptor_, listen);
   acceptor_address_ = acceptor_.local_endpoint();
 }
 
-RespDoor::~RespDoor() {
+RespListener::~RespListener() {
   for (const SessionPtr& session : sessions_)
     session->abandon();
 }
 
-void RespDoor::start(Intake& core, const operate::State& state) {
-  core_ = &core;
+void RespListener::start(SubmissionHandler& core, const operate::ServiceState& state) {
+  handler_ = &core;
   state_ = &state;
   started_at_ = monotonicNow();
   if (!passed_listener_)
@@ -54,27 +54,27 @@
   sweep();
 }
 
-RespFacts RespDoor::facts() const {
-  return {sessions_.size(), monotonicNow() - started_at_, sendsAway()};
+RespFacts RespListener::facts() const {
+  return {sessions_.size(), monotonicNow() - started_at_, isDraining()};
 }
 
-std::size_t RespDoor::open() const {
+std::size_t RespListener::openRequests() const {
   return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
                                                 [](const SessionPtr& s) { return s->hasUnanswered(); }));
 }
 
-std::size_t RespDoor::countIn(RespSession::Phase phase) const {
+std::size_t RespListener::countIn(RespSession::Phase phase) const {
   return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
                                                 [&](const SessionPtr& s) { return s->phase() == phase; }));
 }
 
-std::size_t RespDoor::halfRead() const {
+std::size_t RespListener::halfRead() const {
   return countIn(RespSession::Phase::partial);
 }
 
 // ---- accepting
 
-void RespDoor::accept() {
+void RespListener::accept() {
   if (accepting_ || paused_)
     return;
   accepting_ = true;
@@ -91,7 +91,7 @@
   });
 }
 
-void RespDoor::admit(tcp::socket socket) {
+void RespListener::admit(tcp::socket socket) {
   if (!makeRoom()) {  // each has a request open, which is a matter of milliseconds
     newcomer_ = std::make_unique<tcp::socket>(std::move(socket));
     return acceptLater();
@@ -104,7 +104,7 @@
   accept();
 }
 
-void RespDoor::acceptLater() {
+void RespListener::acceptLater() {
   accept_timer_.expires_after(std::chrono::microseconds(kAcceptPause));
   accept_timer_.async_wait([this](error_code stopped) {
     if (stopped || removed_)
@@ -116,7 +116,7 @@
   });
 }
 
-void RespDoor::stopAccepting() {
+void RespListener::stopAccepting() {
   error_code ignored;
   acceptor_.cancel(ignored);
   accept_timer_.cancel();
@@ -126,12 +126,12 @@
 
 // Guards against clients that ask once and keep their connection: those who hold it have only so many, too,
 // and what idles here is missing there.
-bool RespDoor::crowded() const {
+bool RespListener::isCrowded() const {
   return kCrowdPart * sessions_.size() > limits_.all;
 }
 
 // The session that is least in use, if it may be closed; null: there is none.
-RespDoor::SessionPtr RespDoor::leastUsed(bool closing_too) const {
+RespListener::SessionPtr RespListener::leastUsed(bool closing_too) const {
   const Micros now = monotonicNow();
   SessionPtr least;
   RespSession::Rank least_rank{RespSession::kInUse, 0};
@@ -150,7 +150,7 @@
 // Near the limit the session that is least in use makes room: gracefully while there is a reserve, at once
 // when the table is full. Guards against idle, silent and useless connections that leave good clients waiting
 // in the backlog, and against running out of descriptors, which the calls to endpoints need too.
-bool RespDoor::makeRoom() {
+bool RespListener::makeRoom() {
   const std::size_t reserve = std::min(kClosingReserve, limits_.all / kClosingPart);
   const std::size_t serving = sessions_.size() - countIn(RespSession::Phase::closing);
   if (reserve > 0 && serving + reserve >= limits_.all)
@@ -167,7 +167,7 @@
 
 // Those that hand messages in may hold so many connections altogether, idle ones too: beyond that they can't
 // ask. So the one that has idled longest is closed while there is still room for the next.
-void RespDoor::limitProven() {
+void RespListener::limitProven() {
   std::size_t proven = 0;
   SessionPtr longest;
   for (const SessionPtr& session : sessions_) {
@@ -182,7 +182,7 @@
     longest->closeGracefully();
 }
 
-void RespDoor::sweep() {
+void RespListener::sweep() {
   const Micros now = monotonicNow();
   const auto all = sessions_;
   for (const SessionPtr& session : all)
@@ -196,15 +196,15 @@
 
 // ---- sending clients away
 
-void RespDoor::drain(Leaving how) {
-  sent_away_at_ = monotonicNow();
-  if (how == Leaving::standby) {
+void RespListener::drain(DrainReason how) {
+  draining_since_ = monotonicNow();
+  if (how == DrainReason::standby) {
     const auto all = sessions_;
     for (const SessionPtr& session : all)
-      session->checkOutcome(sent_away_at_);
+      session->checkOutcome(draining_since_);
     return;
   }
-  if (how == Leaving::removed) {
+  if (how == DrainReason::removed) {
     removed_ = true;
     error_code ignored;
     acceptor_.close(ignored);
@@ -214,7 +214,7 @@
   closeIdle();
 }
 
-void RespDoor::closeIdle() {
+void RespListener::closeIdle() {
   const auto all = sessions_;
   for (const SessionPtr& session : all) {
     session->closeIfIdle();
@@ -222,21 +222,21 @@
   }
 }
 
-void RespDoor::pause() {
+void RespListener::pause() {
   paused_ = true;
-  sent_away_at_ = monotonicNow();
+  draining_since_ = monotonicNow();
   stopAccepting();
   if (const auto waiting = std::move(newcomer_))
     admit(std::move(*waiting));
   closeIdle();
 }
 
-void RespDoor::resume() {
+void RespListener::resume() {
   paused_ = false;
   accept();
 }
 
-void RespDoor::finish() {
+void RespListener::finish() {
   paused_ = true;
   stopAccepting();
   newcomer_ = nullptr;  // it waited in vain, and has not been read
--- a/src/doors/resp/server.h
+++ b/src/listener/resp/resp_listener.h
@@ -9,12 +9,12 @@
 #include <set>
 #include <vector>
 
-#include "../door.h"
+#include "../listener.h"
 #include "session.h"
 
 namespace grademux {
 
-class RespDoor : public Door, private SessionOwner {
+class RespListener : public Listener, private SessionOwner {
  public:
   // Connections altogether, and those among them that have handed a message in.
   struct Limits {
@@ -23,16 +23,16 @@
 
   // Binds `listen`; throws std::runtime_error when it can't.
   // `passed`: a listening socket at that address which the process was started with; -1: there is none.
-  RespDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Limits limits,
-           int passed = -1);
-  ~RespDoor() override;
-  RespDoor(const RespDoor&) = delete;
-  RespDoor& operator=(const RespDoor&) = delete;
+  RespListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Limits limits,
+               int passed = -1);
+  ~RespListener() override;
+  RespListener(const RespListener&) = delete;
+  RespListener& operator=(const RespListener&) = delete;
 
-  void start(Intake& core, const operate::State& state) override;
-  void drain(Leaving how) override;
-  std::size_t open() const override;
-  std::size_t connections() const override { return sessions_.size(); }
+  void start(SubmissionHandler& core, const operate::ServiceState& state) override;
+  void drain(DrainReason how) override;
+  std::size_t openRequests() const override;
+  std::size_t connectionCount() const override { return sessions_.size(); }
   // Another process takes the address over: newcomers wait for it, connections end between requests.
   void pause();
   void resume();  // it did not come to that: newcomers are served again
@@ -46,13 +46,13 @@
  private:
   using SessionPtr = std::shared_ptr<RespSession>;
 
-  Intake& intake() override { return *core_; }
+  SubmissionHandler& handler() override { return *handler_; }
   RespFacts facts() const override;
-  bool sendsAway() const override { return removed_ || paused_ || state_->sendsAway(); }
-  Micros sentAwayAt() const override { return sent_away_at_; }
-  bool crowded() const override;
+  bool isDraining() const override { return removed_ || paused_ || state_->isDraining(); }
+  Micros drainingSince() const override { return draining_since_; }
+  bool isCrowded() const override;
   std::vector<char>& readBuffer() override { return read_buffer_; }
-  void closed(const SessionPtr& session) override { sessions_.erase(session); }
+  void onSessionClosed(const SessionPtr& session) override { sessions_.erase(session); }
 
   void accept();
   void admit(boost::asio::ip::tcp::socket socket);
@@ -70,13 +70,13 @@
   boost::asio::ip::tcp::endpoint acceptor_address_;
   boost::asio::steady_timer accept_timer_, sweep_timer_;
   Limits limits_;
-  Intake* core_ = nullptr;
-  const operate::State* state_ = nullptr;
+  SubmissionHandler* handler_ = nullptr;
+  const operate::ServiceState* state_ = nullptr;
   std::set<SessionPtr> sessions_;
   std::unique_ptr<boost::asio::ip::tcp::socket> newcomer_;  // accepted, waits for room
   std::vector<char> read_buffer_;
   std::int64_t next_number_ = 0;  // of connections
-  Micros started_at_ = 0, sent_away_at_ = 0;
+  Micros started_at_ = 0, draining_since_ = 0;
   bool accepting_ = false, removed_ = false;
   bool paused_ = false;  // nobody is accepted: another process takes the address over, or this one ends
   bool passed_listener_ = false;  // the listening socket is another's, too
--- a/src/doors/resp/session.cpp
+++ b/src/listener/resp/session.cpp
@@ -7,8 +7,8 @@
 #include <chrono>
 
 #include "../../core/clock.h"
-#include "../door.h"
 #include "../listener.h"
+#include "../listening_socket.h"
 #include "parser.h"
 #include "put_request.h"
 
@@ -104,7 +104,7 @@
     case RespCommand::Does::put:
       return put(words);
     case RespCommand::Does::get:
-      return answer(statusReply(owner_.intake().status(words[1]), client_.protocol));
+      return answer(statusReply(owner_.handler().status(words[1]), client_.protocol));
     case RespCommand::Does::wait:
       return waitForOutcome(words);
     case RespCommand::Does::quit:
@@ -121,11 +121,12 @@
   if (request.error)
     return answer("-ERR " + *request.error + "\r\n");
   enter(Phase::asked);
-  owner_.intake().submit(std::move(request.submission), [self = shared_from_this()](const Answer& given) {
-    // The connection, and the listener with it, may be gone by now.
-    if (self->open_ && self->phase_ == Phase::asked)
-      self->answer(replyTo(given));
-  });
+  owner_.handler().submit(std::move(request.submission),
+                          [self = shared_from_this()](const SubmissionResult& given) {
+                            // The connection, and the listener with it, may be gone by now.
+                            if (self->open_ && self->phase_ == Phase::asked)
+                              self->answer(replyTo(given));
+                          });
 }
 
 void RespSession::waitForOutcome(const std::vector<std::string>& words) {
@@ -139,9 +140,9 @@
 void RespSession::checkOutcome(Micros now) {
   if (!open_ || phase_ != Phase::waiting)
     return;
-  const Status status = owner_.intake().status(awaited_id_);
-  const bool may_wait = now - since_ < patience_ && !owner_.sendsAway();
-  if (status.state == Status::State::open && may_wait)
+  const MessageStatus status = owner_.handler().status(awaited_id_);
+  const bool may_wait = now - since_ < patience_ && !owner_.isDraining();
+  if (status.state == MessageStatus::State::open && may_wait)
     return;
   answer(statusReply(status, client_.protocol));
 }
@@ -166,12 +167,12 @@
 void RespSession::answered() {
   if (last_reply_)
     return closeGracefully();
-  if (owner_.sendsAway()) {
+  if (owner_.isDraining()) {
     if (in_.empty() && nothingCame())
       return closeGracefully();
     // Guards against clients that ask on and on over one connection and are never sent away. What they have
     // sent and was not read is theirs to send again.
-    if (monotonicNow() - owner_.sentAwayAt() >= kSentAway)
+    if (monotonicNow() - owner_.drainingSince() >= kDrainDeadline)
       return closeGracefully();
   }
   useless_requests_ > 1 ? throttle() : goOn();
@@ -224,7 +225,7 @@
   if (!open_)
     return;
   abandon();
-  owner_.closed(shared_from_this());
+  owner_.onSessionClosed(shared_from_this());
 }
 
 void RespSession::abandon() {
@@ -259,16 +260,16 @@
 }
 
 void RespSession::checkIdle(Micros now) {
-  if (owner_.sendsAway() && now >= std::max(since_, owner_.sentAwayAt()) + momentOf(client_.id))
+  if (owner_.isDraining() && now >= std::max(since_, owner_.drainingSince()) + drainDelay(client_.id))
     return closeIfIdle();
   const bool has_asked = useful_ || useless_requests_ > 0;
-  const Micros limit = !has_asked ? kFirstByteLimit : owner_.crowded() ? kMayClose : kKeepAlive;
+  const Micros limit = !has_asked ? kFirstByteLimit : owner_.isCrowded() ? kMayClose : kKeepAlive;
   if (now - since_ >= limit)
     closeIfIdle();
 }
 
 void RespSession::checkPartial(Micros now) {
-  const bool sent_away_long = owner_.sendsAway() && now - owner_.sentAwayAt() >= kLastRequestLimit;
+  const bool sent_away_long = owner_.isDraining() && now - owner_.drainingSince() >= kLastRequestLimit;
   if (now - since_ < kRequestLimit && !sent_away_long)
     return;
   socket_.cancel();
--- a/src/doors/resp/session.h
+++ b/src/listener/resp/session.h
@@ -22,18 +22,18 @@
 class SessionOwner {
  public:
   virtual ~SessionOwner() = default;
-  virtual Intake& intake() = 0;
+  virtual SubmissionHandler& handler() = 0;
   virtual RespFacts facts() const = 0;
   // Clients are to go elsewhere: connections end between requests.
-  virtual bool sendsAway() const = 0;
-  virtual Micros sentAwayAt() const = 0;  // monotonic; meaningful while sendsAway()
+  virtual bool isDraining() const = 0;
+  virtual Micros drainingSince() const = 0;  // monotonic; meaningful while sendsAway()
   // So many connections are open that idle ones are missing elsewhere.
-  virtual bool crowded() const = 0;
+  virtual bool isCrowded() const = 0;
   // Where a read puts its bytes before a session keeps what it needs: a connection that waits holds no
   // buffer.
   virtual std::vector<char>& readBuffer() = 0;
   // The session has closed its socket and is to be forgotten.
-  virtual void closed(const std::shared_ptr<RespSession>& session) = 0;
+  virtual void onSessionClosed(const std::shared_ptr<RespSession>& session) = 0;
 };
 
 class RespSession : public std::enable_shared_from_this<RespSession> {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -79,7 +79,7 @@
     for (std::size_t i = 0; i < kCount; ++i)
       if (all || bound.calm(i, now))
         if (const std::size_t n = bound.takeLeftOut(i))
-          line(Event::log_left_out, {{"event", kEvents[i].name}, {"lines", n}});
+          line(Event::log_suppressed, {{"event", kEvents[i].name}, {"lines", n}});
   }
 
   std::mutex mutex;
--- a/src/membership/list.cpp
+++ b/src/membership/endpoint_list.cpp
@@ -1,5 +1,5 @@
 // grademux: the list of endpoints; see list.h.
-#include "list.h"
+#include "endpoint_list.h"
 
 #include <algorithm>
 #include <string_view>
@@ -37,22 +37,22 @@
          a.endpoint.weight == b.endpoint.weight && a.address == b.address;
 }
 
-bool stops(const ListChange& c) {
+bool stops(const EndpointChange& c) {
   return c.entry.endpoint.state != EndpointState::ready;
 }
 
 }  // namespace
 
-ListAnswer readList(const json& answer) {
+EndpointListAnswer parseEndpointList(const json& answer) {
   if (!answer.is_object())
     bad("the list is not an object");
-  ListAnswer a;
+  EndpointListAnswer a;
   a.index = integer(answer, "index");
   a.whole = truth(answer, "snapshot", false);
   const json& endpoints = array(answer, "endpoints");
   a.changes.reserve(endpoints.size());
   for (const json& e : endpoints) {
-    ListChange c;
+    EndpointChange c;
     c.entry = entryOf(e);
     if (c.entry.endpoint.state != EndpointState::gone)
       c.text = e.dump();
@@ -61,13 +61,13 @@
   return a;
 }
 
-void MembershipList::take(ListAnswer answer) {
+void EndpointList::apply(EndpointListAnswer answer) {
   if (answer.whole) {
     std::unordered_set<std::string_view> named;
     named.reserve(answer.changes.size());
-    for (const ListChange& c : answer.changes)
+    for (const EndpointChange& c : answer.changes)
       named.insert(c.entry.endpoint.id);
-    std::vector<ListChange> lost;
+    std::vector<EndpointChange> lost;
     for (const auto& [name, e] : known_) {
       if (named.count(name))
         continue;
@@ -75,20 +75,20 @@
       lost.back().entry.endpoint.state = EndpointState::gone;
     }
     known_.reserve(answer.changes.size());
-    waiting_.reserve(answer.changes.size());
+    pending_.reserve(answer.changes.size());
     // In the order of names: the same lists in the same order give the same slices.
-    std::sort(lost.begin(), lost.end(), [](const ListChange& a, const ListChange& b) {
+    std::sort(lost.begin(), lost.end(), [](const EndpointChange& a, const EndpointChange& b) {
       return a.entry.endpoint.id < b.entry.endpoint.id;
     });
-    for (ListChange& c : lost)
+    for (EndpointChange& c : lost)
       change(std::move(c));
   }
-  for (ListChange& c : answer.changes)
+  for (EndpointChange& c : answer.changes)
     change(std::move(c));
   index_ = answer.index;
 }
 
-void MembershipList::change(ListChange c) {
+void EndpointList::change(EndpointChange c) {
   const Endpoint& e = c.entry.endpoint;
   const auto known = known_.find(e.id);
   const bool gone = e.state == EndpointState::gone;
@@ -112,12 +112,12 @@
   }
   (stops(c) ? stops_ : others_).push_back(e.id);
   std::string id = e.id;
-  waiting_[std::move(id)] = std::move(c);
+  pending_[std::move(id)] = std::move(c);
 }
 
-ListUpdate MembershipList::as(const std::function<EndpointState(const Endpoint&)>& state) const {
-  ListUpdate u;
-  u.kind = ListKind::delta;
+EndpointListUpdate EndpointList::snapshot(const std::function<EndpointState(const Endpoint&)>& state) const {
+  EndpointListUpdate u;
+  u.kind = EndpointListKind::delta;
   for (const auto& [name, e] : known_) {
     u.endpoints.push_back(e.endpoint);
     u.endpoints.back().state = state(e.endpoint);
@@ -127,23 +127,23 @@
   return u;
 }
 
-MembershipList::Slice MembershipList::next(std::size_t most) {
+EndpointList::Slice EndpointList::next(std::size_t most) {
   Slice s;
   s.whole = !begun_;
   s.unlisted.swap(unlisted_);
   begun_ = true;
   for (std::deque<std::string>* line : {&stops_, &others_}) {
     for (; !line->empty() && s.changes.size() < most; line->pop_front()) {
-      const auto at = waiting_.find(line->front());
-      if (at == waiting_.end() || stops(at->second) != (line == &stops_))
+      const auto at = pending_.find(line->front());
+      if (at == pending_.end() || stops(at->second) != (line == &stops_))
         continue;
       s.changes.push_back(std::move(at->second));
-      waiting_.erase(at);
+      pending_.erase(at);
     }
   }
-  if (waiting_.empty())
-    told_ = index_;
-  s.index = told_;
+  if (pending_.empty())
+    delivered_index_ = index_;
+  s.index = delivered_index_;
   return s;
 }
 
--- a/src/membership/folder.cpp
+++ b/src/membership/folder.cpp
@@ -105,8 +105,8 @@
   return Read::fresh;
 }
 
-FolderNews FolderReader::lookAtFile(bool settled, bool& unsettled) {
-  FolderNews news;
+FolderChanges FolderReader::lookAtFile(bool settled, bool& unsettled) {
+  FolderChanges news;
   UnitChange c;
   switch (readFile(AT_FDCWD, spec_.path, settled, c)) {
     case Read::fresh:
@@ -130,7 +130,7 @@
 }
 
 // False if the folder was replaced meanwhile.
-bool FolderReader::lookAtFolder(bool settled, bool& unsettled, FolderNews& news) {
+bool FolderReader::lookAtFolder(bool settled, bool& unsettled, FolderChanges& news) {
   const Descriptor folder(::open(spec_.path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder.fd < 0) {
     news.unreadable = std::strerror(errno);
@@ -188,12 +188,12 @@
   return false;
 }
 
-FolderNews FolderReader::look(bool settled, bool& unsettled) {
+FolderChanges FolderReader::scan(bool settled, bool& unsettled) {
   unsettled = false;
   if (!spec_.folder)
     return lookAtFile(settled, unsettled);
   for (int i = 0; i < kRetries; ++i) {
-    FolderNews news;
+    FolderChanges news;
     if (lookAtFolder(settled, unsettled, news))
       return news;
   }
@@ -201,11 +201,11 @@
   return {};
 }
 
-FolderNews FolderReader::look(const std::set<std::string>& names) {
+FolderChanges FolderReader::scan(const std::set<std::string>& names) {
   bool unsettled = false;
   if (!spec_.folder)
     return lookAtFile(false, unsettled);
-  FolderNews news;
+  FolderChanges news;
   const Descriptor folder(::open(spec_.path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder.fd < 0) {
     news.unreadable = std::strerror(errno);
@@ -222,7 +222,7 @@
 }
 
 PartnerFolder::PartnerFolder(boost::asio::io_context& io, Worker& worker, FolderSpec spec,
-                             PartnerDefaults defaults, Heard heard)
+                             PartnerDefaults defaults, OnChanges heard)
     : worker_(worker),
       spec_(std::move(spec)),
       reader_(std::make_shared<FolderReader>(spec_, std::move(defaults))),
@@ -244,7 +244,7 @@
     readEvents();
   }
   bool unsettled = false;
-  heard_(reader_->look(false, unsettled));
+  heard_(reader_->scan(false, unsettled));
   if (unsettled) {
     all_ = true;
     soon(kSettle);
@@ -358,11 +358,11 @@
   worker_.run([this, all, names = std::move(names), reader = reader_,
                here = std::weak_ptr<bool>(alive_)]() -> std::function<void()> {
     bool unsettled = false;
-    auto news = std::make_shared<FolderNews>();
+    auto news = std::make_shared<FolderChanges>();
     if (!names.empty())
-      *news = reader->look(names);  // told as written to the end: not left for later
+      *news = reader->scan(names);  // told as written to the end: not left for later
     if (all) {
-      FolderNews more = reader->look(true, unsettled);
+      FolderChanges more = reader->scan(true, unsettled);
       news->changes.insert(news->changes.end(), std::make_move_iterator(more.changes.begin()),
                            std::make_move_iterator(more.changes.end()));
       news->empty = more.empty;
--- a/src/membership/folder.h
+++ b/src/membership/folder.h
@@ -35,7 +35,7 @@
   std::vector<Mistake> mistakes;  // then the partners are not to be used
   bool gone = false;
 };
-struct FolderNews {
+struct FolderChanges {
   std::vector<UnitChange> changes;
   std::string unreadable;  // why nothing could be read
   bool empty = false;      // had files and has none: not heeded
@@ -47,9 +47,9 @@
   FolderReader(FolderSpec spec, PartnerDefaults defaults);
   // All files that have changed since the last look. `settled`: files written to a moment ago are left for
   // later (`unsettled` is set), as their writer may not have done.
-  FolderNews look(bool settled, bool& unsettled);
+  FolderChanges scan(bool settled, bool& unsettled);
   // These files alone, by their names in the folder; told by the system as replaced or written to the end.
-  FolderNews look(const std::set<std::string>& names);
+  FolderChanges scan(const std::set<std::string>& names);
 
  private:
   struct Stamp {
@@ -62,8 +62,8 @@
   enum class Read { same, fresh, gone, unsettled };
   Read readFile(int folder, const std::string& name, bool settled, UnitChange& change);
   std::string unitOf(const std::string& name) const;
-  FolderNews lookAtFile(bool settled, bool& unsettled);
-  bool lookAtFolder(bool settled, bool& unsettled, FolderNews& news);
+  FolderChanges lookAtFile(bool settled, bool& unsettled);
+  bool lookAtFolder(bool settled, bool& unsettled, FolderChanges& news);
 
   FolderSpec spec_;
   PartnerDefaults defaults_;
@@ -73,9 +73,9 @@
 
 class PartnerFolder {
  public:
-  using Heard = std::function<void(FolderNews)>;
+  using OnChanges = std::function<void(FolderChanges)>;
   PartnerFolder(boost::asio::io_context& io, Worker& worker, FolderSpec spec, PartnerDefaults defaults,
-                Heard heard);
+                OnChanges heard);
   ~PartnerFolder();
   // Reads all at once, in this call, and watches from then on.
   void start();
@@ -93,7 +93,7 @@
   Worker& worker_;
   FolderSpec spec_;
   std::shared_ptr<FolderReader> reader_;
-  Heard heard_;
+  OnChanges heard_;
   boost::asio::posix::stream_descriptor events_;
   boost::asio::steady_timer timer_, rescan_, taken_timer_;
   int of_folder_ = -1, of_parent_ = -1;  // inotify's watches
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -6,14 +6,14 @@
 #include <cstdint>
 #include <functional>
 
-#include "list.h"
+#include "endpoint_list.h"
 
 namespace grademux {
 
 class Membership {
  public:
   // Takes an answer over; gives the version to go on from. Called on the loop.
-  using Hear = std::function<std::int64_t(ListAnswer)>;
+  using OnAnswer = std::function<std::int64_t(EndpointListAnswer)>;
 
   virtual ~Membership() = default;
   // Once, on the loop, after the core has what the journal kept. `version`: of the list that the core knows,
--- a/src/membership/partner_file.cpp
+++ b/src/membership/partner_file.cpp
@@ -37,7 +37,7 @@
 
 bool isName(const std::string& s) {
   const bool number = std::all_of(s.begin(), s.end(), [](char c) { return c >= '0' && c <= '9'; });
-  return !number && usableToken(s) && s.find_first_of("@,=") == std::string::npos;
+  return !number && isValidToken(s) && s.find_first_of("@,=") == std::string::npos;
 }
 
 void readDns(Table& t, Partner& p, const PartnerDefaults& defaults) {
@@ -74,10 +74,10 @@
 void readZones(Table& t, Partner& p, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
                std::vector<Effective>* effective) {
   const auto known = [&](Table& in, const char* key, const std::string& zone) {
-    if (zone.empty() || defaults.regions.empty() || defaults.regions.knows(zone))
+    if (zone.empty() || defaults.regions.empty() || defaults.regions.contains(zone))
       return;
     std::vector<std::string> names;
-    for (const auto& [name, region] : defaults.regions.of)
+    for (const auto& [name, region] : defaults.regions.region_by_zone)
       names.push_back(name);
     const std::string meant = nearest(zone, names);
     in.expected(key, "a zone of a [[region]] is expected, not \"" + zone + "\"" +
--- a/src/membership/partner_names.h
+++ b/src/membership/partner_names.h
@@ -12,15 +12,15 @@
   PartnerNames(const PartnerTable& table, Micros pause) : table_(table), pause_(pause) {}
   const char* name() const override { return "partners"; }
   void take(const std::shared_ptr<Submission>& s, Next next) override {
-    if (s->partner.empty())
+    if (s->destination_name.empty())
       return next(Verdict::pass());
-    const Partner* p = table_.find(s->partner);
+    const Partner* p = table_.find(s->destination_name);
     if (!p)
       return next(Verdict::reject("unknown-destination", "unknown partner"));
     if (p->endpoints.empty())
       return next(Verdict::refuse(pause_));
     s->message.destination = p->number;
-    s->partner.clear();
+    s->destination_name.clear();
     next(Verdict::pass());
   }
 
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 PartnerSources::PartnerSources(boost::asio::io_context& io, Worker& worker, SourcesSpec spec,
-                               const std::vector<std::string>& kept, Hear hear)
+                               const std::vector<std::string>& kept, OnAnswer hear)
     : io_(io),
       worker_(worker),
       spec_(std::move(spec)),
@@ -56,7 +56,7 @@
     if (std::any_of(folders_.begin(), folders_.end(), same))
       continue;
     folders_.push_back(std::make_unique<PartnerFolder>(
-        io_, worker_, f, spec_.defaults, [this, f](FolderNews news) { heard(f, std::move(news)); }));
+        io_, worker_, f, spec_.defaults, [this, f](FolderChanges news) { heard(f, std::move(news)); }));
     folders_.back()->start();
   }
 }
@@ -129,18 +129,18 @@
   }
   std::vector<Partner> all;
   for (auto& [name, p] : partners) {
-    log::write(log::Event::membership_old, {{"partner", name}, {"endpoints", joined(p.endpoints)}});
+    log::write(log::Event::membership_stale, {{"partner", name}, {"endpoints", joined(p.endpoints)}});
     all.push_back(std::move(p));
   }
   table_.declare(unit, std::move(all));
 }
 
-void PartnerSources::heard(const FolderSpec& source, FolderNews news) {
+void PartnerSources::heard(const FolderSpec& source, FolderChanges news) {
   const bool broken = !news.unreadable.empty() || news.empty;
   if (broken) {
     if (unreadable_.insert(source.path).second) {
       if (news.empty)
-        log::write(log::Event::membership_empty_refused, {{"source", source.path}});
+        log::write(log::Event::membership_empty_rejected, {{"source", source.path}});
       else
         log::write(log::Event::membership_unreadable, {{"source", source.path}, {"cause", news.unreadable}});
     }
@@ -154,7 +154,7 @@
   bool changed = false;
   for (UnitChange& c : news.changes) {
     if (!c.mistakes.empty()) {
-      log::write(log::Event::membership_file_refused,
+      log::write(log::Event::membership_file_rejected,
                  {{"source", c.unit}, {"cause", c.mistakes[0].in(c.unit)}, {"mistakes", c.mistakes.size()}});
       if (!started_)
         adoptUnit(c.unit);
@@ -186,7 +186,7 @@
   }
   if (change.entries.empty() && !whole)
     return;
-  ListAnswer answer;
+  EndpointListAnswer answer;
   answer.index = version_ + 1;
   answer.whole = whole;
   answer.changes = std::move(change.entries);
@@ -221,7 +221,7 @@
   } else {
     name.memory.adopt(kept->second);
     table_.resolved(partner, name.memory.endpoints());
-    log::write(log::Event::membership_old, {{"partner", partner}, {"endpoints", joined(kept->second)}});
+    log::write(log::Event::membership_stale, {{"partner", partner}, {"endpoints", joined(kept->second)}});
   }
   schedule(partner);
 }
--- a/src/membership/sources.h
+++ b/src/membership/sources.h
@@ -30,7 +30,7 @@
   // `kept`: the list's entries as the journal has them, of an earlier process. Throws std::runtime_error if
   // name servers can't be asked at all.
   PartnerSources(boost::asio::io_context& io, Worker& worker, SourcesSpec spec,
-                 const std::vector<std::string>& kept, Hear hear);
+                 const std::vector<std::string>& kept, OnAnswer hear);
   ~PartnerSources() override;
 
   void start(std::int64_t version) override;
@@ -50,7 +50,7 @@
   };
 
   void openFolders();
-  void heard(const FolderSpec& source, FolderNews news);
+  void heard(const FolderSpec& source, FolderChanges news);
   void adoptUnit(const std::string& unit);
   void tell(const std::string& source, bool whole = false);
   void follow(const std::string& partner);
@@ -61,7 +61,7 @@
   boost::asio::io_context& io_;
   Worker& worker_;
   SourcesSpec spec_;
-  Hear hear_;
+  OnAnswer hear_;
   PartnerTable table_;
   std::vector<std::unique_ptr<PartnerFolder>> folders_;
   std::set<std::string> unreadable_;  // sources of which that was told
--- a/src/membership/table.cpp
+++ b/src/membership/table.cpp
@@ -204,7 +204,7 @@
   }
   std::map<std::string, Entry>& had = listed_[base];
   const auto tell = [&](const std::string& address, const Entry* e) {
-    ListChange c;
+    EndpointChange c;
     c.entry.endpoint.id = base + "@" + address;
     c.entry.endpoint.kind = "partner";
     c.entry.address = address;
--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "list.h"
+#include "endpoint_list.h"
 #include "partners.h"
 
 namespace grademux {
@@ -25,7 +25,7 @@
   };
   // What the core is told, and what a look-up of names has to follow.
   struct Change {
-    std::vector<ListChange> entries;
+    std::vector<EndpointChange> entries;
     std::vector<Conflict> conflicts;    // new ones
     std::vector<std::string> partners;  // whose entry in force is another now, or gone
   };
--- a/src/operate/door.cpp
+++ b/src/operate/admin_server.cpp
@@ -1,5 +1,5 @@
 // grademux: the operators' door; see door.h.
-#include "door.h"
+#include "admin_server.h"
 
 #include <algorithm>
 #include <array>
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 
 #include "../core/clock.h"
-#include "../doors/listener.h"
+#include "../listener/listening_socket.h"
 
 namespace grademux::operate {
 
@@ -26,10 +26,10 @@
 
 }  // namespace
 
-struct OperatorsDoor::Caller : std::enable_shared_from_this<Caller> {
-  Caller(OperatorsDoor& d, tcp::socket s) : door(d), socket(std::move(s)) {}
+struct AdminServer::Caller : std::enable_shared_from_this<Caller> {
+  Caller(AdminServer& d, tcp::socket s) : door(d), socket(std::move(s)) {}
 
-  OperatorsDoor& door;
+  AdminServer& door;
   tcp::socket socket;
   std::array<char, kLine> piece{};
   std::string in, out;
@@ -55,16 +55,16 @@
   }
 
   void call(const std::string& line) {
-    Call asked;
-    if (line.size() >= kLine || !readCall(line, asked))
+    AdminCommand asked;
+    if (line.size() >= kLine || !parseAdminCommand(line, asked))
       return answer({false, "one of status, standby, active is expected"});
     answer(door.handle_(asked));
   }
 
-  void answer(const Verdict& v) {
+  void answer(const CommandResult& v) {
     answered = true;
     since = monotonicNow();
-    out = (v.yes ? "ACK " : "NAK ") + v.why + "\n";
+    out = (v.ok ? "ACK " : "NAK ") + v.reason + "\n";
     asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
       if (!self->open)
         return;
@@ -95,45 +95,45 @@
   }
 };
 
-OperatorsDoor::OperatorsDoor(asio::io_context& io, const tcp::endpoint& listen, Handle handle)
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listen, Handle handle)
     : io_(io), acceptor_(io), pause_(io), sweeper_(io), handle_(std::move(handle)) {
-  bindDoor(acceptor_, listen);
+  bindListener(acceptor_, listen);
   acceptor_.listen();
   accept();
 }
 
-OperatorsDoor::~OperatorsDoor() {
+AdminServer::~AdminServer() {
   const auto all = callers_;
   for (const auto& c : all)
     c->close();
 }
 
-void OperatorsDoor::accept() {
+void AdminServer::accept() {
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
     if (e == asio::error::operation_aborted)
       return;
     const Micros now = monotonicNow();
-    const bool full = callers_.size() >= kCallers;
+    const bool full = callers_.size() >= kMaxAdminConnections;
     if (!e && full && now - callers_.front()->since >= kGrace)
       callers_.front()->close();
     if (!e)
       admit(std::move(s));
     // With one over the bound, who comes next waits in the backlog until somebody may make room.
-    const Micros rest = e ? 20'000 : callers_.size() > kCallers ? kGrace : 0;
+    const Micros rest = e ? 20'000 : callers_.size() > kMaxAdminConnections ? kGrace : 0;
     if (rest == 0)
       return accept();
     pause_.expires_after(std::chrono::microseconds(rest));
     pause_.async_wait([this](error_code stopped) {
       if (stopped)
         return;
-      if (callers_.size() > kCallers)
+      if (callers_.size() > kMaxAdminConnections)
         callers_.front()->close();
       accept();
     });
   });
 }
 
-void OperatorsDoor::admit(tcp::socket s) {
+void AdminServer::admit(tcp::socket s) {
   error_code ignored;
   s.set_option(tcp::no_delay(true), ignored);
   const auto caller = std::make_shared<Caller>(*this, std::move(s));
@@ -142,7 +142,7 @@
   sweep();
 }
 
-void OperatorsDoor::sweep() {
+void AdminServer::sweep() {
   if (sweeping_ || callers_.empty())
     return;
   sweeping_ = true;
--- a/src/operate/door.h
+++ b/src/operate/admin_server.h
@@ -11,21 +11,22 @@
 #include <list>
 #include <memory>
 
-#include "state.h"
+#include "service_state.h"
 
 namespace grademux::operate {
 
-constexpr std::size_t kCallers = 48;  // connections at once, and the descriptors that are set aside for them
+constexpr std::size_t kMaxAdminConnections =
+    48;  // connections at once, and the descriptors that are set aside for them
 
-class OperatorsDoor {
+class AdminServer {
  public:
-  using Handle = std::function<Verdict(Call)>;  // on the loop thread
+  using Handle = std::function<CommandResult(AdminCommand)>;  // on the loop thread
 
   // Binds and listens; throws std::runtime_error naming the address when it can't.
-  OperatorsDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Handle handle);
-  ~OperatorsDoor();
-  OperatorsDoor(const OperatorsDoor&) = delete;
-  OperatorsDoor& operator=(const OperatorsDoor&) = delete;
+  AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Handle handle);
+  ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
  private:
   struct Caller;
--- a/src/operate/state.h
+++ b/src/operate/service_state.h
@@ -1,6 +1,6 @@
 // grademux: the one state of a process toward those outside: starting, serving, sent away by the operators
-// (standby), stopping. Doors, the operators' door and the daemon ask it; nobody keeps a flag of its own. No
-// I/O and no clock. docs/operate/operators-door.md has the table of what is answered in each phase.
+// (standby), stopping. ListenerSet, the operators' door and the daemon ask it; nobody keeps a flag of its
+// own. No I/O and no clock. docs/operate/operators-door.md has the table of what is answered in each phase.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 enum class Phase {
   starting,  // the journal is read, or an earlier process still owns it
   serving,
-  standby,   // clients are sent away, and those that come are still served
-  shut_out,  // by the fleet's plan: clients are sent away, and what comes is refused
-  stopping   // for good: by SIGTERM, or since another process has taken over
+  standby,  // clients are sent away, and those that come are still served
+  fenced,   // by the fleet's plan: clients are sent away, and what comes is refused
+  stopping  // for good: by SIGTERM, or since another process has taken over
 };
 
 inline const char* nameOf(Phase p) {
@@ -21,29 +21,29 @@
   return kNames[static_cast<int>(p)];
 }
 
-struct Verdict {
-  bool yes = false;
-  std::string why;  // for people
+struct CommandResult {
+  bool ok = false;
+  std::string reason;  // for people
 };
 
-enum class Call { status, standby, active };
+enum class AdminCommand { status, standby, active };
 
 // The call that one line names, without its end; false: none. Words are as the page of the platform has them.
-inline bool readCall(std::string_view line, Call& call) {
+inline bool parseAdminCommand(std::string_view line, AdminCommand& call) {
   if (!line.empty() && line.back() == '\r')
     line.remove_suffix(1);
   if (line == "status")
-    call = Call::status;
+    call = AdminCommand::status;
   else if (line == "standby")
-    call = Call::standby;
+    call = AdminCommand::standby;
   else if (line == "active")
-    call = Call::active;
+    call = AdminCommand::active;
   else
     return false;
   return true;
 }
 
-class State {
+class ServiceState {
  public:
   Phase phase() const {
     if (stopping_)
@@ -51,22 +51,22 @@
     if (!ready_)
       return Phase::starting;
     if (shut_out_)
-      return Phase::shut_out;
+      return Phase::fenced;
     return standby_ ? Phase::standby : Phase::serving;
   }
   // Clients are to go elsewhere: PING says no, and connections end between requests.
-  bool sendsAway() const { return phase() > Phase::serving; }
-  bool stopping() const { return stopping_; }
-  bool standby() const { return standby_; }  // was asked for, and not taken back
+  bool isDraining() const { return phase() > Phase::serving; }
+  bool isStopping() const { return stopping_; }
+  bool isStandby() const { return standby_; }  // was asked for, and not taken back
 
   // The journal is owned and read, and the doors accept.
-  void ready() { ready_ = true; }
+  void setReady() { ready_ = true; }
   // By the fleet's plan, until it may act again.
-  void shutOut(std::string why) {
+  void fence(std::string why) {
     shut_out_ = true;
     shut_why_ = std::move(why);
   }
-  void letIn() { shut_out_ = false; }
+  void unfence() { shut_out_ = false; }
   // Never taken back.
   void stop(std::string why) {
     if (!stopping_)
@@ -78,12 +78,12 @@
 
   // `listed`: a list of endpoints is known. What changes by the call is to be carried out by the caller, who
   // compares phase() before and after.
-  Verdict on(Call call, bool listed) {
-    if (call == Call::status)
+  CommandResult handleCommand(AdminCommand call, bool listed) {
+    if (call == AdminCommand::status)
       return status(listed);
     if (stopping_)
       return {false, "stopping: " + why_};
-    standby_ = call == Call::standby;
+    standby_ = call == AdminCommand::standby;
     if (!ready_)
       return {true, standby_ ? "standby, once it has started" : "active, once it has started"};
     return {true, standby_ ? "standby: clients are sent away" : "active"};
@@ -91,7 +91,7 @@
 
  private:
   // Whether this process can serve, which it can in standby too.
-  Verdict status(bool listed) const {
+  CommandResult status(bool listed) const {
     if (stopping_)
       return {false, "stopping: " + why_};
     if (!ready_)
--- a/src/replay/losses.cpp
+++ b/src/replay/losses.cpp
@@ -74,7 +74,7 @@
   void finish() {
     for (auto& [id, a] : open_) {
       // One that may still come in time is no loss.
-      if (now_ - a.handed_in > a.cls->aim)
+      if (now_ - a.handed_in > a.cls->latency_objective)
         close(a, "unfinished", lostAt(a, now_));
     }
   }
@@ -82,24 +82,27 @@
  private:
   const Settings& settings() const { return *settings_.back(); }
   double lostAt(const Account& a, Micros at) const {
-    const double span = static_cast<double>(at - a.handed_in), aim = static_cast<double>(a.cls->aim),
+    const double span = static_cast<double>(at - a.handed_in),
+                 aim = static_cast<double>(a.cls->latency_objective),
                  deadline = static_cast<double>(a.cls->deadline);
     if (span <= aim)
       return 0;
-    if (settings().late == LateRule::halves)
-      return a.cls->worth * (1 - std::exp2(-(span - aim) / aim));
+    if (settings().lateness_penalty == LatenessPenalty::halving)
+      return a.cls->priority_weight * (1 - std::exp2(-(span - aim) / aim));
     if (span >= deadline)
-      return a.cls->worth;
-    return a.cls->worth * (1 - a.cls->late_worth) * (span - aim) / std::max(1.0, deadline - aim);
+      return a.cls->priority_weight;
+    return a.cls->priority_weight * (1 - a.cls->late_weight_fraction) * (span - aim) /
+           std::max(1.0, deadline - aim);
   }
 
   bool ails(std::int64_t destination) const {
     const auto at = ailing_.find(destination);
-    return at != ailing_.end() && (at->second.down || now_ - at->second.cold_since < settings().ramp_time);
+    return at != ailing_.end() &&
+           (at->second.down || now_ - at->second.cold_since < settings().slow_start_time);
   }
   void look(Account& a) {
     a.ailing = a.ailing || ails(a.destination);
-    a.started = a.started || (l_.runs > 1 && now_ - begun_ < settings().ramp_time);
+    a.started = a.started || (l_.runs > 1 && now_ - begun_ < settings().slow_start_time);
   }
   // The time up to `until` belongs to this part.
   static void spend(Account& a, Part part, Micros until) {
@@ -133,7 +136,7 @@
     const auto at = open_.find(id);
     return at == open_.end() ? nullptr : &at->second;
   }
-  Account* arrive(const Arrival& e) {
+  Account* arrive(const MessageArrival& e) {
     const auto c = std::find_if(settings().classes.begin(), settings().classes.end(),
                                 [&](const MessageClass& k) { return k.name == e.message_class; });
     if (c == settings().classes.end())
@@ -141,21 +144,21 @@
     Account& a = open_[e.id];
     a.cls = &*c;
     a.destination = e.destination;
-    a.handed_in = std::min(now_, e.give_up_at - c->deadline);
+    a.handed_in = std::min(now_, e.deadline - c->deadline);
     a.heard = now_;
     a.since = a.handed_in;
     ++l_.messages;
-    l_.worth += c->worth;
+    l_.worth += c->priority_weight;
     return &a;
   }
 
-  void on(const Arrival& e) {
+  void on(const MessageArrival& e) {
     if (Account* a = arrive(e)) {
       spend(*a, Part::before, now_);
       look(*a);
     }
   }
-  void on(const Resumed& e) {
+  void on(const RecoveredMessage& e) {
     Account* a = find(e.message.id);
     if (!a)
       a = arrive(e.message);  // taken on before the record begins
@@ -164,8 +167,8 @@
     for (const MessageClass& c : settings().classes)
       if (c.name == e.message.message_class)
         a->cls = &c;
-    if (e.rules)
-      a->cls = versions_.emplace_back(e.rules).get();
+    if (e.class_version)
+      a->cls = versions_.emplace_back(e.class_version).get();
     spend(*a, Part::away, now_);
     a->tried = a->tried || !e.attempts.empty();
     a->calls.resize(e.attempts.size());
@@ -173,9 +176,9 @@
       c.out = false;
     look(*a);
   }
-  void on(const Gone& e) { open_.erase(e.id); }
-  void on(const Retuned& e) { settings_.push_back(std::make_unique<Settings>(e.settings)); }
-  void on(const Outcome& e) {
+  void on(const MessageWithdrawn& e) { open_.erase(e.id); }
+  void on(const SettingsChanged& e) { settings_.push_back(std::make_unique<Settings>(e.settings)); }
+  void on(const AttemptOutcome& e) {
     Account* a = find(e.id);
     if (!a || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= a->calls.size())
       return;
@@ -184,7 +187,7 @@
       return;
     c.out = false;
     --a->out;
-    const bool over = e.finished || e.result == Result::ok;
+    const bool over = e.already_finished || e.result == AttemptResult::ok;
     spend(*a, over ? Part::answer : Part::failed, now_);
     if (!over) {
       ++l_.results[nameOf(e.result)];
@@ -193,7 +196,7 @@
     close(*a, "", lostAt(*a, now_));
     open_.erase(e.id);
   }
-  void on(const Send& s) {
+  void on(const StartAttempt& s) {
     Account* a = find(s.id);
     if (!a)
       return;
@@ -209,18 +212,18 @@
     if (!a)
       return;
     a->out > 0 ? spend(*a, Part::failed, now_) : spendHeld(*a);
-    close(*a, how, a->cls->worth);
+    close(*a, how, a->cls->priority_weight);
     open_.erase(id);
   }
-  void on(const Refuse& r) {
+  void on(const RejectMessage& r) {
     const Account* a = find(r.id);
     if (a)
       end(r.id, a->heard == now_ ? "refused at once" : a->tried ? "handed back after calls" : "handed back");
   }
-  void on(const Fail& f) { end(f.id, "given up"); }
-  void on(const Ailment& a) {
+  void on(const FailMessage& f) { end(f.id, "given up"); }
+  void on(const DestinationHealth& a) {
     if (a.endpoint.empty())
-      ailing_[a.destination] = {a.down, a.cold_since};
+      ailing_[a.destination] = {a.down, a.warming_since};
   }
   template <class Other>
   void on(const Other&) {}
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -49,7 +49,7 @@
     return;
   }
   ended_ = true;
-  log::write(log::Event::record_ended,
+  log::write(log::Event::record_stopped,
              {{"file", path_}, {"cause", out_ ? "it has reached its size" : "it can't be written"}});
   out_.close();
 }
--- a/src/replay/stream_codec.cpp
+++ b/src/replay/stream_codec.cpp
@@ -30,14 +30,14 @@
 
 GRADEMUX_FIELDS(MessageClass) {
   v("name", x.name);
-  v("aim", x.aim);
+  v("aim", x.latency_objective);
   v("deadline", x.deadline);
-  v("aim_stretch", x.aim_stretch);
-  v("worth", x.worth);
-  v("late_worth", x.late_worth);
-  v("effect", x.effect);
-  v("group", x.group);
-  v("memory", x.memory);
+  v("aim_stretch", x.latency_objective_stretch);
+  v("worth", x.priority_weight);
+  v("late_worth", x.late_weight_fraction);
+  v("effect", x.idempotency);
+  v("group", x.idempotency_scope);
+  v("memory", x.idempotency_window);
   v("ordered", x.ordered);
   v.later("max_attempts", x.max_attempts);
 }
@@ -48,40 +48,40 @@
   v("share", x.share);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Kind) {
+GRADEMUX_FIELDS(DestinationKind) {
   v("name", x.name);
-  v("routes_apart", x.routes_apart);
-  v("per_call", x.per_call);
+  v("routes_apart", x.has_separate_routes);
+  v("per_call", x.messages_per_call);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(Settings) {
   v("classes", x.classes);
   v("tenants", x.tenants);
   v("kinds", x.kinds);
-  v("zone_fee", x.zone_fee);
+  v("zone_fee", x.zone_cost);
   v("zones", x.zones);
-  v("late", x.late);
-  v("weights", x.weights);
-  v("list", x.list);
-  v("senders", x.senders);
-  v("slots", x.slots);
-  v("max_open", x.max_open);
+  v("late", x.lateness_penalty);
+  v("weights", x.weight_kind);
+  v("list", x.list_mode);
+  v("senders", x.sender_count);
+  v("slots", x.max_in_flight);
+  v("max_open", x.max_open_messages);
   v("max_attempts", x.max_attempts);
-  v("may_cancel", x.may_cancel);
-  v("may_copy", x.may_copy);
-  v("told_pause", x.told_pause);
-  v("tick", x.tick);
-  v("ask_within", x.ask_within);
+  v("may_cancel", x.cancel_allowed);
+  v("may_copy", x.hedging_allowed);
+  v("told_pause", x.retry_after_supported);
+  v("tick", x.min_decide_interval);
+  v("ask_within", x.poll_notified_within);
   v("drain_grace", x.drain_grace);
-  v("fall_span", x.fall_span);
-  v("ramp_time", x.ramp_time);
-  v("order_pause", x.order_pause);
-  v("dial_timeout", x.dial_timeout);
-  v("conn_idle", x.conn_idle);
-  v("max_pause", x.max_pause);
-  v("cold_share", x.cold_share);
+  v("fall_span", x.overload_collapse_time);
+  v("ramp_time", x.slow_start_time);
+  v("order_pause", x.ordering_backoff);
+  v("dial_timeout", x.connect_timeout);
+  v("conn_idle", x.idle_connection_timeout);
+  v("max_pause", x.max_retry_after);
+  v("cold_share", x.cold_capacity_fraction);
   v("overload_factor", x.overload_factor);
-  v("over_share_worth", x.over_share_worth);
+  v("over_share_worth", x.over_quota_weight);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(Endpoint) {
@@ -94,136 +94,136 @@
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(LimitReport) {
-  v("left", x.left);
-  v("limit", x.limit);
+  v("left", x.remaining_fraction);
+  v("limit", x.rate_limit);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Arrival) {
+GRADEMUX_FIELDS(MessageArrival) {
   v("id", x.id);
   v("class", x.message_class);
   v("tenant", x.tenant);
-  v("order_key", x.order_key);
+  v("order_key", x.ordering_key);
   v("destination", x.destination);
-  v("give_up_at", x.give_up_at);
-  v("estimate", x.estimate);
-  v("repeat", x.repeat);
+  v("give_up_at", x.deadline);
+  v("estimate", x.estimated_work);
+  v("repeat", x.resubmitted);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(PastAttempt) {
   v("endpoint", x.endpoint);
-  v("sent", x.sent);
+  v("sent", x.sent_at);
   v("may_have_run", x.may_have_run);
-  v.later("out", x.out);
+  v.later("out", x.in_flight);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Resumed) {
+GRADEMUX_FIELDS(RecoveredMessage) {
   v("message", x.message);
   v("attempts", x.attempts);
-  v.later("rules", x.rules);
+  v.later("rules", x.class_version);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Ailment) {
+GRADEMUX_FIELDS(DestinationHealth) {
   v("endpoint", x.endpoint);
   v("destination", x.destination);
   v("down", x.down);
-  v("cold_since", x.cold_since);
-  v.later("wait_until", x.wait_until);
-  v.later("noted", x.noted);
+  v("cold_since", x.warming_since);
+  v.later("wait_until", x.retry_after_until);
+  v.later("noted", x.observed_at);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Lesson) {
+GRADEMUX_FIELDS(LearnedEndpoint) {
   v("endpoint", x.endpoint);
   v("destination", x.destination);
-  v("limit", x.limit);
-  v("told", x.told);
-  v("part", x.part);
-  v("usual", x.usual);
+  v("limit", x.rate_limit);
+  v("told", x.limit_is_reported);
+  v("part", x.quota_fraction);
+  v("usual", x.typical_latency);
   v("samples", x.samples);
-  v("risk", x.risk);
-  v("traffic", x.traffic);
-  v("heard", x.heard);
-  v("came", x.came);
+  v("risk", x.unknown_outcome_fraction);
+  v("traffic", x.message_rate);
+  v("heard", x.last_outcome_at);
+  v("came", x.last_message_at);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Experience) {
-  v("typical", x.typical);
-  v("typical_of", x.typical_of);
-  v("dead_score", x.dead_score);
-  v("dead_least", x.dead_least);
-  v("dead_at", x.dead_at);
-  v("heard", x.heard);
+GRADEMUX_FIELDS(LearnedPool) {
+  v("typical", x.mean_latency);
+  v("typical_of", x.latency_samples);
+  v("dead_score", x.stale_connection_score);
+  v("dead_least", x.stale_after_idle);
+  v("dead_at", x.stale_observed_at);
+  v("heard", x.last_outcome_at);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Survey) {
+GRADEMUX_FIELDS(ExportLearned) {
   v("after", x.after);
-  v("most", x.most);
+  v("most", x.max_destinations);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Surveyed) {
+GRADEMUX_FIELDS(LearnedExported) {
   v("after", x.after);
-  v("all", x.all);
+  v("all", x.complete);
   v("pool", x.pool);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Stopping) {
+GRADEMUX_FIELDS(ShutdownScheduled) {
   v("at", x.at);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Gone) {
+GRADEMUX_FIELDS(MessageWithdrawn) {
   v("id", x.id);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Retuned) {
+GRADEMUX_FIELDS(SettingsChanged) {
   v("settings", x.settings);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Outcome) {
+GRADEMUX_FIELDS(AttemptOutcome) {
   v("id", x.id);
   v("attempt", x.attempt);
   v("result", x.result);
-  v("finished", x.finished);
-  v("wait", x.wait);
-  v("rtt", x.rtt);
-  v("report", x.report);
-  v.later("stale", x.stale);
+  v("finished", x.already_finished);
+  v("wait", x.retry_after);
+  v("rtt", x.round_trip);
+  v("report", x.limit_report);
+  v.later("stale", x.stale_connection);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(ListUpdate) {
+GRADEMUX_FIELDS(EndpointListUpdate) {
   v("kind", x.kind);
   v("endpoints", x.endpoints);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Wake) {}
+GRADEMUX_FIELDS(TimerFired) {}
 GRADEMUX_END;
-GRADEMUX_FIELDS(Send) {
+GRADEMUX_FIELDS(StartAttempt) {
   v("id", x.id);
   v("endpoint", x.endpoint);
   v("timeout", x.timeout);
   v.later("write_within", x.write_within);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Cancel) {
+GRADEMUX_FIELDS(CancelAttempt) {
   v("id", x.id);
   v("attempt", x.attempt);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Refuse) {
+GRADEMUX_FIELDS(RejectMessage) {
   v("id", x.id);
-  v("pause", x.pause);
+  v("pause", x.retry_after);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Fail) {
+GRADEMUX_FIELDS(FailMessage) {
   v("id", x.id);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(Watch) {}
+GRADEMUX_FIELDS(WatchEndpoints) {}
 GRADEMUX_END;
-GRADEMUX_FIELDS(CloseIdle) {
+GRADEMUX_FIELDS(CloseIdleConnections) {
   v("endpoint", x.endpoint);
 }
 GRADEMUX_END;
-GRADEMUX_FIELDS(WakeIn) {
-  v("span", x.span);
+GRADEMUX_FIELDS(SetTimer) {
+  v("span", x.delay);
 }
 GRADEMUX_END;
 
@@ -231,29 +231,29 @@
 #undef GRADEMUX_END
 
 // The last of each enumeration.
-constexpr Effect lastOf(Effect) {
-  return Effect::unsafe;
+constexpr Idempotency lastOf(Idempotency) {
+  return Idempotency::non_idempotent;
 }
-constexpr RepeatGroup lastOf(RepeatGroup) {
-  return RepeatGroup::cell;
+constexpr IdempotencyScope lastOf(IdempotencyScope) {
+  return IdempotencyScope::cell;
 }
-constexpr LateRule lastOf(LateRule) {
-  return LateRule::halves;
+constexpr LatenessPenalty lastOf(LatenessPenalty) {
+  return LatenessPenalty::halving;
 }
 constexpr WeightKind lastOf(WeightKind) {
   return WeightKind::rough;
 }
 constexpr ListMode lastOf(ListMode) {
-  return ListMode::ask;
+  return ListMode::poll;
 }
 constexpr EndpointState lastOf(EndpointState) {
   return EndpointState::gone;
 }
-constexpr Result lastOf(Result) {
-  return Result::not_sent;
+constexpr AttemptResult lastOf(AttemptResult) {
+  return AttemptResult::not_sent;
 }
-constexpr ListKind lastOf(ListKind) {
-  return ListKind::failed;
+constexpr EndpointListKind lastOf(EndpointListKind) {
+  return EndpointListKind::failed;
 }
 
 // ---- both directions
--- a/src/transport/http/answer_outcome.cpp
+++ b/src/transport/http/answer_outcome.cpp
@@ -28,25 +28,25 @@
 
 }  // namespace
 
-Result resultOf(const HttpAnswer& answer) {
+AttemptResult resultOf(const HttpAnswer& answer) {
   if (answer.how == Exchanged::not_written)
-    return Result::connect_failed;
+    return AttemptResult::connect_failed;
   if (answer.how == Exchanged::broken)
-    return Result::reset;
+    return AttemptResult::reset;
   if (answer.how == Exchanged::timed_out)
-    return Result::timeout;
+    return AttemptResult::timeout;
   switch (answer.status) {
     case kOk:
-      return Result::ok;
+      return AttemptResult::ok;
     case kTooManyRequests:
-      return Result::full;
+      return AttemptResult::rejected;
     case kUnavailable:
-      return answer.field("x-egress-full") ? Result::not_sent : Result::full;
+      return answer.field("x-egress-full") ? AttemptResult::not_sent : AttemptResult::rejected;
     case kGatewayTimeout:
     case kGone:
-      return Result::not_sent;
+      return AttemptResult::not_sent;
     default:
-      return Result::error;
+      return AttemptResult::error;
   }
 }
 
--- a/src/transport/http/answer_outcome.h
+++ b/src/transport/http/answer_outcome.h
@@ -9,7 +9,7 @@
 namespace grademux {
 
 // What is not in the table was at least answered: an error.
-Result resultOf(const HttpAnswer& answer);
+AttemptResult resultOf(const HttpAnswer& answer);
 // The time to wait that a refusal tells, in microseconds; 0: none. It counts also if the body broke off,
 // since the other side has said it.
 Micros waitOf(const HttpAnswer& answer);
--- a/src/transport/http/http_transport.cpp
+++ b/src/transport/http/http_transport.cpp
@@ -18,12 +18,13 @@
 
 constexpr std::size_t kBodyLimit = 65536;
 
-void logEnd(const CallId& id, const std::string& endpoint, Result result) {
-  if (!log::on(log::Event::attempt_ended))
+void logEnd(const AttemptId& id, const std::string& endpoint, AttemptResult result) {
+  if (!log::on(log::Event::attempt_finished))
     return;
-  log::write(
-      log::Event::attempt_ended,
-      {{"message", id.first}, {"endpoint", endpoint}, {"attempt", id.second}, {"outcome", nameOf(result)}});
+  log::write(log::Event::attempt_finished, {{"message", id.message_id},
+                                            {"endpoint", endpoint},
+                                            {"attempt", id.attempt},
+                                            {"outcome", nameOf(result)}});
 }
 
 }  // namespace
@@ -31,20 +32,20 @@
 HttpTransport::HttpTransport(asio::io_context& io, Limits limits, OnOutcome on_outcome)
     : io_(io), limits_(limits), on_outcome_(std::move(on_outcome)), sweeper_(io) {}
 
-void HttpTransport::address(const std::string& endpoint, const std::string& address) {
+void HttpTransport::setAddress(const std::string& endpoint, const std::string& address) {
   std::string& known = addresses_[endpoint];
   if (known == address)
     return;
   known = address;
-  closeIdle(endpoint);
+  closeIdleConnections(endpoint);
 }
 
-void HttpTransport::forget(const std::string& endpoint) {
-  closeIdle(endpoint);
+void HttpTransport::removeEndpoint(const std::string& endpoint) {
+  closeIdleConnections(endpoint);
   addresses_.erase(endpoint);
 }
 
-void HttpTransport::withhold(const std::string& endpoint) {
+void HttpTransport::cancelUnwritten(const std::string& endpoint) {
   withholdUnwritten([&](const Call& call) { return call.endpoint == endpoint; });
 }
 
@@ -64,8 +65,8 @@
   return nullptr;
 }
 
-HttpRequest HttpTransport::requestOf(const CallRequest& request) {
-  const TakenOn& message = request.message;
+HttpRequest HttpTransport::requestOf(const AttemptRequest& request) {
+  const AcceptedMessage& message = request.message;
   HttpRequest http;
   http.method = "POST";
   http.target = "/hook";
@@ -73,8 +74,8 @@
   if (!message.idempotency_key.empty())
     http.fields.emplace_back("Idempotency-Key", message.idempotency_key);
   http.fields.emplace_back("X-Remaining-Ms", std::to_string(std::max<Micros>(1, request.timeout / 1000)));
-  if (!request.stamp.empty())
-    http.fields.emplace_back("X-Fleet-Version", request.stamp);
+  if (!request.version_stamp.empty())
+    http.fields.emplace_back("X-Fleet-Version", request.version_stamp);
   http.body = message.body;
   http.write_within = request.write_within;
   if (may_)
@@ -82,8 +83,8 @@
   return http;
 }
 
-void HttpTransport::call(const CallRequest& request) {
-  const CallId id{request.message.id, request.attempt};
+void HttpTransport::startAttempt(const AttemptRequest& request) {
+  const AttemptId id{request.message.id, request.attempt};
   Call call;
   call.endpoint = request.endpoint;
   const auto listed = addresses_.find(request.endpoint);
@@ -110,36 +111,37 @@
 // Guards against a connection that comes up late, or a slow receiver, by which a call goes out after what it
 // was decided by has changed. What is written can't be taken back and runs on.
 void HttpTransport::withholdUnwritten(const std::function<bool(const Call&)>& concerned) {
-  std::vector<CallId> unwritten;
+  std::vector<AttemptId> unwritten;
   for (const auto& [id, call] : calls_)
     if (!call.connection->written() && concerned(call))
       unwritten.push_back(id);
-  for (const CallId& id : unwritten) {
+  for (const AttemptId& id : unwritten) {
     const auto call = calls_.find(id);
-    Outcome outcome = outcomeOf(id, call->second, {});
-    outcome.result = Result::not_sent;
+    AttemptOutcome outcome = outcomeOf(id, call->second, {});
+    outcome.result = AttemptResult::not_sent;
     logEnd(id, call->second.endpoint, outcome.result);
     calls_.erase(call);  // closes the connection
     reportLater(std::move(outcome));
   }
 }
 
-Outcome HttpTransport::outcomeOf(const CallId& id, const Call& call, const HttpAnswer& answer) const {
+AttemptOutcome HttpTransport::outcomeOf(const AttemptId& id, const Call& call,
+                                        const HttpAnswer& answer) const {
   constexpr int kDelivered = 200, kOver = 410;
   const Micros now = monotonicNow();
-  Outcome outcome;
-  outcome.id = id.first;
-  outcome.attempt = id.second;
+  AttemptOutcome outcome;
+  outcome.id = id.message_id;
+  outcome.attempt = id.attempt;
   outcome.result = resultOf(answer);
   // It is no sign of the endpoint that there was no time left to write it.
   if (answer.how == Exchanged::not_written && now >= call.write_by)
-    outcome.result = Result::not_sent;
-  outcome.finished =
+    outcome.result = AttemptResult::not_sent;
+  outcome.already_finished =
       answer.how == Exchanged::answered && (answer.status == kDelivered || answer.status == kOver);
-  outcome.wait = waitOf(answer);
-  outcome.rtt = std::max<Micros>(1, now - call.began);
-  outcome.report = reportOf(answer);
-  outcome.stale = outcome.result == Result::reset && answer.reused && !answer.begun;
+  outcome.retry_after = waitOf(answer);
+  outcome.round_trip = std::max<Micros>(1, now - call.began);
+  outcome.limit_report = reportOf(answer);
+  outcome.stale_connection = outcome.result == AttemptResult::reset && answer.reused && !answer.begun;
   return outcome;
 }
 
@@ -151,29 +153,29 @@
   withholdUnwritten([&](const Call& other) { return scope_of_(other.endpoint) == scope; });
 }
 
-Outcome HttpTransport::settle(const CallId& id, Call& call, const HttpAnswer& answer) {
-  Outcome outcome = outcomeOf(id, call, answer);
+AttemptOutcome HttpTransport::settle(const AttemptId& id, Call& call, const HttpAnswer& answer) {
+  AttemptOutcome outcome = outcomeOf(id, call, answer);
   // The module keeps its own count of idle connections: one is kept after the same outcomes as there.
-  const bool kept =
-      outcome.result == Result::ok || outcome.result == Result::error || outcome.result == Result::full;
+  const bool kept = outcome.result == AttemptResult::ok || outcome.result == AttemptResult::error ||
+                    outcome.result == AttemptResult::rejected;
   if (kept)
     keep(call);
   return outcome;
 }
 
-void HttpTransport::over(const CallId& id, const HttpAnswer& answer) {
+void HttpTransport::over(const AttemptId& id, const HttpAnswer& answer) {
   const auto known = calls_.find(id);
   if (known == calls_.end())
     return;
   Call call = std::move(known->second);
   calls_.erase(known);
-  Outcome outcome = settle(id, call, answer);
+  AttemptOutcome outcome = settle(id, call, answer);
   logEnd(id, call.endpoint, outcome.result);
-  heedWait(call.endpoint, outcome.wait);
+  heedWait(call.endpoint, outcome.retry_after);
   on_outcome_(std::move(outcome));
 }
 
-void HttpTransport::reportLater(Outcome outcome) {
+void HttpTransport::reportLater(AttemptOutcome outcome) {
   reporting_.insert({outcome.id, outcome.attempt});
   asio::post(io_, [this, outcome = std::move(outcome)]() mutable {
     reporting_.erase({outcome.id, outcome.attempt});
@@ -182,25 +184,25 @@
 }
 
 // An answer that has come and was not read yet goes before: it may have been delivered, or tell to wait.
-void HttpTransport::cancel(const std::string& id, int attempt) {
-  const CallId call_id{id, attempt};
+void HttpTransport::cancelAttempt(const std::string& id, int attempt) {
+  const AttemptId call_id{id, attempt};
   const auto known = calls_.find(call_id);
   if (known == calls_.end())
     return;
   Call call = std::move(known->second);
   calls_.erase(known);
   const HttpAnswer last = call.connection->abandon();
-  Outcome outcome = settle(call_id, call, last);
+  AttemptOutcome outcome = settle(call_id, call, last);
   if (last.how != Exchanged::answered)
-    outcome.result = Result::cancelled;
+    outcome.result = AttemptResult::cancelled;
   logEnd(call_id, call.endpoint, outcome.result);
-  const Micros wait = outcome.wait;
+  const Micros wait = outcome.retry_after;
   reportLater(std::move(outcome));  // ahead of those that the wait ends
   heedWait(call.endpoint, wait);
 }
 
-std::vector<CallId> HttpTransport::outCalls() const {
-  std::vector<CallId> all(reporting_.begin(), reporting_.end());
+std::vector<AttemptId> HttpTransport::outCalls() const {
+  std::vector<AttemptId> all(reporting_.begin(), reporting_.end());
   for (const auto& [id, call] : calls_)
     all.push_back(id);
   return all;
@@ -211,7 +213,7 @@
   idle_count_ = 0;
 }
 
-void HttpTransport::closeIdle(const std::string& endpoint) {
+void HttpTransport::closeIdleConnections(const std::string& endpoint) {
   auto it = idle_.find(endpoint);
   if (it == idle_.end())
     return;
--- a/src/transport/http/http_transport.h
+++ b/src/transport/http/http_transport.h
@@ -24,14 +24,14 @@
   };
   HttpTransport(boost::asio::io_context& io, Limits limits, OnOutcome on_outcome);
 
-  void address(const std::string& endpoint, const std::string& address) override;
-  void forget(const std::string& endpoint) override;
-  void withhold(const std::string& endpoint) override;
-  void call(const CallRequest& request) override;
-  void cancel(const std::string& id, int attempt) override;
-  void closeIdle(const std::string& endpoint) override;
-  std::size_t out() const override { return calls_.size() + reporting_.size(); }
-  std::vector<CallId> outCalls() const;  // those that have not been reported
+  void setAddress(const std::string& endpoint, const std::string& address) override;
+  void removeEndpoint(const std::string& endpoint) override;
+  void cancelUnwritten(const std::string& endpoint) override;
+  void startAttempt(const AttemptRequest& request) override;
+  void cancelAttempt(const std::string& id, int attempt) override;
+  void closeIdleConnections(const std::string& endpoint) override;
+  std::size_t attemptsInFlight() const override { return calls_.size() + reporting_.size(); }
+  std::vector<AttemptId> outCalls() const;  // those that have not been reported
   void closeAllIdle();
   std::size_t idle() const { return idle_count_; }
   // Asked before the first byte of each call to an endpoint; false: the call is not made.
@@ -57,13 +57,13 @@
     Micros write_by = kNoWriteLimit;  // on the monotonic clock
   };
   std::unique_ptr<HttpConnection> takeIdle(const std::string& endpoint);
-  HttpRequest requestOf(const CallRequest& request);
+  HttpRequest requestOf(const AttemptRequest& request);
   void withholdUnwritten(const std::function<bool(const Call&)>& concerned);
-  void over(const CallId& id, const HttpAnswer& answer);
-  Outcome outcomeOf(const CallId& id, const Call& call, const HttpAnswer& answer) const;
-  Outcome settle(const CallId& id, Call& call, const HttpAnswer& answer);
+  void over(const AttemptId& id, const HttpAnswer& answer);
+  AttemptOutcome outcomeOf(const AttemptId& id, const Call& call, const HttpAnswer& answer) const;
+  AttemptOutcome settle(const AttemptId& id, Call& call, const HttpAnswer& answer);
   void heedWait(const std::string& endpoint, Micros wait);
-  void reportLater(Outcome outcome);
+  void reportLater(AttemptOutcome outcome);
   void keep(Call& call);
   void sweep();
 
@@ -75,8 +75,8 @@
   std::map<std::string, std::string> addresses_;
   std::map<std::string, std::deque<Idle>> idle_;  // by endpoint, the freshest last
   std::size_t idle_count_ = 0;
-  std::map<CallId, Call> calls_;
-  std::set<CallId> reporting_;  // over, and reported from the loop in a moment
+  std::map<AttemptId, Call> calls_;
+  std::set<AttemptId> reporting_;  // over, and reported from the loop in a moment
   boost::asio::steady_timer sweeper_;
   bool sweeping_ = false;
 };
--- a/src/zones/valve.h
+++ b/src/zones/token_bucket.h
@@ -12,22 +12,22 @@
 
 namespace grademux::zones {
 
-class Valve {
+class TokenBucket {
  public:
   // Calls a second, from now on.
-  void set(Micros now, double rate) {
-    fill(now);
+  void setRate(Micros now, double rate) {
+    refill(now);
     rate_ = rate;
-    tokens_ = std::min(tokens_, most());
+    tokens_ = std::min(tokens_, capacity());
   }
   // Whether the module is to see the endpoint as ready.
-  bool open(Micros now) {
-    fill(now);
+  bool hasToken(Micros now) {
+    refill(now);
     return tokens_ >= 1;
   }
   // A call begins; false: it may not.
-  bool take(Micros now) {
-    if (!open(now))
+  bool takeToken(Micros now) {
+    if (!hasToken(now))
       return false;
     tokens_ -= 1;
     return true;
@@ -36,10 +36,10 @@
 
  private:
   // Of a span of a tenth of a second at most, and one call.
-  double most() const { return std::max(1.0, rate_ / 10); }
-  void fill(Micros now) {
+  double capacity() const { return std::max(1.0, rate_ / 10); }
+  void refill(Micros now) {
     if (now > at_) {
-      tokens_ = std::min(most(), tokens_ + rate_ * static_cast<double>(now - at_) / 1e6);
+      tokens_ = std::min(capacity(), tokens_ + rate_ * static_cast<double>(now - at_) / 1e6);
       at_ = now;
     }
   }
--- a/src/zones/evidence.h
+++ b/src/zones/zone_health_monitor.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 
 #include "regions.h"
-#include "state.h"
+#include "zone_state.h"
 
 namespace grademux::zones {
 
@@ -28,7 +28,7 @@
 constexpr Micros kLastTells = 10'000'000;
 
 // A sum whose parts lose weight with time.
-class Fading {
+class DecayingSum {
  public:
   void add(Micros now, double x, Micros constant) {
     value_ = at(now, constant) + x;
@@ -46,31 +46,31 @@
 };
 
 // Whether an outcome points at where the endpoint stands. A limit that was told of does not.
-inline bool pointsAtZone(const Outcome& o) {
+inline bool indicatesZoneFault(const AttemptOutcome& o) {
   switch (o.result) {
-    case Result::error:
-    case Result::timeout:
-    case Result::connect_failed:
+    case AttemptResult::error:
+    case AttemptResult::timeout:
+    case AttemptResult::connect_failed:
       return true;
-    case Result::reset:
-      return !o.stale;
-    case Result::full:
-      return o.wait == 0;
+    case AttemptResult::reset:
+      return !o.stale_connection;
+    case AttemptResult::rejected:
+      return o.retry_after == 0;
     default:
       return false;
   }
 }
 
-class Evidence {
+class ZoneHealthMonitor {
  public:
-  void ended(Micros now, const Endpoint& e, const Outcome& o) {
-    if (o.result == Result::cancelled || o.result == Result::not_sent)
+  void recordOutcome(Micros now, const Endpoint& e, const AttemptOutcome& o) {
+    if (o.result == AttemptResult::cancelled || o.result == AttemptResult::not_sent)
       return;
-    if (o.result == Result::reset && o.stale)
+    if (o.result == AttemptResult::reset && o.stale_connection)
       return;
-    Cell& c = seen_[e.destination][e.zone];
-    const bool bad = pointsAtZone(o);
-    begun_ = std::min(begun_, now);
+    Stats& c = stats_[e.destination][e.zone];
+    const bool bad = indicatesZoneFault(o);
+    started_at_ = std::min(started_at_, now);
     c.calls.add(now, 1, kRecent);
     if (bad)
       c.bad.add(now, 1, kRecent);
@@ -84,47 +84,47 @@
     ++c.all;
     c.wrong += bad;
     c.last = now;
-    if (o.result == Result::ok)
-      usual_[e.zone][e.id].add(now, 1, kUsual);
+    if (o.result == AttemptResult::ok)
+      baseline_[e.zone][e.id].add(now, 1, kUsual);
   }
 
   // In good times, calls a second to this endpoint that were delivered.
-  double usual(Micros now, const std::string& zone, const std::string& endpoint) const {
-    const auto z = usual_.find(zone);
-    if (z == usual_.end())
+  double baselineRate(Micros now, const std::string& zone, const std::string& endpoint) const {
+    const auto z = baseline_.find(zone);
+    if (z == baseline_.end())
       return 0;
     const auto e = z->second.find(endpoint);
     return e == z->second.end() ? 0 : perSecond(now, e->second);
   }
-  double usual(Micros now, const std::string& zone) const {
+  double baselineRate(Micros now, const std::string& zone) const {
     double all = 0;
-    const auto z = usual_.find(zone);
-    if (z != usual_.end())
+    const auto z = baseline_.find(zone);
+    if (z != baseline_.end())
       for (const auto& [id, sum] : z->second)
         all += perSecond(now, sum);
     return all;
   }
   // Whether calls enough have ended there since forget() for a word on it.
-  bool enough(const std::string& zone) const {
+  bool hasEnoughSamples(const std::string& zone) const {
     std::int64_t calls = 0;
-    for (const auto& [destination, cells] : seen_)
+    for (const auto& [destination, cells] : stats_)
       if (const auto here = cells.find(zone); here != cells.end())
         calls += here->second.all;
     return static_cast<double>(calls) >= kEnough;
   }
 
   // Of a zone that is in: against the zones of other regions that each destination has.
-  Vote against(Micros now, const std::string& zone, const Regions& regions) const {
-    Vote v;
-    v.traffic = usual(now, zone);
+  ZoneVote compareWithOtherZones(Micros now, const std::string& zone, const Regions& regions) const {
+    ZoneVote v;
+    v.traffic = baselineRate(now, zone);
     int told = 0, fine = 0;
-    for (const auto& [destination, cells] : seen_) {
+    for (const auto& [destination, cells] : stats_) {
       const auto here = cells.find(zone);
       if (here == cells.end())
         continue;
       int others = 0, well = 0;
       for (const auto& [name, c] : cells) {
-        if (name == zone || regions.together(name, zone) || !c.tells(now))
+        if (name == zone || regions.sameRegion(name, zone) || !c.tells(now))
           continue;
         // One that was not yet seen well when this zone failed has no say: after a common trouble one zone
         // may only be the last to be tried.
@@ -136,69 +136,69 @@
       if (2 * well <= others || !here->second.tells(now))
         continue;
       ++told;
-      v.struck += here->second.failing(now);
+      v.failing_destinations += here->second.failing(now);
       fine += here->second.fine(now);
     }
-    v.sight = sightOf(told, v.struck, fine);
-    if (v.struck < kStruck && v.sight == Sight::failing)
-      v.sight = Sight::nothing;  // one may be a chance
+    v.observation = observationOf(told, v.failing_destinations, fine);
+    if (v.failing_destinations < kStruck && v.observation == Observation::failing)
+      v.observation = Observation::unknown;  // one may be a chance
     return v;
   }
 
   // Of a zone on its way back: all that was sent there since forget().
-  Vote within(Micros now, const std::string& zone) const {
-    Vote v;
-    v.traffic = usual(now, zone);
+  ZoneVote within(Micros now, const std::string& zone) const {
+    ZoneVote v;
+    v.traffic = baselineRate(now, zone);
     std::int64_t calls = 0, wrong = 0;
-    for (const auto& [destination, cells] : seen_) {
+    for (const auto& [destination, cells] : stats_) {
       const auto here = cells.find(zone);
       if (here == cells.end())
         continue;
       calls += here->second.all;
       wrong += here->second.wrong;
-      v.struck += here->second.failing(now);
+      v.failing_destinations += here->second.failing(now);
     }
     const auto all = static_cast<double>(calls), bad = static_cast<double>(wrong);
-    if (v.struck > 0 && bad >= kFails * all)
-      v.sight = Sight::failing;
+    if (v.failing_destinations > 0 && bad >= kFails * all)
+      v.observation = Observation::failing;
     else if (all >= kEnough && bad <= kWorks * all)
-      v.sight = Sight::fine;
+      v.observation = Observation::healthy;
     return v;
   }
 
   // Destinations whose last call there failed, and when it ended.
-  std::map<std::int64_t, Micros> struck(const std::string& zone) const {
+  std::map<std::int64_t, Micros> failingDestinations(const std::string& zone) const {
     std::map<std::int64_t, Micros> all;
-    for (const auto& [destination, cells] : seen_)
+    for (const auto& [destination, cells] : stats_)
       if (const auto here = cells.find(zone); here != cells.end() && here->second.last_bad)
         all[destination] = here->second.last;
     return all;
   }
 
   // What was seen lately counts no more: the fleet stands otherwise to the zone now.
-  void forget(const std::string& zone) {
-    for (auto d = seen_.begin(); d != seen_.end();) {
+  void resetZone(const std::string& zone) {
+    for (auto d = stats_.begin(); d != stats_.end();) {
       d->second.erase(zone);
-      d = d->second.empty() ? seen_.erase(d) : std::next(d);
+      d = d->second.empty() ? stats_.erase(d) : std::next(d);
     }
   }
   // Destinations and endpoints of which nothing was heard for long.
-  void sweep(Micros now) {
+  void expire(Micros now) {
     constexpr double kNothing = 1e-3;
-    for (auto d = seen_.begin(); d != seen_.end();) {
+    for (auto d = stats_.begin(); d != stats_.end();) {
       for (auto z = d->second.begin(); z != d->second.end();)
         z = now - z->second.last > kForgotten ? d->second.erase(z) : std::next(z);
-      d = d->second.empty() ? seen_.erase(d) : std::next(d);
+      d = d->second.empty() ? stats_.erase(d) : std::next(d);
     }
-    for (auto& [zone, endpoints] : usual_)
+    for (auto& [zone, endpoints] : baseline_)
       for (auto e = endpoints.begin(); e != endpoints.end();)
         e = e->second.at(now, kUsual) < kNothing ? endpoints.erase(e) : std::next(e);
   }
-  std::size_t size() const { return seen_.size(); }
+  std::size_t size() const { return stats_.size(); }
 
  private:
-  struct Cell {
-    Fading calls, bad;
+  struct Stats {
+    DecayingSum calls, bad;
     std::int64_t all = 0, wrong = 0;  // since forget(), however long ago
     bool last_bad = false;
     Micros last = 0, bad_at = 0, good_since = INT64_MAX;
@@ -214,18 +214,18 @@
     bool tells(Micros now) const { return failing(now) || calls.at(now, kRecent) >= 0.5; }
   };
   // A sum that has grown since this sender began is not yet what it comes to in the long run.
-  double perSecond(Micros now, const Fading& sum) const {
-    const auto age = static_cast<double>(std::max(now - begun_, kLeastAge)), constant = double{kUsual};
+  double perSecond(Micros now, const DecayingSum& sum) const {
+    const auto age = static_cast<double>(std::max(now - started_at_, kLeastAge)), constant = double{kUsual};
     return sum.at(now, kUsual) / constant / (1 - std::exp(-age / constant)) * 1e6;
   }
-  static Sight sightOf(int told, int struck, int fine) {
+  static Observation observationOf(int told, int struck, int fine) {
     if (told > 0 && 2 * struck > told)
-      return Sight::failing;
-    return told > 0 && 2 * fine > told ? Sight::fine : Sight::nothing;
+      return Observation::failing;
+    return told > 0 && 2 * fine > told ? Observation::healthy : Observation::unknown;
   }
-  std::unordered_map<std::int64_t, std::map<std::string, Cell>> seen_;
-  std::map<std::string, std::unordered_map<std::string, Fading>> usual_;
-  Micros begun_ = INT64_MAX / 2;  // when the first call ended
+  std::unordered_map<std::int64_t, std::map<std::string, Stats>> stats_;
+  std::map<std::string, std::unordered_map<std::string, DecayingSum>> baseline_;
+  Micros started_at_ = INT64_MAX / 2;  // when the first call ended
 };
 
 }  // namespace grademux::zones
--- a/src/zones/state.cpp
+++ b/src/zones/zone_state.cpp
@@ -1,5 +1,5 @@
 // grademux zones: states and votes; see state.h.
-#include "state.h"
+#include "zone_state.h"
 
 namespace grademux::zones {
 
@@ -16,56 +16,58 @@
 }
 }  // namespace
 
-State readState(const json& o) {
+ZoneState parseState(const json& o) {
   if (!o.is_object())
     bad("zones: an object each is expected");
-  State s;
-  s.way = static_cast<Way>(oneOf(o, "state", kWays));
+  ZoneState s;
+  s.phase = static_cast<ZonePhase>(oneOf(o, "state", kWays));
   s.stage = absent(o, "stage") ? 0 : static_cast<int>(integer(o, "stage"));
-  s.share = number(o, "share", 0);
-  if (!(s.share >= 0 && s.share <= 1))
+  s.traffic_fraction = number(o, "share", 0);
+  if (!(s.traffic_fraction >= 0 && s.traffic_fraction <= 1))
     bad("zones: share: 0 to 1 is expected");
-  s.failed = absent(o, "failed") ? 0 : static_cast<int>(integer(o, "failed"));
-  s.held = truth(o, "held", false);
-  s.why = text(o, "why", "");
+  s.failed_recoveries = absent(o, "failed") ? 0 : static_cast<int>(integer(o, "failed"));
+  s.pinned_by_operator = truth(o, "held", false);
+  s.reason = text(o, "why", "");
   if (!absent(o, "carriers"))
     for (const json& name : array(o, "carriers")) {
       if (!name.is_string())
         bad("zones: carriers: names are expected");
-      s.carriers.insert(name.get<std::string>());
+      s.probers.insert(name.get<std::string>());
     }
   return s;
 }
 
-json shown(const State& s) {
-  json o = {
-      {"state", kWays[static_cast<int>(s.way)]}, {"failed", s.failed}, {"held", s.held}, {"why", s.why}};
-  if (s.way == Way::back) {
+json toJson(const ZoneState& s) {
+  json o = {{"state", kWays[static_cast<int>(s.phase)]},
+            {"failed", s.failed_recoveries},
+            {"held", s.pinned_by_operator},
+            {"why", s.reason}};
+  if (s.phase == ZonePhase::recovering) {
     o["stage"] = s.stage;
-    o["share"] = s.share;
-    o["carriers"] = s.carriers;
+    o["share"] = s.traffic_fraction;
+    o["carriers"] = s.probers;
   }
   return o;
 }
 
-std::string textOf(const State& s) {
-  std::string all = kWays[static_cast<int>(s.way)];
-  if (s.way == Way::back && s.stage == 0) {
+std::string toString(const ZoneState& s) {
+  std::string all = kWays[static_cast<int>(s.phase)];
+  if (s.phase == ZonePhase::recovering && s.stage == 0) {
     all += ", tried by";
-    for (const std::string& name : s.carriers)
+    for (const std::string& name : s.probers)
       all += " " + name;
-  } else if (s.way == Way::back) {
-    all += ", stage " + std::to_string(s.stage) + " with " + std::to_string(static_cast<int>(s.share * 100)) +
-           "%";
+  } else if (s.phase == ZonePhase::recovering) {
+    all += ", stage " + std::to_string(s.stage) + " with " +
+           std::to_string(static_cast<int>(s.traffic_fraction * 100)) + "%";
   }
-  if (s.held)
+  if (s.pinned_by_operator)
     all += ", held";
-  if (s.failed > 0)
-    all += ", " + std::to_string(s.failed) + " returns failed";
-  return all + (s.why.empty() ? "" : ": " + s.why);
+  if (s.failed_recoveries > 0)
+    all += ", " + std::to_string(s.failed_recoveries) + " returns failed";
+  return all + (s.reason.empty() ? "" : ": " + s.reason);
 }
 
-json shown(const Parts& p) {
+json toJson(const TrafficBaseline& p) {
   json o = json::object();
   for (const auto& [zone, endpoints] : p) {
     json& z = o[zone] = json::object();
@@ -75,10 +77,10 @@
   return o;
 }
 
-Parts readParts(const json& o) {
+TrafficBaseline parseTrafficBaseline(const json& o) {
   if (!o.is_object())
     bad("parts: an object is expected");
-  Parts p;
+  TrafficBaseline p;
   for (const auto& [zone, endpoints] : o.items()) {
     if (!endpoints.is_object())
       bad("parts: zone " + zone + ": an object is expected");
@@ -92,20 +94,22 @@
   return p;
 }
 
-Vote readVote(const json& o) {
+ZoneVote parseVote(const json& o) {
   if (!o.is_object())
     bad("a vote on a zone is not an object");
-  Vote v;
-  v.sight = static_cast<Sight>(oneOf(o, "sight", kSights));
+  ZoneVote v;
+  v.observation = static_cast<Observation>(oneOf(o, "sight", kSights));
   v.traffic = number(o, "traffic");
   if (!(v.traffic >= 0))
     bad("traffic: no less than 0 is expected");
-  v.struck = static_cast<int>(integer(o, "struck"));
+  v.failing_destinations = static_cast<int>(integer(o, "struck"));
   return v;
 }
 
-json shown(const Vote& v) {
-  return {{"sight", kSights[static_cast<int>(v.sight)]}, {"traffic", v.traffic}, {"struck", v.struck}};
+json toJson(const ZoneVote& v) {
+  return {{"sight", kSights[static_cast<int>(v.observation)]},
+          {"traffic", v.traffic},
+          {"struck", v.failing_destinations}};
 }
 
 }  // namespace grademux::zones
