--- a/tests/doors/resp_parser_test.cpp
+++ b/tests/listener/resp_parser_test.cpp
@@ -1,7 +1,7 @@
 // The parser of RESP2 requests: pieces of any size, bounds, and what is malformed.
 #include <gtest/gtest.h>
 
-#include "../../src/doors/resp/parser.h"
+#include "../../src/listener/resp/parser.h"
 
 namespace grademux {
 namespace {
--- a/tests/sim/simhost_test.cpp
+++ b/tests/sim/simhost_test.cpp
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "../decision/rig.h"
+#include "../decision/sender_fixture.h"
 #include "../support/program_paths.h"
 
 using nlohmann::json;
