--- a/harness/delivery_checker.cpp
+++ b/harness/delivery_checker.cpp
@@ -11,8 +11,6 @@
 namespace grademux::harness {
 
 namespace {
-constexpr Micros kUnheard =
-    400'000;  // an answer that was written has been read after this, on a busy machine too
 // Of all classes of the worlds, from when a message is handed in, and how near to it its notice may come.
 constexpr Micros kDeadline = 20'000'000, kAtDeadline = 50'000;
 constexpr std::uint64_t kShown = 8;  // messages with two ends
@@ -20,7 +18,7 @@
 // heard it.
 bool crossed(const Record& r) {
   const Micros over = r.submitted + kDeadline;
-  return r.delivered_at > over - kUnheard && r.noticed_at > over - kAtDeadline;
+  return r.delivered_at > over - kAnswerReadWithin && r.noticed_at > over - kAtDeadline;
 }
 }  // namespace
 
@@ -107,14 +105,14 @@
 void DeliveryChecker::died(Micros at) {
   shock(at);
   for (std::size_t i = 0; i < size_; ++i)
-    if (records_[i].ended == 0 || records_[i].ended > at - kUnheard)
+    if (records_[i].ended == 0 || records_[i].ended > at - kAnswerReadWithin)
       records_[i].doubt = true;
 }
 
 void DeliveryChecker::cutOff(Micros at) {
   shock(at);
   for (std::size_t i = 0; i < size_; ++i)
-    if (records_[i].runs > 0 && (records_[i].ended == 0 || records_[i].ended > at - kUnheard))
+    if (records_[i].runs > 0 && (records_[i].ended == 0 || records_[i].ended > at - kAnswerReadWithin))
       records_[i].doubt = true;
 }
 
--- a/harness/delivery_checker.h
+++ b/harness/delivery_checker.h
@@ -16,6 +16,9 @@
 
 using nlohmann::json;
 
+// An answer that was written has been read after this, on a busy machine too.
+constexpr Micros kAnswerReadWithin = 400'000;
+
 enum class Via : std::uint8_t { resp, http };
 enum class Reply : std::uint8_t {
   nothing,  // not yet, or the connection ended first
--- a/harness/http_stand_in.cpp
+++ b/harness/http_stand_in.cpp
@@ -1,6 +1,10 @@
 // grademux harness: HTTP stand-ins; see http_stand_in.h.
 #include "http_stand_in.h"
 
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <cstdlib>
@@ -33,14 +37,16 @@
   std::string in, out;
   char piece[16384];
   Micros first_byte = 0;
-  bool open = true, busy = false;
+  std::function<void()> on_unread;  // of the answer written last
+  bool open = true, busy = false, peer_ended = false;
 
   void read() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
       if (!self->open)
         return;
       if (e)
-        return self->close(false);
+        return self->onReadError(e);
+      self->on_unread = nullptr;  // the peer asks again: it has read the answer before
       if (self->in.empty())
         self->first_byte = monotonicNow();
       self->in.append(self->piece, n);
@@ -49,6 +55,27 @@
     });
   }
 
+  void onReadError(const error_code& e) {
+    if (e == asio::error::eof && !peer_ended && busy && owner.on_end_) {
+      peer_ended = true;
+      return owner.on_end_();
+    }
+    if (on_unread && wasReset(e))
+      on_unread();
+    close(false);
+  }
+
+  // The peer's system answers bytes that nobody will read with a reset. When the end of the stream was queued
+  // before it, reading tells the end alone, and the reset stands in the socket's state.
+  bool wasReset(const error_code& e) {
+    if (e == asio::error::connection_reset || e == asio::error::broken_pipe)
+      return true;
+    tcp_info info{};
+    socklen_t size = sizeof info;
+    return ::getsockopt(socket.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size) == 0 &&
+           info.tcpi_state == TCP_CLOSE;
+  }
+
   void next() {
     const auto end = in.find("\r\n\r\n");
     if (end == std::string::npos)
@@ -74,6 +101,7 @@
 
   bool answer(Reaction r) {
     out = std::move(r.bytes);
+    on_unread = std::move(r.on_unread);
     const bool close_after = r.close || r.reset, reset = r.reset;
     asio::async_write(socket, asio::buffer(out),
                       [self = shared_from_this(), close_after, reset](error_code e, std::size_t) {
@@ -81,6 +109,8 @@
                           return;
                         if (e || close_after)
                           return self->close(reset);
+                        if (self->peer_ended)
+                          return self->onReadError(asio::error::eof);
                         self->busy = false;
                         if (!self->in.empty())
                           self->next();
--- a/harness/http_stand_in.h
+++ b/harness/http_stand_in.h
@@ -22,6 +22,9 @@
 struct Reaction {
   std::string bytes;
   bool close = false, reset = false;
+  // Called once if the peer had closed the connection before it read these bytes: its system answered them
+  // with a reset. Not called when the peer read them, however it closes afterwards.
+  std::function<void()> on_unread = {};
 };
 std::string httpAnswer(const std::string& status, const std::string& fields = "",
                        const std::string& body = "");
@@ -37,6 +40,9 @@
   ~HttpStandIn();
   std::string address() const;
   void refuse(bool on);  // new connections are refused, those that are open are reset
+  // From now on the end of a connection with an open request is passed to `on_end`, and the connection stays
+  // open for an answer that crosses it.
+  void keepEndedConnections(std::function<void()> on_end) { on_end_ = std::move(on_end); }
   std::size_t connections() const { return connections_.size(); }
 
  private:
@@ -48,6 +54,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::ip::tcp::endpoint address_;
   Handler handler_;
+  std::function<void()> on_end_;
   bool listening_ = false;
   std::set<std::shared_ptr<Connection>> connections_;
 };
--- a/harness/stand_ins.cpp
+++ b/harness/stand_ins.cpp
@@ -3,6 +3,7 @@
 
 #include <algorithm>
 #include <sstream>
+#include <utility>
 
 #include "../src/core/clock.h"
 
@@ -87,6 +88,17 @@
          ",x1=" + std::to_string(rate) + "\r\n";
 }
 
+namespace {
+// A sender that stops waiting closes its connection, and the call may have run (the platform's protocol,
+// "timed out"). An answer that it had not read by then says nothing against the notice that it sends.
+std::function<void()> crossesTimeout(Record& record) {
+  return [&record, written = monotonicNow()] {
+    if (monotonicNow() - written <= kAnswerReadWithin)
+      record.doubt = true;
+  };
+}
+}  // namespace
+
 void EndpointStandIn::call(Request r, HttpStandIn::Respond respond) {
   ++calls_;
   if (on_call)
@@ -155,13 +167,21 @@
     } else if (draw < behaviour.fail + behaviour.spoil) {
       record->doubt = true;
       respond({"HTTP/1.1 2", false, true});
-    } else if (respond({httpAnswer("200 OK", fields), false, false})) {
+    } else if (respond({httpAnswer("200 OK", fields), false, false, crossesTimeout(*record)})) {
       if (known)
         ledger_.delivered(*record, monotonicNow());
     } else {
       record->doubt = true;  // nobody was there to hear it
     }
   };
+  if (behaviour.answers_at_end) {
+    crossing_answers_.push_back(std::move(finish));
+    server_.keepEndedConnections([this] {
+      for (const auto& answer : std::exchange(crossing_answers_, {}))
+        answer();
+    });
+    return;
+  }
   if (span <= 0)
     return finish();
   const auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(span));
--- a/harness/stand_ins.h
+++ b/harness/stand_ins.h
@@ -22,6 +22,7 @@
   double listed = 1000;               // calls a second that the list tells
   double fail = 0, spoil = 0;         // shares of calls: 500, an answer cut in its middle
   bool silent = false, shut = false;  // takes calls and answers none; answers 503
+  bool answers_at_end = false;        // answers once the caller has ended its connection: the two cross
   bool open_to_all = false;           // answers for messages that the ledger doesn't know, too
 };
 
@@ -84,6 +85,7 @@
   double taken_ = 0;
   std::atomic<std::uint64_t> calls_{0};
   Record stranger_;
+  std::vector<std::function<void()>> crossing_answers_;  // of calls that wait for the end of their connection
   std::shared_ptr<DestinationState> standing_;
   HttpStandIn server_;
   static constexpr Micros kNever = INT64_MAX / 4;
