--- a/src/membership/folder.cpp
+++ b/src/membership/folder.cpp
@@ -285,10 +285,8 @@
       std::memcpy(&event, buffer_.data() + at, sizeof event);
       const std::string name = event.len > 0 ? buffer_.data() + at + sizeof event : "";
       at += sizeof event + event.len;
-      if (event.mask & IN_Q_OVERFLOW) {
-        all_ = true;
-        soon(kCoalesce);
-      } else if (spec_.folder && event.wd == of_folder_ && isPartnerFile(name)) {
+      const bool concerns_whole = event.wd == of_parent_ && (name == base_ || !spec_.folder);
+      if (!(event.mask & IN_Q_OVERFLOW) && spec_.folder && event.wd == of_folder_ && isPartnerFile(name)) {
         // A file that was made is not whole before its writer closes it; a link or a hard link is, and tells
         // nothing else.
         // One that is taken away may be on its way to be written anew, as editors do.
@@ -302,7 +300,7 @@
         else
           names_.insert(name);
         soon(kCoalesce);
-      } else if (event.wd == of_parent_ && (name == base_ || !spec_.folder)) {
+      } else if (event.mask & IN_Q_OVERFLOW || concerns_whole) {
         all_ = true;
         soon(kCoalesce);
       }
--- a/src/membership/name_memory.cpp
+++ b/src/membership/name_memory.cpp
@@ -56,74 +56,94 @@
   old_ = true;
 }
 
-NameMemory::Heard NameMemory::answered(const DnsAnswer& answer, Micros now) {
-  Heard heard;
-  const auto trouble = [&](const std::string& name, const DnsRecords& r) {
-    if (r.kind == DnsRecords::Kind::records)
-      return;
-    if (!heard.trouble.empty())
-      heard.trouble += "; ";
-    heard.trouble += name + ": " + (r.kind == DnsRecords::Kind::no_name ? "no such name" : r.cause);
-  };
+namespace {
+
+void appendTrouble(std::string& trouble, const std::string& name, const DnsRecords& records) {
+  if (records.kind == DnsRecords::Kind::records)
+    return;
+  if (!trouble.empty())
+    trouble += "; ";
+  trouble += name + ": " + (records.kind == DnsRecords::Kind::no_name ? "no such name" : records.cause);
+}
+
+}  // namespace
+
+// The addresses of one type of a target that are allowed; those known before where the query for them failed.
+// `ttl` becomes the shortest of the answers that count.
+NameMemory::Addresses NameMemory::usableAddresses(const DnsTarget& target, const DnsRecords& records,
+                                                  const Addresses* known, Result& result, Micros& ttl) const {
+  if (records.kind == DnsRecords::Kind::failed)
+    return known ? *known : Addresses{};
+  if (!records.addresses.empty())
+    ttl = std::min(ttl, records.ttl);
+  Addresses usable;
+  for (const std::string& address : records.addresses) {
+    boost::system::error_code error;
+    const ip::address parsed = ip::make_address(address, error);
+    if (!error && networks_.allow(parsed))
+      usable.push_back(address);
+    else
+      result.forbidden.push_back(endpointText(address, target.port));
+  }
+  return usable;
+}
+
+std::map<NameMemory::Key, NameMemory::Target> NameMemory::readTargets(const DnsAnswer& answer, Result& result,
+                                                                      Micros& ttl) const {
+  std::map<Key, Target> targets;
+  for (const DnsTarget& target : answer.targets) {
+    const auto before = targets_.find({target.host, target.port});
+    const Target* known = before == targets_.end() ? nullptr : &before->second;
+    Target fresh;
+    fresh.priority = target.priority;
+    appendTrouble(result.trouble, target.host + " A", target.v4);
+    fresh.v4 = usableAddresses(target, target.v4, known ? &known->v4 : nullptr, result, ttl);
+    appendTrouble(result.trouble, target.host + " AAAA", target.v6);
+    fresh.v6 = usableAddresses(target, target.v6, known ? &known->v6 : nullptr, result, ttl);
+    targets[{target.host, target.port}] = std::move(fresh);
+  }
+  return targets;
+}
+
+void NameMemory::scheduleRetry(Micros now) {
+  query_ = now + retry_;
+  retry_ = std::min(2 * retry_, limits_.most_retry);
+}
+
+NameMemory::Result NameMemory::onAnswer(const DnsAnswer& answer, Micros now) {
+  Result result;
   Micros ttl = answer.ttl;
-  std::map<Key, Known> fresh;
+  std::map<Key, Target> fresh;
   if (answer.kind == DnsRecords::Kind::records) {
-    for (const DnsTarget& t : answer.targets) {
-      Known k;
-      k.priority = t.priority;
-      const auto before = targets_.find({t.host, t.port});
-      const auto part = [&](const DnsRecords& r, const Part* known, const char* type) {
-        Part p;
-        trouble(t.host + " " + type, r);
-        if (r.kind == DnsRecords::Kind::failed)
-          return known ? *known : p;
-        if (!r.addresses.empty())
-          ttl = std::min(ttl, r.ttl);
-        for (const std::string& a : r.addresses) {
-          boost::system::error_code e;
-          const ip::address parsed = ip::make_address(a, e);
-          if (!e && networks_.allow(parsed))
-            p.push_back(a);
-          else
-            heard.forbidden.push_back(endpointText(a, t.port));
-        }
-        return p;
-      };
-      const bool known = before != targets_.end();
-      k.v4 = part(t.v4, known ? &before->second.v4 : nullptr, "A");
-      k.v6 = part(t.v6, known ? &before->second.v6 : nullptr, "AAAA");
-      fresh[{t.host, t.port}] = std::move(k);
-    }
+    fresh = readTargets(answer, result, ttl);
   } else {
-    DnsRecords r;
-    r.kind = answer.kind;
-    r.cause = answer.cause;
-    trouble(spec_.srv, r);
+    DnsRecords failed;
+    failed.kind = answer.kind;
+    failed.cause = answer.cause;
+    appendTrouble(result.trouble, spec_.srv, failed);
   }
   const bool any = std::any_of(fresh.begin(), fresh.end(),
                                [](const auto& t) { return !t.second.v4.empty() || !t.second.v6.empty(); });
   if (!any) {
-    if (heard.trouble.empty())
-      heard.trouble = heard.forbidden.empty() ? "no address" : "no address that `allow` lets pass";
-    query_ = now + retry_;
-    retry_ = std::min(2 * retry_, limits_.most_retry);
+    if (result.trouble.empty())
+      result.trouble = result.forbidden.empty() ? "no address" : "no address that `allow` lets pass";
+    scheduleRetry(now);
     next_ = query_;
     for (const auto& [endpoint, until] : kept_until_)
       next_ = std::min(next_, until);
-    return heard;
+    return result;
   }
   targets_ = std::move(fresh);
   // A part that failed is asked again soon, though the others would have time.
-  if (!heard.trouble.empty()) {
-    query_ = now + retry_;
-    retry_ = std::min(2 * retry_, limits_.most_retry);
+  if (!result.trouble.empty()) {
+    scheduleRetry(now);
   } else {
     query_ = now + std::clamp(ttl, limits_.least_ttl, limits_.most_ttl);
     retry_ = limits_.least_retry;
   }
-  heard.changed = list(now);
+  result.changed = list(now);
   old_ = false;
-  return heard;
+  return result;
 }
 
 // Of the targets with the lowest priority that have an address (RFC 2782); the others stand by.
@@ -136,7 +156,7 @@
   for (const auto& [key, t] : targets_) {
     if (t.priority != best)
       continue;
-    for (const Part* p : {&t.v4, &t.v6})
+    for (const Addresses* p : {&t.v4, &t.v6})
       for (const std::string& a : *p)
         if (named.size() < limits_.most_addresses)
           named.insert(endpointText(a, key.second));
--- a/src/membership/name_memory.h
+++ b/src/membership/name_memory.h
@@ -70,12 +70,13 @@
 
   // What an earlier process knew: serves, marked as old, until an answer can be used.
   void adopt(const std::vector<std::string>& endpoints);
-  struct Heard {
+  // What came of an answer.
+  struct Result {
     bool changed = false;
     std::string trouble;                 // why an answer is not heeded, or only in part
     std::vector<std::string> forbidden;  // addresses that were ruled out
   };
-  Heard answered(const DnsAnswer& answer, Micros now);
+  Result onAnswer(const DnsAnswer& answer, Micros now);
   // What is known stays; a query that was due later than the new limits let it be comes with them.
   void setLimits(const DnsLimits& limits, Micros now);
   // Lets go of what `keep` held until now; true if that changes something.
@@ -88,18 +89,22 @@
   const NameSpec& spec() const { return spec_; }
 
  private:
-  using Part = std::vector<std::string>;    // addresses
+  using Addresses = std::vector<std::string>;
   using Key = std::pair<std::string, int>;  // host and port
-  struct Known {
+  struct Target {
     int priority = 0;
-    Part v4, v6;
+    Addresses v4, v6;
   };
+  Addresses usableAddresses(const DnsTarget& target, const DnsRecords& records, const Addresses* known,
+                            Result& result, Micros& ttl) const;
+  std::map<Key, Target> readTargets(const DnsAnswer& answer, Result& result, Micros& ttl) const;
+  void scheduleRetry(Micros now);
   bool list(Micros now);
 
   NameSpec spec_;
   DnsLimits limits_;
   Networks networks_;
-  std::map<Key, Known> targets_;
+  std::map<Key, Target> targets_;
   std::vector<std::string> endpoints_;
   std::map<std::string, Micros> kept_until_;  // endpoints that no answer names any more
   Micros query_ = 0, next_ = 0, retry_ = 0;
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -272,7 +272,7 @@
   Name& name = at->second;
   name.asking = false;
   --asking_;
-  const NameMemory::Heard h = name.memory.answered(answer, monotonicNow());
+  const NameMemory::Result h = name.memory.onAnswer(answer, monotonicNow());
   const std::string& asked = name.memory.spec().name();
   for (const std::string& f : h.forbidden)
     log::write(log::Event::membership_dns_forbidden,
--- a/src/membership/table.cpp
+++ b/src/membership/table.cpp
@@ -164,7 +164,7 @@
       by_address_[a].push_back(name);
 }
 
-void PartnerTable::told(const Conflict& c, Change& change) {
+void PartnerTable::reportConflict(const Conflict& c, Change& change) {
   if (conflicts_.insert(c.partner + "\n" + c.unit + "\n" + c.endpoint + "\n" + c.owner).second)
     change.conflicts.push_back(c);
 }
@@ -175,138 +175,155 @@
     it = conflicts_.erase(it);
 }
 
-// What the core has to hear of one partner.
-void PartnerTable::list(const std::string& name, Change& change) {
-  change.partners.push_back(name);
-  const auto at = in_force_.find(name);
+std::map<std::string, PartnerTable::Entry> PartnerTable::wantedEntries(const InForce& in_force,
+                                                                       Change& change) {
+  const Partner& partner = in_force.partner;
   std::map<std::string, Entry> wanted;
-  const std::string base = at == in_force_.end() ? base_[name] : at->second.partner.base();
-  const Partner* heir = at == in_force_.end() ? find(base) : nullptr;
+  for (const std::string& address : partner.endpoints) {
+    const std::string& owner = by_address_.at(address).front();
+    if (owner != partner.name) {
+      reportConflict({partner.name, in_force.unit, address, owner}, change);
+      continue;
+    }
+    forgetConflicts(partner.name + "\n" + in_force.unit + "\n" + address + "\n");
+    const bool draining =
+        std::find(partner.draining.begin(), partner.draining.end(), address) != partner.draining.end();
+    wanted[address] = {partner.number, partner.rate, draining, in_force.unit, partner.zoneOf(address)};
+  }
+  return wanted;
+}
+
+// An entry that is new, changed or (null) gone. `base`: the first part of its id; `name`: of the partner in
+// force.
+EndpointChange PartnerTable::endpointChange(const std::string& base, const std::string& name,
+                                            const std::string& address, const Entry* entry) {
+  EndpointChange change;
+  Endpoint& endpoint = change.entry.endpoint;
+  endpoint.id = base;
+  endpoint.id.append("@").append(address);
+  endpoint.kind = "partner";
+  change.entry.address = address;
+  if (!entry) {
+    endpoint.state = EndpointState::gone;
+    return change;
+  }
+  endpoint.zone = entry->zone;
+  endpoint.destination = entry->number;
+  endpoint.weight = entry->rate;
+  endpoint.state = entry->draining ? EndpointState::draining : EndpointState::ready;
+  json stored{{"name", endpoint.id},    {"address", address},
+              {"zone", entry->zone},    {"type", "partner"},
+              {"group", entry->number}, {"status", entry->draining ? "Terminating" : "Ready"},
+              {"weight", entry->rate},  {"unit", entry->unit},
+              {"partner", name}};
+  if (base != name)
+    stored["formerly"] = base;
+  change.text = stored.dump(-1, ' ', false, json::error_handler_t::replace);
+  return change;
+}
+
+// Adds to `change` what of one partner's endpoints is other than the core knows it.
+void PartnerTable::appendEndpointChanges(const std::string& name, Change& change) {
+  change.partners.push_back(name);
+  const auto in_force = in_force_.find(name);
+  const bool exists = in_force != in_force_.end();
+  const std::string base = exists ? in_force->second.partner.base() : base_[name];
+  const Partner* heir = exists ? nullptr : find(base);
   if (heir && heir->base() == base) {  // renamed: what the core knows is its heir's
     base_.erase(name);
     return;
   }
-  if (at != in_force_.end()) {
-    const Partner& p = at->second.partner;
-    for (const std::string& a : p.endpoints) {
-      const std::string& owner = by_address_.at(a).front();
-      if (owner != name) {
-        told({name, at->second.unit, a, owner}, change);
-        continue;
-      }
-      forgetConflicts(name + "\n" + at->second.unit + "\n" + a + "\n");
-      const bool drains = std::find(p.draining.begin(), p.draining.end(), a) != p.draining.end();
-      wanted[a] = {p.number, p.rate, drains, at->second.unit, p.zoneOf(a)};
-    }
+  std::map<std::string, Entry> wanted;
+  if (exists) {
+    wanted = wantedEntries(in_force->second, change);
     base_[name] = base;
   } else {
     base_.erase(name);
   }
-  std::map<std::string, Entry>& had = listed_[base];
-  const auto tell = [&](const std::string& address, const Entry* e) {
-    EndpointChange c;
-    c.entry.endpoint.id = base + "@" + address;
-    c.entry.endpoint.kind = "partner";
-    c.entry.address = address;
-    if (!e) {
-      c.entry.endpoint.state = EndpointState::gone;
-      return change.entries.push_back(std::move(c));
-    }
-    c.entry.endpoint.zone = e->zone;
-    c.entry.endpoint.destination = e->number;
-    c.entry.endpoint.weight = e->rate;
-    c.entry.endpoint.state = e->draining ? EndpointState::draining : EndpointState::ready;
-    json kept{{"name", c.entry.endpoint.id},
-              {"address", address},
-              {"zone", e->zone},
-              {"type", "partner"},
-              {"group", e->number},
-              {"status", e->draining ? "Terminating" : "Ready"},
-              {"weight", e->rate},
-              {"unit", e->unit},
-              {"partner", name}};
-    if (base != name)
-      kept["formerly"] = base;
-    c.text = kept.dump(-1, ' ', false, json::error_handler_t::replace);
-    change.entries.push_back(std::move(c));
-  };
-  for (const auto& [address, e] : had)
+  std::map<std::string, Entry>& listed = listed_[base];
+  for (const auto& [address, entry] : listed)
     if (!wanted.count(address)) {
-      tell(address, nullptr);
+      change.entries.push_back(endpointChange(base, name, address, nullptr));
       --endpoints_;
     }
-  for (const auto& [address, e] : wanted) {
-    const auto before = had.find(address);
-    if (before != had.end() && before->second == e)
+  for (const auto& [address, entry] : wanted) {
+    const auto before = listed.find(address);
+    if (before != listed.end() && before->second == entry)
       continue;
-    if (before == had.end())
+    if (before == listed.end())
       ++endpoints_;
-    tell(address, &e);
+    change.entries.push_back(endpointChange(base, name, address, &entry));
   }
   if (wanted.empty())
     listed_.erase(base);
   else
-    had = std::move(wanted);
+    listed = std::move(wanted);
 }
 
-PartnerTable::Change PartnerTable::take() {
-  Change change;
-  // What is given up first: names, numbers and addresses that others take over in the same change.
+// Takes the unsettled partners out of force, so that others can take over their names, numbers and addresses
+// in the same change. Gives the partners to settle: those that were in force first, to keep their numbers if
+// they still want them, then the new ones, then those that waited for a number that is free now.
+std::vector<std::string> PartnerTable::releaseUnsettled() {
   const std::set<std::string> unsettled = std::move(unsettled_);
   unsettled_.clear();
-  std::set<std::int64_t> freed;
-  std::set<std::string> were;
-  std::vector<std::string> todo;  // those that were in force keep their numbers, if they still want them
+  std::set<std::int64_t> freed_numbers;
+  std::set<std::string> were_in_force;
+  std::vector<std::string> to_settle;
   for (const std::string& name : unsettled) {
-    const auto at = in_force_.find(name);
-    if (at == in_force_.end())
+    const auto in_force = in_force_.find(name);
+    if (in_force == in_force_.end())
       continue;
-    freed.insert(at->second.partner.number);
-    todo.push_back(name);
-    were.insert(name);
+    freed_numbers.insert(in_force->second.partner.number);
+    to_settle.push_back(name);
+    were_in_force.insert(name);
     drop(name);
   }
   for (const std::string& name : unsettled)
-    if (!were.count(name))
-      todo.push_back(name);
-  // Those that wait for a number that is free now; there are few numbers that two names share.
-  for (const std::int64_t n : freed)
-    if (const auto line = waiting_.find(n); line != waiting_.end()) {
-      todo.insert(todo.end(), line->second.begin(), line->second.end());
-      waiting_.erase(line);
-    }
-  for (const std::string& name : todo) {
-    settle(name);
-    const auto claims = by_name_.find(name);
-    if (claims == by_name_.end()) {
-      resolved_.erase(name);
-      forgetConflicts(name + "\n");
-      continue;
-    }
-    const std::string& owner = claims->second.front();
-    for (std::size_t i = 1; i < claims->second.size(); ++i)
-      told({name, claims->second[i], "", owner}, change);
-    if (!in_force_.count(name)) {
-      const std::int64_t number = declared(owner, name)->number;
-      waiting_[number].insert(name);
-      told({name, owner, "", by_number_.at(number)}, change);
+    if (!were_in_force.count(name))
+      to_settle.push_back(name);
+  for (const std::int64_t number : freed_numbers)
+    if (const auto waiting = waiting_.find(number); waiting != waiting_.end()) {
+      to_settle.insert(to_settle.end(), waiting->second.begin(), waiting->second.end());
+      waiting_.erase(waiting);
     }
+  return to_settle;
+}
+
+// Puts the partner in force, or reports whose its name or number is.
+void PartnerTable::settleOrReport(const std::string& name, Change& change) {
+  settle(name);
+  const auto claims = by_name_.find(name);
+  if (claims == by_name_.end()) {
+    resolved_.erase(name);
+    forgetConflicts(name + "\n");
+    return;
   }
+  const std::string& owner = claims->second.front();
+  for (std::size_t i = 1; i < claims->second.size(); ++i)
+    reportConflict({name, claims->second[i], "", owner}, change);
+  if (in_force_.count(name))
+    return;
+  const std::int64_t number = declared(owner, name)->number;
+  waiting_[number].insert(name);
+  reportConflict({name, owner, "", by_number_.at(number)}, change);
+}
+
+PartnerTable::Change PartnerTable::take() {
+  Change change;
+  for (const std::string& name : releaseUnsettled())
+    settleOrReport(name, change);
   const std::set<std::string> touched = dirty_;
-  const auto gives = [&](const std::string& name) { return !in_force_.count(name); };
   for (const std::string& name : touched)
     releaseAddresses(name);  // all before any is claimed: a partner that is split in two is no conflict
   for (const std::string& name : touched)
     claimAddresses(name);
   const std::set<std::string> dirty = std::move(dirty_);
   dirty_.clear();
-  // A partner that goes and one that takes its base name over: the one that goes is heard first.
-  for (const std::string& name : dirty)
-    if (gives(name))
-      list(name, change);
-  for (const std::string& name : dirty)
-    if (!gives(name))
-      list(name, change);
+  // Where one partner goes and another takes its base name over, the core is to see the one that goes first.
+  for (const bool in_force : {false, true})
+    for (const std::string& name : dirty)
+      if ((in_force_.count(name) > 0) == in_force)
+        appendEndpointChanges(name, change);
   return change;
 }
 
--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -67,9 +67,14 @@
   void drop(const std::string& name);
   void releaseAddresses(const std::string& name);
   void claimAddresses(const std::string& name);
-  void list(const std::string& name, Change& change);
+  std::map<std::string, Entry> wantedEntries(const InForce& in_force, Change& change);
+  static EndpointChange endpointChange(const std::string& base, const std::string& name,
+                                       const std::string& address, const Entry* entry);
+  void appendEndpointChanges(const std::string& name, Change& change);
+  std::vector<std::string> releaseUnsettled();
+  void settleOrReport(const std::string& name, Change& change);
   std::set<std::string> wanted(const std::string& name) const;
-  void told(const Conflict& c, Change& change);
+  void reportConflict(const Conflict& conflict, Change& change);
   void forgetConflicts(const std::string& prefix);
 
   std::map<std::string, std::map<std::string, Partner>> units_;
--- a/src/replay/losses.cpp
+++ b/src/replay/losses.cpp
@@ -251,6 +251,7 @@
 template <class Map>
 auto mostFirst(const Map& map) {
   std::vector<std::pair<typename Map::key_type, const Loss*>> all;
+  all.reserve(map.size());
   for (const auto& [key, l] : map)
     all.emplace_back(key, &l);
   std::stable_sort(all.begin(), all.end(),
@@ -304,10 +305,9 @@
         << std::setw(10) << std::fixed << std::setprecision(1) << x.worth << std::setw(7)
         << (l.worth > 0 ? 100 * x.worth / l.worth : 0) << " %" << std::setw(8) << x.ailing << std::setw(12)
         << x.started;
-    for (std::size_t i = 0; i < kParts; ++i)
+    for (const Micros part : x.parts)
       out << std::setw(9) << std::setprecision(0)
-          << static_cast<double>(x.parts[i]) / 1000 /
-                 static_cast<double>(std::max<std::size_t>(1, x.messages));
+          << static_cast<double>(part) / 1000 / static_cast<double>(std::max<std::size_t>(1, x.messages));
     out << '\n';
   };
   out << l.messages << " messages in " << l.runs << " runs, " << l.in_time << " in time; worth " << std::fixed
--- a/tests/membership/name_memory_test.cpp
+++ b/tests/membership/name_memory_test.cpp
@@ -38,27 +38,27 @@
 TEST(NameMemory, FollowsItsAnswersAndTheirTtl) {
   NameMemory m(host(), {});
   EXPECT_EQ(m.nextLook(), 0);
-  EXPECT_TRUE(m.answered(answer(records({"10.0.0.2", "10.0.0.1"})), 5 * kS).changed);
+  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2", "10.0.0.1"})), 5 * kS).changed);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
   EXPECT_EQ(m.nextQuery(), 15 * kS);
-  EXPECT_FALSE(m.answered(answer(records({"10.0.0.1", "10.0.0.2"})), 15 * kS).changed);
-  EXPECT_TRUE(m.answered(answer(records({"10.0.0.9"})), 20 * kS).changed);  // all at once, down to one
+  EXPECT_FALSE(m.onAnswer(answer(records({"10.0.0.1", "10.0.0.2"})), 15 * kS).changed);
+  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.9"})), 20 * kS).changed);  // all at once, down to one
   EXPECT_EQ(m.endpoints(), All{"10.0.0.9:80"});
-  m.answered(answer(records({"10.0.0.9"}, 0)), 30 * kS);
+  m.onAnswer(answer(records({"10.0.0.9"}, 0)), 30 * kS);
   EXPECT_EQ(m.nextQuery(), 31 * kS);  // a TTL of 0 is one second
-  m.answered(answer(records({"10.0.0.9"}, 1000'000 * kS)), 40 * kS);
+  m.onAnswer(answer(records({"10.0.0.9"}, 1000'000 * kS)), 40 * kS);
   EXPECT_EQ(m.nextQuery(), 40 * kS + 3600 * kS);
 }
 
 // Risk: a name server's bad minute takes a partner off the list.
 TEST(NameMemory, NothingEmptiesIt) {
   NameMemory m(host(), {});
-  m.answered(answer(records({"10.0.0.1"})), 0);
+  m.onAnswer(answer(records({"10.0.0.1"})), 0);
   Micros now = 10 * kS, pause = 0;
   for (const DestinationKind k :
        {DestinationKind::no_name, DestinationKind::failed, DestinationKind::records, DestinationKind::no_name,
         DestinationKind::failed, DestinationKind::failed, DestinationKind::failed}) {
-    const auto h = m.answered(answer(none(k), none(k)), now);
+    const auto h = m.onAnswer(answer(none(k), none(k)), now);
     EXPECT_FALSE(h.changed);
     EXPECT_NE(h.trouble, "");
     EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
@@ -67,21 +67,21 @@
     now = m.nextQuery();
   }
   EXPECT_EQ(pause, 30 * kS);
-  EXPECT_TRUE(m.answered(answer(records({"10.0.0.2"})), now).changed);
-  m.answered(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
+  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2"})), now).changed);
+  m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
   EXPECT_EQ(m.nextQuery(), now + kS);  // quick again
 }
 
 TEST(NameMemory, AFamilyThatFailsTakesTheOtherAlongOrNothing) {
   NameMemory m(host(), {});
-  m.answered(answer(records({"10.0.0.1"}), records({"2001:db8::1"})), 0);
+  m.onAnswer(answer(records({"10.0.0.1"}), records({"2001:db8::1"})), 0);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "[2001:db8::1]:80"}));
-  const auto h = m.answered(answer(records({"10.0.0.2"}), none(DestinationKind::failed)), kS);
+  const auto h = m.onAnswer(answer(records({"10.0.0.2"}), none(DestinationKind::failed)), kS);
   EXPECT_TRUE(h.changed);
   EXPECT_NE(h.trouble.find("AAAA: timed out"), std::string::npos) << h.trouble;
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.2:80", "[2001:db8::1]:80"}));
   EXPECT_EQ(m.nextQuery(), 2 * kS);  // the part that failed is not left for its TTL
-  m.answered(answer(records({"10.0.0.2"}), records({})),
+  m.onAnswer(answer(records({"10.0.0.2"}), records({})),
              2 * kS);  // there is none any more: that is an answer
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:80"});
 }
@@ -90,18 +90,18 @@
   NameSpec s = host();
   s.allow = {"10.0.0.0/8", "2001:db8::/32"};
   NameMemory m(s, {});
-  auto h = m.answered(answer(records({"10.255.255.255", "10.0.0.0", "11.0.0.1", "192.168.1.1"}),
+  auto h = m.onAnswer(answer(records({"10.255.255.255", "10.0.0.0", "11.0.0.1", "192.168.1.1"}),
                              records({"2001:db9::1", "2001:db8::5"})),
                       0);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.0:80", "10.255.255.255:80", "[2001:db8::5]:80"}));
   EXPECT_EQ(h.forbidden, (All{"11.0.0.1:80", "192.168.1.1:80", "[2001:db9::1]:80"}));
-  h = m.answered(answer(records({"11.0.0.1"})), kS);
+  h = m.onAnswer(answer(records({"11.0.0.1"})), kS);
   EXPECT_FALSE(h.changed);
   EXPECT_NE(h.trouble.find("allow"), std::string::npos);
   EXPECT_EQ(m.endpoints().size(), 3u);
   NameMemory any(host(), {});  // what no host can have is never listed
   EXPECT_EQ(
-      any.answered(answer(records({"0.0.0.0", "224.0.0.1", "255.255.255.255"}), records({"::", "ff02::1"})),
+      any.onAnswer(answer(records({"0.0.0.0", "224.0.0.1", "255.255.255.255"}), records({"::", "ff02::1"})),
                    0)
           .forbidden.size(),
       5u);
@@ -118,21 +118,21 @@
   a.targets = {{"a.test", 1, 10, records({"10.0.0.1"}), records({})},
                {"b.test", 2, 10, records({"10.0.0.2"}), records({})},
                {"c.test", 3, 20, records({"10.0.0.3"}), records({})}};
-  m.answered(a, 0);
+  m.onAnswer(a, 0);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:1", "10.0.0.2:2"}));
   EXPECT_EQ(m.nextQuery(), 7 * kS);
   a.targets[0].v4 = records({});
   a.targets[1].v4 = none(DestinationKind::no_name);
-  m.answered(a, kS);
+  m.onAnswer(a, kS);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.3:3"});
   a.targets[0].v4 = none(DestinationKind::failed);  // what it had was nothing
   a.targets[1].v4 = records({"10.0.0.2"});
-  m.answered(a, 2 * kS);
+  m.onAnswer(a, 2 * kS);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:2"});
   DnsAnswer lost;
   lost.kind = DestinationKind::failed;
   lost.cause = "timed out";
-  EXPECT_FALSE(m.answered(lost, 3 * kS).changed);
+  EXPECT_FALSE(m.onAnswer(lost, 3 * kS).changed);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:2"});
 }
 
@@ -141,11 +141,11 @@
   NameSpec s = host();
   s.keep = 30 * kS;
   NameMemory m(s, {});
-  m.answered(answer(records({"10.0.0.1"})), 0);
-  m.answered(answer(records({"10.0.0.2"})), 10 * kS);
+  m.onAnswer(answer(records({"10.0.0.1"})), 0);
+  m.onAnswer(answer(records({"10.0.0.2"})), 10 * kS);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
-  m.answered(answer(records({"10.0.0.1"})), 20 * kS);
-  m.answered(answer(records({"10.0.0.1"}, 600 * kS)), 30 * kS);
+  m.onAnswer(answer(records({"10.0.0.1"})), 20 * kS);
+  m.onAnswer(answer(records({"10.0.0.1"}, 600 * kS)), 30 * kS);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
   EXPECT_EQ(m.nextLook(), 50 * kS);
   EXPECT_FALSE(m.expire(49 * kS));
@@ -159,11 +159,11 @@
   m.adopt({"10.0.0.7:80"});
   EXPECT_TRUE(m.old());
   for (Micros now = 0; now < 3600 * kS; now = m.nextQuery()) {  // silent for an hour
-    m.answered(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
+    m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
     ASSERT_EQ(m.endpoints(), All{"10.0.0.7:80"});
     ASSERT_TRUE(m.old());
   }
-  EXPECT_TRUE(m.answered(answer(records({"10.0.0.1"})), 3600 * kS).changed);
+  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.1"})), 3600 * kS).changed);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
   EXPECT_FALSE(m.old());
 }
@@ -173,14 +173,14 @@
   for (int i = 0; i < 200; ++i)
     many.push_back("10.0.1." + std::to_string(i));
   NameMemory m(host(), {});
-  m.answered(answer(records(many)), 0);
+  m.onAnswer(answer(records(many)), 0);
   EXPECT_EQ(m.endpoints().size(), DnsLimits{}.most_addresses);
 }
 
 // A TTL of hours must not outlast a limit that was lowered meanwhile; what is known serves on.
 TEST(NameMemory, LimitsThatChangeHoldForWhatIsKnownAlready) {
   NameMemory m(host(), {});
-  m.answered(answer(records({"127.0.0.1"}, 3000 * kS)), 0);
+  m.onAnswer(answer(records({"127.0.0.1"}, 3000 * kS)), 0);
   EXPECT_EQ(m.nextQuery(), 3000 * kS);
   DnsLimits less;
   less.most_ttl = 5 * kS;
@@ -189,7 +189,7 @@
   EXPECT_EQ(m.nextQuery(), 6 * kS);
   EXPECT_EQ(m.nextLook(), 6 * kS);
   EXPECT_EQ(m.endpoints().size(), 1u);
-  m.answered(answer(records({"127.0.0.1"}, 3000 * kS)), 6 * kS);
+  m.onAnswer(answer(records({"127.0.0.1"}, 3000 * kS)), 6 * kS);
   EXPECT_EQ(m.nextQuery(), 11 * kS);
 }
 
