--- a/src/daemon/fleet_membership.cpp
+++ b/src/daemon/fleet_membership.cpp
@@ -49,7 +49,7 @@
   sender.list_version = list_version_;
   sender.catch_up = [this](const std::vector<fleet::MissingRequirement>& lacks) {
     const bool list = std::any_of(lacks.begin(), lacks.end(), [](const fleet::MissingRequirement& l) {
-      return l.kind == fleet::MissingRequirement::Kind::listPrefix;
+      return l.kind == fleet::MissingRequirement::Kind::list_version;
     });
     catch_up_(list);
   };
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -174,7 +174,7 @@
     propose->add_option("--settings", change.settings, "a digest; '' for any");
     propose->add_option("--daemon-file", change.daemon, "a digest; '' for any");
     propose->add_option("--program", change.program, "the least version; '' for any");
-    propose->add_option("--list", change.listPrefix, "the least version of the list of endpoints");
+    propose->add_option("--list", change.list_version, "the least version of the list of endpoints");
     propose->add_option("--mode", strictness, "strict: a sender whose lease has ended stops")
         ->check(CLI::IsMember({"strict", "lenient"}));
     propose->add_option("--lease", lease_s, "seconds that a sender acts on one read")
--- a/src/fleet/command.cpp
+++ b/src/fleet/command.cpp
@@ -84,8 +84,8 @@
   add("program", n.program);
   add("settings", n.settings);
   add("daemon file", n.daemon);
-  if (n.listPrefix >= 0)
-    add("list", std::to_string(n.listPrefix));
+  if (n.list_version >= 0)
+    add("list", std::to_string(n.list_version));
   return all.empty() ? "nothing" : all;
 }
 
@@ -258,8 +258,8 @@
     next.requirements.daemon = *c.daemon;
   if (c.program)
     next.requirements.program = *c.program;
-  if (c.listPrefix)
-    next.requirements.listPrefix = *c.listPrefix;
+  if (c.list_version)
+    next.requirements.list_version = *c.list_version;
   return put(where, k, next);
 }
 
--- a/src/fleet/command.h
+++ b/src/fleet/command.h
@@ -17,7 +17,7 @@
 struct Change {
   std::string by, why;
   std::optional<std::string> settings, daemon, program;  // digests and version; empty: whatever a sender has
-  std::optional<std::int64_t> listPrefix;
+  std::optional<std::int64_t> list_version;
   std::string like;  // asks for what this sender acts by
   std::optional<bool> strict;
   std::optional<Micros> lease, binds_after;
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -256,9 +256,9 @@
   if (released_)
     return;
   const RunningVersions now = runningVersions();
-  if (compliance_.due(now, boottimeNow()))
+  if (compliance_.shouldAdopt(now, boottimeNow()))
     adoptPlan();
-  const PlanCompliance::Decision v = compliance_.at(boottimeNow(), now);
+  const PlanCompliance::Decision v = compliance_.evaluate(boottimeNow(), now);
   allowed_until_ = v.until;
   applyZoneStates();
   if (!allowed_reported_ || v.allowed != allowed_) {
@@ -279,15 +279,15 @@
     kind_ = v.compliance;
     reason_ = why;
     log::write(log::Event::fleet_compliance_changed,
-               {{"standing", nameOf(kind_)}, {"plan", compliance_.acting().number}, {"why", reason_}});
+               {{"standing", toString(kind_)}, {"plan", compliance_.acting().number}, {"why", reason_}});
     writeAuditRecord(
-        {{"kind", "standing"}, {"standing", nameOf(kind_)}, {"why", reason_}, {"own", toJson(now)}});
+        {{"kind", "standing"}, {"standing", toString(kind_)}, {"why", reason_}, {"own", toJson(now)}});
   }
   publishReport();
   const auto missing = compliance_.missingFor(now);
   const bool here = std::any_of(missing.begin(), missing.end(), [](const MissingRequirement& l) {
     return l.kind == MissingRequirement::Kind::settings || l.kind == MissingRequirement::Kind::daemon ||
-           l.kind == MissingRequirement::Kind::listPrefix;
+           l.kind == MissingRequirement::Kind::list_version;
   });
   if (here && !bringing_) {
     bringing_ = true;
@@ -322,7 +322,7 @@
       if (plan.number != compliance_.newest().number &&
           !missingRequirements(runningVersions(), plan, spec_.name).empty())
         return;
-      compliance_.takenOver(plan);
+      compliance_.onPlanAdopted(plan);
       refused_.clear();
       writeAuditRecord({{"kind", "taken over"}, {"plan", plan.number}, {"own", toJson(runningVersions())}});
       updateCompliance();
@@ -405,7 +405,7 @@
 // By the plan that it acts under; but a zone that a newer one leaves is left, whatever else that one asks
 // for.
 void FleetMember::applyZoneStates() {
-  zone_traffic_.setLeaseValid(compliance_.leased(boottimeNow()));
+  zone_traffic_.setLeaseValid(compliance_.hasValidLease(boottimeNow()));
   zones::ZoneStates now = compliance_.acting().zones;
   for (const auto& [zone, s] : compliance_.newest().zones)
     if (s.phase == zones::ZonePhase::evacuated)
@@ -555,7 +555,7 @@
 SenderReport FleetMember::report() const {
   SenderReport r;
   r.name = spec_.name;
-  r.compliance = nameOf(kind_);
+  r.compliance = toString(kind_);
   r.reason = reason_;
   r.host = hostName();
   r.versions = runningVersions();
--- a/src/fleet/plan.cpp
+++ b/src/fleet/plan.cpp
@@ -19,8 +19,8 @@
     o["daemon"] = n.daemon;
   if (!n.program.empty())
     o["program"] = n.program;
-  if (n.listPrefix >= 0)
-    o["list"] = n.listPrefix;
+  if (n.list_version >= 0)
+    o["list"] = n.list_version;
   return o;
 }
 
@@ -30,7 +30,7 @@
   n.daemon = text(o, "daemon", "");
   n.program = text(o, "program", "");
   if (!absent(o, "list"))
-    n.listPrefix = integer(o, "list");
+    n.list_version = integer(o, "list");
   for (const auto& [key, value] : o.items())
     if (key != "settings" && key != "daemon" && key != "program" && key != "list")
       unknown.push_back(path + "." + key);
@@ -193,9 +193,10 @@
     add(MissingRequirement::Kind::settings, "settings " + own.settings + ", " + n.settings + " is asked for");
   if (!n.daemon.empty() && n.daemon != own.daemon)
     add(MissingRequirement::Kind::daemon, "daemon file " + own.daemon + ", " + n.daemon + " is asked for");
-  if (n.listPrefix > own.list_version)
-    add(MissingRequirement::Kind::listPrefix, "list " + std::to_string(own.list_version) + ", " +
-                                                  std::to_string(n.listPrefix) + " or newer is asked for");
+  if (n.list_version > own.list_version)
+    add(MissingRequirement::Kind::list_version, "list " + std::to_string(own.list_version) + ", " +
+                                                    std::to_string(n.list_version) +
+                                                    " or newer is asked for");
   return all;
 }
 
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -17,9 +17,9 @@
 
 // What a sender has to run to act under a plan. Empty or -1: whatever it has.
 struct PlanRequirements {
-  std::string settings, daemon;  // digests
-  std::string program;           // the least version of it, as 0.4.0
-  std::int64_t listPrefix = -1;  // the least version of the list
+  std::string settings, daemon;    // digests
+  std::string program;             // the least version of it, as 0.4.0
+  std::int64_t list_version = -1;  // the least version of the list
 };
 
 struct Plan {
@@ -69,7 +69,7 @@
 
 // What it lacks to act under the plan, a line each: nothing if it can.
 struct MissingRequirement {
-  enum class Kind { program, settings, daemon, listPrefix, field, word } kind;
+  enum class Kind { program, settings, daemon, list_version, field, word } kind;
   std::string description;
 };
 std::vector<MissingRequirement> missingRequirements(const RunningVersions& own, const Plan& plan,
--- /dev/null
+++ b/src/zones/regions.cpp
@@ -0,0 +1,33 @@
+#include "regions.h"
+
+namespace grademux::zones {
+
+bool Regions::contains(const std::string& zone) const {
+  return region_by_zone.count(zone) > 0;
+}
+
+const std::string& Regions::regionOf(const std::string& zone) const {
+  const auto found = region_by_zone.find(zone);
+  return found == region_by_zone.end() ? zone : found->second;
+}
+
+bool Regions::sameRegion(const std::string& zone, const std::string& other_zone) const {
+  return regionOf(zone) == regionOf(other_zone);
+}
+
+bool Regions::areStandbys(const std::string& zone, const std::string& other_zone) const {
+  const std::string& region = regionOf(zone);
+  const std::string& other_region = regionOf(other_zone);
+  return isStandbyOf(region, other_region) || isStandbyOf(other_region, region);
+}
+
+bool Regions::operator==(const Regions& other) const {
+  return region_by_zone == other.region_by_zone && stand_by == other.stand_by;
+}
+
+bool Regions::isStandbyOf(const std::string& region, const std::string& standby) const {
+  const auto found = stand_by.find(region);
+  return found != stand_by.end() && found->second == standby;
+}
+
+}  // namespace grademux::zones
--- a/src/zones/regions.h
+++ b/src/zones/regions.h
@@ -1,5 +1,5 @@
-// grademux zones: which zones make up a region, and which region takes over another's load. Data alone, from
-// the daemon file; without any each zone is a region of its own, and nobody stands by.
+// Regions of zones, as the daemon file configures them. Without configuration each zone is a region of its
+// own and no region has a standby. Plain data: safe to copy, no thread rule.
 #pragma once
 
 #include <map>
@@ -7,31 +7,23 @@
 
 namespace grademux::zones {
 
+/// Which zones make up a region, and which region takes over another region's load.
 struct Regions {
-  std::map<std::string, std::string> region_by_zone;  // by zone
-  std::map<std::string, std::string> stand_by;        // by region: the one that takes its load over
+  std::map<std::string, std::string> region_by_zone;
+  std::map<std::string, std::string> stand_by;  ///< Region -> the region that takes its load over.
 
   bool empty() const { return region_by_zone.empty(); }
-  bool contains(const std::string& zone) const { return region_by_zone.count(zone) > 0; }
-  const std::string& regionOf(const std::string& zone) const {
-    const auto at = region_by_zone.find(zone);
-    return at == region_by_zone.end() ? zone : at->second;
-  }
-  bool sameRegion(const std::string& a, const std::string& b) const { return regionOf(a) == regionOf(b); }
-  // One region's load goes to the other's: both must not be away at once.
-  bool areStandbys(const std::string& a, const std::string& b) const {
-    const std::string &x = regionOf(a), &y = regionOf(b);
-    return standsBy(x, y) || standsBy(y, x);
-  }
-  bool operator==(const Regions& o) const {
-    return region_by_zone == o.region_by_zone && stand_by == o.stand_by;
-  }
+  /// Whether the configuration names a region for this zone.
+  bool contains(const std::string& zone) const;
+  /// The region of the zone; the zone's own name if it is not configured.
+  const std::string& regionOf(const std::string& zone) const;
+  bool sameRegion(const std::string& zone, const std::string& other_zone) const;
+  /// Whether one zone's region is the standby of the other's: both must not be evacuated at the same time.
+  bool areStandbys(const std::string& zone, const std::string& other_zone) const;
+  bool operator==(const Regions& other) const;
 
  private:
-  bool standsBy(const std::string& region, const std::string& other) const {
-    const auto at = stand_by.find(region);
-    return at != stand_by.end() && at->second == other;
-  }
+  bool isStandbyOf(const std::string& region, const std::string& standby) const;
 };
 
 }  // namespace grademux::zones
--- a/src/zones/token_bucket.h
+++ b/src/zones/token_bucket.h
@@ -1,9 +1,9 @@
-// grademux zones: how much of what it used to send a sender may send to one endpoint of a zone that is on its
-// way back. No I/O, no clock.
+// Token bucket that limits how many attempts a sender may start to one endpoint of a recovering zone. No I/O
+// and no clock: times are microseconds of one monotonic clock. Used on the loop thread only.
 //
-// Each sender's part is a share of its own usual calls, kept from before the zone was left. The parts of all
-// add up to that share of what the endpoint used to get, whoever dies, joins or stands still: nobody's part
-// is given to another, and who has none on record sends nothing before the zone is in.
+// The rate is a fraction of the sender's own baseline, measured before the zone was evacuated. The rates of
+// all senders add up to that fraction of the endpoint's baseline: the quota of a sender that stops is not
+// given to another, and a sender without a baseline sends nothing before the zone is active.
 #pragma once
 
 #include <algorithm>
@@ -12,39 +12,42 @@
 
 namespace grademux::zones {
 
+/// Refills at a fixed rate; holds at most a tenth of a second's tokens, but at least one.
 class TokenBucket {
  public:
-  // Calls a second, from now on.
+  /// Sets the rate in attempts per second, from `now` on.
   void setRate(Micros now, double rate) {
     refill(now);
     rate_ = rate;
     tokens_ = std::min(tokens_, capacity());
   }
-  // Whether the module is to see the endpoint as ready.
   bool hasToken(Micros now) {
     refill(now);
     return tokens_ >= 1;
   }
-  // A call begins; false: it may not.
+  /// Takes a token for one attempt. Returns false if there is none.
   bool takeToken(Micros now) {
     if (!hasToken(now))
       return false;
     tokens_ -= 1;
     return true;
   }
+  /// Attempts per second.
   double rate() const { return rate_; }
 
  private:
-  // Of a span of a tenth of a second at most, and one call.
-  double capacity() const { return std::max(1.0, rate_ / 10); }
+  static constexpr double kBurstsPerSecond = 10;
+  double capacity() const { return std::max(1.0, rate_ / kBurstsPerSecond); }
   void refill(Micros now) {
-    if (now > at_) {
-      tokens_ = std::min(capacity(), tokens_ + rate_ * static_cast<double>(now - at_) / 1e6);
-      at_ = now;
-    }
+    if (now <= refilled_at_)
+      return;
+    tokens_ = std::min(capacity(), tokens_ + rate_ * static_cast<double>(now - refilled_at_) / 1e6);
+    refilled_at_ = now;
   }
-  double rate_ = 0, tokens_ = 0;
-  Micros at_ = 0;
+
+  double rate_ = 0;
+  double tokens_ = 0;
+  Micros refilled_at_ = 0;
 };
 
 }  // namespace grademux::zones
--- /dev/null
+++ b/src/zones/traffic_baseline.h
@@ -0,0 +1,62 @@
+// Baseline traffic of one sender: how much it sent to the endpoints of a zone before the zone was evacuated.
+// Each recovery stage allows a fraction of it. Stored in the sender's own folder, because no other sender has
+// it. Plain data and its JSON form: no thread rule.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+
+#include "../core/json_fields.h"
+
+namespace grademux::zones {
+
+/// What one endpoint received from this sender.
+struct BaselineRate {
+  std::int64_t destination = 0;
+  double rate = 0;  ///< Delivered messages per second.
+
+  bool operator==(const BaselineRate& other) const {
+    return destination == other.destination && rate == other.rate;
+  }
+};
+using EndpointRates = std::map<std::string, BaselineRate>;  // by endpoint id
+
+/// Baselines of all zones that are not active.
+struct TrafficBaseline {
+  std::map<std::string, EndpointRates> by_zone;
+
+  bool empty() const { return by_zone.empty(); }
+  /// The zone must have a baseline.
+  const EndpointRates& at(const std::string& zone) const { return by_zone.at(zone); }
+  bool operator==(const TrafficBaseline& other) const { return by_zone == other.by_zone; }
+};
+
+/// The stored form: zone -> endpoint id -> [destination, rate].
+json toJson(const TrafficBaseline& baseline);
+/// Throws BadInput that names the wrong field.
+TrafficBaseline parseTrafficBaseline(const json& object);
+
+/// The baseline of one zone, with the averages for endpoints that were listed later.
+class ZoneBaseline {
+ public:
+  /// Rates of 0 are left out.
+  void add(const std::string& endpoint, const BaselineRate& baseline);
+
+  const EndpointRates& endpoints() const { return endpoints_; }
+  /// Messages per second to the whole zone.
+  double totalRate() const { return total_rate_; }
+  /// Fraction of the endpoint's own baseline; of the average of its destination if it has none.
+  double fractionOfRate(double fraction, const std::string& endpoint, std::int64_t destination) const;
+
+ private:
+  struct DestinationTotal {
+    double rate = 0;
+    int endpoint_count = 0;
+  };
+  EndpointRates endpoints_;
+  std::map<std::int64_t, DestinationTotal> destinations_;
+  double total_rate_ = 0;
+};
+
+}  // namespace grademux::zones
--- a/src/zones/zone_state.h
+++ b/src/zones/zone_state.h
@@ -1,5 +1,5 @@
-// grademux zones: how the whole fleet stands to a zone, as its plan has it, and what a sender tells of what
-// it saw there. Data and its JSON form. docs/design/zones.md has the rules that follow from it.
+// Zone states in the plan, one sender's vote on a zone, and the JSON form of both. Plain data: no thread
+// rule. docs/design/zones.md has the rules by which states change.
 #pragma once
 
 #include <map>
@@ -11,61 +11,49 @@
 namespace grademux::zones {
 
 enum class ZonePhase {
-  active,     // as ever: the module alone decides
-  evacuated,  // no call goes in
-  recovering  // on its way back in: calls go in up to a stated share
+  active,     ///< The decision module alone decides.
+  evacuated,  ///< No attempt starts.
+  recovering  ///< Attempts start up to a fraction of the baseline.
 };
 
+/// The fleet's state of one zone.
 struct ZoneState {
   ZonePhase phase = ZonePhase::active;
-  int stage = 0;                    // back: 0 is the trial by a few; then each has a larger share
-  std::set<std::string> probers;    // back, stage 0: who tries
-  double traffic_fraction = 0;      // back, from stage 1: of the calls that each sender used to send there
-  int failed_recoveries = 0;        // returns in a row that ended in leaving again
-  bool pinned_by_operator = false;  // by an operator: nothing but a word changes it
-  std::string reason;
-
-  bool operator==(const ZoneState& o) const {
-    return phase == o.phase && stage == o.stage && probers == o.probers &&
-           traffic_fraction == o.traffic_fraction && failed_recoveries == o.failed_recoveries &&
-           pinned_by_operator == o.pinned_by_operator;
-  }
-};
-using ZoneStates = std::map<std::string, ZoneState>;  // a zone that is not named is in
-
-// What one sender used to send to the endpoints of a zone before it was left: its part of each stage of the
-// return. It outlasts the process, in a file of its own folder: nobody else has it.
-struct BaselineRate {
-  std::int64_t destination = 0;
-  double rate = 0;  // calls a second
-  bool operator==(const BaselineRate& o) const { return destination == o.destination && rate == o.rate; }
+  int stage = 0;                    ///< Recovering: 0 is the probe stage; later stages allow more traffic.
+  std::set<std::string> probers;    ///< Recovering, stage 0: the senders that probe.
+  double traffic_fraction = 0;      ///< Recovering, from stage 1: of each sender's baseline.
+  int failed_recoveries = 0;        ///< Consecutive recoveries that were aborted.
+  bool pinned_by_operator = false;  ///< Only operator commands change the state.
+  std::string reason;               ///< For people; no part of the comparison.
+
+  bool operator==(const ZoneState& other) const;
 };
-using TrafficBaseline = std::map<std::string, std::map<std::string, BaselineRate>>;  // by zone and endpoint
-json toJson(const TrafficBaseline& p);
-TrafficBaseline parseTrafficBaseline(const json& o);  // throws BadInput
+/// By zone; a zone without an entry is active.
+using ZoneStates = std::map<std::string, ZoneState>;
 
-// Throws BadInput that names the field.
-ZoneState parseState(const json& o);
-json toJson(const ZoneState& s);
-std::string toString(const ZoneState& s);  // for people
+/// Throws BadInput that names the wrong field.
+ZoneState parseState(const json& object);
+json toJson(const ZoneState& state);
+/// For people: logs and command output.
+std::string toString(const ZoneState& state);
 
-// What one sender saw of a zone lately.
+/// What one sender has observed of a zone lately.
 enum class Observation {
-  unknown,  // or not enough to tell: it has no say
+  unknown,  ///< Not enough evidence: the vote does not count.
   healthy,
-  failing  // there, and not elsewhere
+  failing  ///< In this zone, and not in others.
 };
+
+/// One sender's vote on a zone.
 struct ZoneVote {
   Observation observation = Observation::unknown;
-  double traffic = 0;            // calls a second that it sends there in good times
-  int failing_destinations = 0;  // destinations that fail there and not elsewhere
+  double traffic = 0;            ///< Baseline messages per second into the zone: the weight of the vote.
+  int failing_destinations = 0;  ///< Destinations that fail in this zone and not in others.
 
-  bool operator==(const ZoneVote& o) const {
-    return observation == o.observation && traffic == o.traffic &&
-           failing_destinations == o.failing_destinations;
-  }
+  bool operator==(const ZoneVote& other) const;
 };
-ZoneVote parseVote(const json& o);
-json toJson(const ZoneVote& v);
+/// Throws BadInput that names the wrong field.
+ZoneVote parseVote(const json& object);
+json toJson(const ZoneVote& vote);
 
 }  // namespace grademux::zones
--- a/src/zones/zone_traffic_controller.cpp
+++ b/src/zones/zone_traffic_controller.cpp
@@ -1,335 +1,344 @@
-// grademux zones: one sender's part; see desk.h.
 #include "zone_traffic_controller.h"
 
 #include <algorithm>
+#include <cmath>
 #include <functional>
 
 namespace grademux::zones {
 
 namespace {
-const ZoneState kIn;
 
-// So coarse that a report is no news each second.
-double rounded(double traffic) {
-  return traffic < 0.01 ? 0 : std::exp2(std::round(std::log2(traffic)));
+// Rounds to a power of two, so that a report does not change each second.
+double roundTraffic(double traffic) {
+  constexpr double kLeastTraffic = 0.01;
+  return traffic < kLeastTraffic ? 0 : std::exp2(std::round(std::log2(traffic)));
 }
+
+const ZoneState& stateIn(const ZoneStates& states, const std::string& zone) {
+  static const ZoneState active_state;
+  const auto found = states.find(zone);
+  return found == states.end() ? active_state : found->second;
+}
+
+std::set<std::string> zonesOf(const ZoneStates& states, const ZoneStates& other_states) {
+  std::set<std::string> zones;
+  for (const auto& [zone, state] : states)
+    zones.insert(zone);
+  for (const auto& [zone, state] : other_states)
+    zones.insert(zone);
+  return zones;
+}
+
 }  // namespace
 
-const ZoneState& ZoneTrafficController::stateOf(const std::string& zone) const {
-  const auto at = states_.find(zone);
-  return at == states_.end() ? kIn : at->second;
+std::size_t ZoneTrafficController::AttemptIdHash::operator()(const AttemptId& id) const {
+  constexpr std::size_t kGoldenRatio = 0x9e3779b97f4a7c15;
+  return std::hash<std::string>()(id.message_id) ^ static_cast<std::size_t>(id.attempt) * kGoldenRatio;
 }
 
-// As this process saw it; as an earlier one did if the zone was left before this one began.
-ZoneTrafficController::ZoneBaseline ZoneTrafficController::baselineOf(const std::string& zone,
-                                                                      Micros now) const {
-  ZoneBaseline k;
-  const auto add = [&k](const std::string& id, const BaselineRate& used) {
-    if (used.rate <= 0)
-      return;
-    k.endpoints[id] = used;
-    auto& [sum, of] = k.destinations[used.destination];
-    sum += used.rate;
-    ++of;
-    k.all += used.rate;
-  };
-  if (const auto z = by_zone_.find(zone); z != by_zone_.end())
-    for (const std::string& id : z->second)
-      add(id, {listed_.at(id)->destination, health_.baselineRate(now, zone, id)});
-  if (const auto r = restored_.find(zone); r != restored_.end() && k.all <= 0)
-    for (const auto& [id, used] : r->second)
-      add(id, used);
-  return k;
+// ---- Zone states
+
+const ZoneState& ZoneTrafficController::stateOf(const std::string& zone) const {
+  return stateIn(states_, zone);
 }
 
-TrafficBaseline ZoneTrafficController::baseline() const {
-  TrafficBaseline all;
-  for (const auto& [zone, k] : baselines_)
-    if (!k.endpoints.empty())
-      all[zone] = k.endpoints;
-  return all;
+Micros ZoneTrafficController::stateSince(const std::string& zone) const {
+  const auto found = state_since_.find(zone);
+  return found == state_since_.end() ? 0 : found->second;
 }
 
 bool ZoneTrafficController::applyStates(const ZoneStates& states, Micros now) {
-  bool other = false;
-  std::set<std::string> names;
-  for (const auto& [zone, s] : states_)
-    names.insert(zone);
-  for (const auto& [zone, s] : states)
-    names.insert(zone);
-  for (const std::string& zone : names) {
-    const ZoneState before = stateOf(zone);
-    const auto at = states.find(zone);
-    const ZoneState next = at == states.end() ? kIn : at->second;
+  bool changed = false;
+  for (const std::string& zone : zonesOf(states_, states)) {
+    const ZoneState& before = stateOf(zone);
+    const ZoneState& next = stateIn(states, zone);
     if (next == before)
       continue;
-    other = true;
-    unsettled_zones_.insert(zone);
-    if (before.phase == ZonePhase::active && next.phase != ZonePhase::active)
-      baselines_[zone] = baselineOf(zone, now);
-    if (next.phase == ZonePhase::active) {
-      baselines_.erase(zone);
-      restored_.erase(zone);
-    }
-    // What was seen before is no evidence of how it stands now; and no part is saved up.
-    if (next.phase != before.phase || next.stage != before.stage || next.probers != before.probers) {
-      health_.resetZone(zone);
-      since_[zone] = now;
-      if (const auto z = by_zone_.find(zone); z != by_zone_.end())
-        for (const std::string& id : z->second) {
-          buckets_.erase(id);
-          if (next.phase == ZonePhase::active && !healthy_.count(id)) {
-            health_check_intervals_[id] = kHealthCheckInterval;
-            // Not all senders at one moment.
-            const auto late =
-                static_cast<Micros>(std::hash<std::string>()(name_ + id) % kHealthCheckInterval);
-            health_checks_[listed_.at(id)->destination] = {now + late - kHealthCheckInterval, 0};
-          }
-          if (next.phase != ZonePhase::active)
-            health_check_intervals_.erase(id);
-          if (next.phase != before.phase)
-            healthy_.erase(id);
-        }
-    }
+    changed = true;
+    applyState(zone, before, next, now);
   }
   states_ = states;
-  return other;
+  return changed;
 }
 
-Micros ZoneTrafficController::stateSince(const std::string& zone) const {
-  const auto at = since_.find(zone);
-  return at == since_.end() ? 0 : at->second;
+void ZoneTrafficController::applyState(const std::string& zone, const ZoneState& before,
+                                       const ZoneState& next, Micros now) {
+  changed_zones_.insert(zone);
+  if (before.phase == ZonePhase::active && next.phase != ZonePhase::active)
+    baselines_[zone] = measureBaseline(zone, now);
+  if (next.phase == ZonePhase::active) {
+    baselines_.erase(zone);
+    restored_baseline_.by_zone.erase(zone);
+  }
+  if (next.phase == before.phase && next.stage == before.stage && next.probers == before.probers)
+    return;
+  health_.resetZone(zone);
+  state_since_[zone] = now;
+  resetEndpoints(zone, before.phase, next.phase, now);
 }
 
-void ZoneTrafficController::onEndpointListed(const Endpoint& e) {
-  const auto at = listed_.find(e.id);
-  if (at != listed_.end()) {
-    const Endpoint& before = *at->second;
-    const auto z = by_zone_.find(before.zone);
-    z->second.erase(e.id);
-    if (z->second.empty())
-      by_zone_.erase(z);
-    const auto d = by_destination_.find(before.destination);
-    d->second.erase(e.id);
-    if (d->second.empty())
-      by_destination_.erase(d);
-    if (before.zone != e.zone)
-      buckets_.erase(e.id);
-    listed_.erase(at);
+void ZoneTrafficController::resetEndpoints(const std::string& zone, ZonePhase before, ZonePhase next,
+                                           Micros now) {
+  for (const std::string& id : endpoints_.inZone(zone)) {
+    buckets_.erase(id);
+    if (next == ZonePhase::active && !healthy_.count(id)) {
+      // Spreads the first checks of the senders over one interval.
+      const auto delay = static_cast<Micros>(std::hash<std::string>()(name_ + id) % kHealthCheckInterval);
+      health_checks_.requireFrom(now + delay, endpoints_.at(id));
+    }
+    if (next != ZonePhase::active)
+      health_checks_.stop(id);
+    if (next != before)
+      healthy_.erase(id);
   }
-  if (e.state == EndpointState::gone) {
-    buckets_.erase(e.id);
-    visible_states_.erase(e.id);
-    healthy_.erase(e.id);
-    health_check_intervals_.erase(e.id);
+}
+
+void ZoneTrafficController::onEndpointListed(const Endpoint& endpoint) {
+  const EndpointEntry before = endpoints_.erase(endpoint.id);
+  if (before && before->zone != endpoint.zone)
+    buckets_.erase(endpoint.id);
+  if (endpoint.state != EndpointState::gone) {
+    endpoints_.insert(endpoint);
     return;
   }
-  listed_[e.id] = std::make_shared<const Endpoint>(e);
-  by_zone_[e.zone].insert(e.id);
-  by_destination_[e.destination].insert(e.id);
+  buckets_.erase(endpoint.id);
+  visible_states_.erase(endpoint.id);
+  healthy_.erase(endpoint.id);
+  health_checks_.stop(endpoint.id);
 }
 
 std::map<std::string, double> ZoneTrafficController::endpointFractions() const {
-  std::map<std::string, double> all;
-  for (const auto& [zone, ids] : by_zone_)
-    all[zone] = static_cast<double>(ids.size()) / static_cast<double>(listed_.size());
+  std::map<std::string, double> fractions;
+  for (const auto& [zone, ids] : endpoints_.byZone())
+    fractions[zone] = static_cast<double>(ids.size()) / static_cast<double>(endpoints_.size());
+  return fractions;
+}
+
+// ---- Baselines and rates
+
+// Uses the restored baseline if the zone was evacuated before this process measured anything.
+ZoneBaseline ZoneTrafficController::measureBaseline(const std::string& zone, Micros now) const {
+  ZoneBaseline baseline;
+  for (const std::string& id : endpoints_.inZone(zone))
+    baseline.add(id, {endpoints_.at(id).destination, health_.baselineRate(now, zone, id)});
+  const auto restored = restored_baseline_.by_zone.find(zone);
+  if (restored != restored_baseline_.by_zone.end() && baseline.totalRate() <= 0)
+    for (const auto& [id, rate] : restored->second)
+      baseline.add(id, rate);
+  return baseline;
+}
+
+TrafficBaseline ZoneTrafficController::baseline() const {
+  TrafficBaseline all;
+  for (const auto& [zone, baseline] : baselines_)
+    if (!baseline.endpoints().empty())
+      all.by_zone[zone] = baseline.endpoints();
   return all;
 }
 
-double ZoneTrafficController::rateOf(const Endpoint& e, const ZoneState& s) const {
-  if (s.stage == 0) {
-    const auto z = by_zone_.find(e.zone);
-    if (!s.probers.count(name_) || z == by_zone_.end())
+double ZoneTrafficController::allowedRate(const Endpoint& endpoint, const ZoneState& state) const {
+  if (state.stage == 0) {
+    const std::size_t endpoint_count = endpoints_.inZone(endpoint.zone).size();
+    if (!state.probers.count(name_) || endpoint_count == 0)
       return 0;
-    return kProbeRate / static_cast<double>(s.probers.size()) / static_cast<double>(z->second.size());
+    return kProbeRate / static_cast<double>(state.probers.size()) / static_cast<double>(endpoint_count);
   }
-  const auto k = baselines_.find(e.zone);
-  if (k == baselines_.end())
+  const auto baseline = baselines_.find(endpoint.zone);
+  if (baseline == baselines_.end())
     return 0;
-  const auto own = k->second.endpoints.find(e.id);
-  if (own != k->second.endpoints.end())
-    return s.traffic_fraction * own->second.rate;
-  // One that was not there then: as much as the others of its destination.
-  const auto d = k->second.destinations.find(e.destination);
-  return d == k->second.destinations.end() ? 0 : s.traffic_fraction * d->second.first / d->second.second;
+  return baseline->second.fractionOfRate(state.traffic_fraction, endpoint.id, endpoint.destination);
 }
 
-TokenBucket& ZoneTrafficController::bucketOf(const Endpoint& e, Micros now) {
-  TokenBucket& v = buckets_[e.id];
-  const double rate = rateOf(e, stateOf(e.zone));
-  if (rate != v.rate())
-    v.setRate(now, rate);
-  return v;
+TokenBucket& ZoneTrafficController::bucketOf(const Endpoint& endpoint, Micros now) {
+  TokenBucket& bucket = buckets_[endpoint.id];
+  const double rate = allowedRate(endpoint, stateOf(endpoint.zone));
+  if (rate != bucket.rate())
+    bucket.setRate(now, rate);
+  return bucket;
 }
 
-EndpointState ZoneTrafficController::visibleState(const Endpoint& e, Micros now) {
-  const ZoneState& s = stateOf(e.zone);
-  if (s.phase == ZonePhase::active && !isHidden(e, now)) {
-    visible_states_.erase(e.id);
-    return e.state;
+// ---- Attempts
+
+EndpointState ZoneTrafficController::visibleState(const Endpoint& endpoint, Micros now) {
+  const ZoneState& zone_state = stateOf(endpoint.zone);
+  if (zone_state.phase == ZonePhase::active && !isHidden(endpoint, now)) {
+    visible_states_.erase(endpoint.id);
+    return endpoint.state;
   }
-  EndpointState state = e.state;
-  const bool opens = s.phase == ZonePhase::recovering && lease_valid_ && bucketOf(e, now).hasToken(now);
-  if (state == EndpointState::ready && !opens)
+  EndpointState state = endpoint.state;
+  const bool has_token =
+      zone_state.phase == ZonePhase::recovering && lease_valid_ && bucketOf(endpoint, now).hasToken(now);
+  if (state == EndpointState::ready && !has_token)
     state = EndpointState::draining;
-  visible_states_[e.id] = state;
+  visible_states_[endpoint.id] = state;
   return state;
 }
 
-bool ZoneTrafficController::admitAttempt(const AttemptId& id, const Endpoint& e, bool repeatable,
+bool ZoneTrafficController::admitAttempt(const AttemptId& id, const Endpoint& endpoint, bool idempotent,
                                          Micros now) {
-  const ZoneState& s = stateOf(e.zone);
-  if (s.phase == ZonePhase::evacuated || (s.phase == ZonePhase::recovering && !lease_valid_))
+  const ZoneState& state = stateOf(endpoint.zone);
+  if (state.phase == ZonePhase::evacuated)
     return false;
-  if (s.phase == ZonePhase::recovering) {
-    const bool may = bucketOf(e, now).takeToken(now);
-    onHealthCheckEnded(e, now);
-    // What may not run twice does not try; it has used the turn up, or it would come back at once.
-    if (!may || (s.stage == 0 && !repeatable))
-      return false;
-  }
-  if (health_check_intervals_.count(e.id)) {
-    const auto k = health_checks_.find(e.destination);
-    const bool knocks = k != health_checks_.end() && now < k->second.until;
-    onHealthCheckEnded(e, now);
-    if (knocks && !repeatable)
+  if (state.phase == ZonePhase::recovering && !admitToRecoveringZone(endpoint, state, idempotent, now))
+    return false;
+  if (health_checks_.isRequired(endpoint.id)) {
+    const bool is_check = health_checks_.isWindowOpen(endpoint.destination, now);
+    health_checks_.closeWindow(endpoint.destination, now);
+    if (is_check && !idempotent)
       return false;
   }
-  const auto listed = listed_.find(e.id);
-  out_[id] = listed != listed_.end() ? listed->second : std::make_shared<const Endpoint>(e);
+  EndpointEntry listed = endpoints_.find(endpoint.id);
+  attempts_[id] = listed ? std::move(listed) : std::make_shared<const Endpoint>(endpoint);
   return true;
 }
 
-// Its turn is over.
-void ZoneTrafficController::onHealthCheckEnded(const Endpoint& e, Micros now) {
-  if (const auto k = health_checks_.find(e.destination); k != health_checks_.end())
-    k->second.until = now;
+// A non-idempotent message does not probe. It takes the token all the same: otherwise the module would select
+// the endpoint again at once.
+bool ZoneTrafficController::admitToRecoveringZone(const Endpoint& endpoint, const ZoneState& state,
+                                                  bool idempotent, Micros now) {
+  if (!lease_valid_)
+    return false;
+  const bool has_token = bucketOf(endpoint, now).takeToken(now);
+  health_checks_.closeWindow(endpoint.destination, now);
+  return has_token && (state.stage != 0 || idempotent);
 }
 
 bool ZoneTrafficController::isSendAllowed(const std::string& endpoint) const {
-  const auto e = listed_.find(endpoint);
-  if (e == listed_.end())
+  const EndpointEntry entry = endpoints_.find(endpoint);
+  if (!entry)
     return true;
-  const ZoneState& s = stateOf(e->second->zone);
-  return s.phase == ZonePhase::active || (s.phase == ZonePhase::recovering && lease_valid_);
+  const ZonePhase phase = stateOf(entry->zone).phase;
+  return phase == ZonePhase::active || (phase == ZonePhase::recovering && lease_valid_);
 }
 
-void ZoneTrafficController::onAttemptFinished(const AttemptOutcome& o, Micros now) {
-  const auto at = out_.find({o.id, o.attempt});
-  if (at == out_.end())
+void ZoneTrafficController::onAttemptFinished(const AttemptOutcome& outcome, Micros now) {
+  const auto found = attempts_.find({outcome.id, outcome.attempt});
+  if (found == attempts_.end())
     return;
-  const Listed e = std::move(at->second);
-  out_.erase(at);
-  const ZonePhase way = stateOf(e->zone).phase;
-  if (o.result == AttemptResult::ok) {
-    if (way == ZonePhase::recovering)
-      healthy_.insert(e->id);
-    health_check_intervals_.erase(e->id);
+  const EndpointEntry endpoint = std::move(found->second);
+  attempts_.erase(found);
+  const ZonePhase phase = stateOf(endpoint->zone).phase;
+  if (outcome.result == AttemptResult::ok) {
+    if (phase == ZonePhase::recovering)
+      healthy_.insert(endpoint->id);
+    health_checks_.stop(endpoint->id);
   }
-  // Of a zone that is left it may be no more than that.
-  if (way == ZonePhase::active || (way == ZonePhase::recovering && lease_valid_))
-    health_.recordOutcome(now, *e, o);
+  // In an evacuated zone the evacuation itself may be the cause of the outcome.
+  if (phase == ZonePhase::active || (phase == ZonePhase::recovering && lease_valid_))
+    health_.recordOutcome(now, *endpoint, outcome);
 }
 
-bool ZoneTrafficController::isHidden(const Endpoint& e, Micros now) const {
-  const auto k = health_checks_.find(e.destination);
-  return k != health_checks_.end() && now < k->second.until && !health_check_intervals_.count(e.id);
+// ---- Health checks
+
+bool ZoneTrafficController::isHidden(const Endpoint& endpoint, Micros now) const {
+  return health_checks_.isWindowOpen(endpoint.destination, now) && !health_checks_.isRequired(endpoint.id);
 }
 
-void ZoneTrafficController::startHealthChecks(const Endpoint& e, Micros now, Micros again) {
-  HealthCheck& k = health_checks_[e.destination];
-  if (now - k.begun >= again)
-    k = {now, now + kHealthCheckTime};
+void ZoneTrafficController::openHealthCheckWindows(Micros now) {
+  for (const auto& [zone, state] : states_)
+    if (state.phase == ZonePhase::recovering && lease_valid_)
+      openHealthCheckWindows(zone, now);
+  for (const auto& [id, interval] : health_checks_.intervals())
+    if (const Endpoint& endpoint = endpoints_.at(id); endpoint.state == EndpointState::ready)
+      health_checks_.openWindow(endpoint.destination, now, interval);
 }
 
-void ZoneTrafficController::startHealthChecks(Micros now) {
-  for (const auto& [zone, s] : states_) {
-    const auto z = by_zone_.find(zone);
-    if (s.phase != ZonePhase::recovering || !lease_valid_ || z == by_zone_.end())
-      continue;
-    const bool enough = health_.hasEnoughSamples(zone);
-    for (const std::string& id : z->second) {
-      const Endpoint& e = *listed_.at(id);
-      if (e.state == EndpointState::ready && !(enough && healthy_.count(id)) &&
-          bucketOf(e, now).hasToken(now))
-        startHealthChecks(e, now);
-    }
+// Checks the endpoints of a recovering zone until each has a success and the zone has samples for a vote.
+void ZoneTrafficController::openHealthCheckWindows(const std::string& zone, Micros now) {
+  const bool has_samples = health_.hasEnoughSamples(zone);
+  for (const std::string& id : endpoints_.inZone(zone)) {
+    const Endpoint& endpoint = endpoints_.at(id);
+    const bool is_checked = has_samples && healthy_.count(id);
+    if (endpoint.state == EndpointState::ready && !is_checked && bucketOf(endpoint, now).hasToken(now))
+      health_checks_.openWindow(endpoint.destination, now, kHealthCheckInterval);
   }
-  for (const auto& [id, again] : health_check_intervals_)
-    if (const Endpoint& e = *listed_.at(id); e.state == EndpointState::ready)
-      startHealthChecks(e, now, again);
 }
 
 void ZoneTrafficController::expire(Micros now) {
   health_.expire(now);
-  for (const auto& [zone, ids] : by_zone_) {
+  for (const auto& [zone, ids] : endpoints_.byZone()) {
     if (stateOf(zone).phase != ZonePhase::active)
       continue;
-    const auto struck = health_.failingDestinations(zone);
-    if (struck.size() < static_cast<std::size_t>(kStruck))
+    const std::map<std::int64_t, Micros> failing = health_.failingDestinations(zone);
+    if (failing.size() < static_cast<std::size_t>(kMinFailingDestinations))
       continue;
-    for (const std::string& id : ids)
-      if (const auto d = struck.find(listed_.at(id)->destination);
-          d != struck.end() && now - d->second >= kFailedZoneCheckInterval)
-        health_check_intervals_.emplace(id, kFailedZoneCheckInterval);
+    for (const std::string& id : ids) {
+      const auto failed = failing.find(endpoints_.at(id).destination);
+      if (failed != failing.end() && now - failed->second >= kFailedZoneCheckInterval)
+        health_checks_.require(id, kFailedZoneCheckInterval);
+    }
   }
 }
 
+// ---- Changes and votes
+
 void ZoneTrafficController::appendIfChanged(const std::string& id, Micros now,
                                             std::vector<std::string>& changed) {
-  const Endpoint& e = *listed_.at(id);
-  const auto was = visible_states_.find(id);
-  const EndpointState before = was == visible_states_.end() ? e.state : was->second;
-  if (visibleState(e, now) != before)
+  const Endpoint& endpoint = endpoints_.at(id);
+  const auto last = visible_states_.find(id);
+  const EndpointState before = last == visible_states_.end() ? endpoint.state : last->second;
+  if (visibleState(endpoint, now) != before)
     changed.push_back(id);
 }
 
 std::vector<std::string> ZoneTrafficController::takeChangedEndpoints(Micros now) {
-  std::vector<std::string> all;
-  startHealthChecks(now);
-  std::set<std::string> zones = std::move(unsettled_zones_);
-  unsettled_zones_.clear();
-  for (const auto& [zone, s] : states_)
+  std::vector<std::string> changed;
+  openHealthCheckWindows(now);
+  std::set<std::string> zones = std::move(changed_zones_);
+  changed_zones_.clear();
+  for (const auto& [zone, state] : states_)
     zones.insert(zone);
   for (const std::string& zone : zones)
-    if (const auto z = by_zone_.find(zone); z != by_zone_.end())
-      for (const std::string& id : z->second)
-        appendIfChanged(id, now, all);
-  for (auto k = health_checks_.begin(); k != health_checks_.end();) {
-    if (const auto d = by_destination_.find(k->first); d != by_destination_.end())
-      for (const std::string& id : d->second)
-        if (stateOf(listed_.at(id)->zone).phase == ZonePhase::active)
-          appendIfChanged(id, now, all);
-    k = now - k->second.begun >= 2 * kFailedZoneCheckInterval ? health_checks_.erase(k) : std::next(k);
-  }
-  return all;
+    for (const std::string& id : endpoints_.inZone(zone))
+      appendIfChanged(id, now, changed);
+  health_checks_.visitAndExpireWindows(now, [&](std::int64_t destination) {
+    for (const std::string& id : endpoints_.ofDestination(destination))
+      if (stateOf(endpoints_.at(id).zone).phase == ZonePhase::active)
+        appendIfChanged(id, now, changed);
+  });
+  return changed;
 }
 
 bool ZoneTrafficController::isRecovering() const {
-  return !health_check_intervals_.empty() || std::any_of(states_.begin(), states_.end(), [](const auto& s) {
-    return s.second.phase == ZonePhase::recovering;
-  });
+  if (!health_checks_.intervals().empty())
+    return true;
+  return std::any_of(states_.begin(), states_.end(),
+                     [](const auto& entry) { return entry.second.phase == ZonePhase::recovering; });
 }
 
 std::map<std::string, ZoneVote> ZoneTrafficController::votes(Micros now, const Regions& regions) {
-  std::map<std::string, ZoneVote> all;
-  for (const auto& [zone, ids] : by_zone_) {
-    const ZoneState& s = stateOf(zone);
-    ZoneVote v = s.phase == ZonePhase::active       ? health_.compareWithOtherZones(now, zone, regions)
-                 : s.phase == ZonePhase::recovering ? health_.within(now, zone)
-                                                    : ZoneVote();
-    // Who has seen it fail for a while sends little there now, and has a say for what it used to send.
-    if (s.phase != ZonePhase::active)
-      traffic_before_failure_.erase(zone);
-    else if (v.observation == Observation::healthy)
-      traffic_before_failure_[zone] = v.traffic;
-    else if (const auto h = traffic_before_failure_.find(zone); h != traffic_before_failure_.end())
-      v.traffic = std::max(v.traffic, h->second);
-    const auto k = baselines_.find(zone);
-    v.traffic = rounded(k == baselines_.end() ? v.traffic : k->second.all);
-    all[zone] = v;
+  std::map<std::string, ZoneVote> votes;
+  for (const auto& [zone, ids] : endpoints_.byZone()) {
+    ZoneVote vote = voteOn(zone, now, regions);
+    keepTrafficBeforeFailure(zone, vote);
+    const auto baseline = baselines_.find(zone);
+    vote.traffic = roundTraffic(baseline == baselines_.end() ? vote.traffic : baseline->second.totalRate());
+    votes[zone] = vote;
   }
-  return all;
+  return votes;
+}
+
+ZoneVote ZoneTrafficController::voteOn(const std::string& zone, Micros now, const Regions& regions) const {
+  switch (stateOf(zone).phase) {
+    case ZonePhase::active:
+      return health_.compareWithOtherZones(now, zone, regions);
+    case ZonePhase::recovering:
+      return health_.evaluateRecovery(now, zone);
+    case ZonePhase::evacuated:
+      break;
+  }
+  return {};
+}
+
+// A sender that sees an active zone failing soon sends little there: its vote keeps the weight of the traffic
+// from before the failure.
+void ZoneTrafficController::keepTrafficBeforeFailure(const std::string& zone, ZoneVote& vote) {
+  if (stateOf(zone).phase != ZonePhase::active)
+    traffic_before_failure_.erase(zone);
+  else if (vote.observation == Observation::healthy)
+    traffic_before_failure_[zone] = vote.traffic;
+  else if (const auto before = traffic_before_failure_.find(zone); before != traffic_before_failure_.end())
+    vote.traffic = std::max(vote.traffic, before->second);
 }
 
 }  // namespace grademux::zones
--- a/src/zones/zone_traffic_controller.h
+++ b/src/zones/zone_traffic_controller.h
@@ -1,112 +1,105 @@
-// grademux zones: one sender's part in leaving a zone and coming back to it: how the module is to see the
-// endpoints, which calls may begin, and what was seen. No I/O, no clock. The sender's loop alone uses it.
+// Applies the fleet's zone states to one sender: in which state the decision module sees each endpoint, which
+// attempts may start, and this sender's votes. No I/O and no clock: times are microseconds of one monotonic
+// clock. Used on the loop thread only.
 #pragma once
 
 #include <map>
-#include <memory>
 #include <set>
+#include <string>
 #include <unordered_map>
 #include <vector>
 
 #include "../core/message.h"
+#include "endpoint_index.h"
+#include "health_check_schedule.h"
 #include "token_bucket.h"
+#include "traffic_baseline.h"
 #include "zone_health_monitor.h"
 
 namespace grademux::zones {
 
-// The module chooses an endpoint that failed last only where it has no other, and one that is seldom open
-// less than others. So for as long, at each turn of such an endpoint, the others of its partner are hidden
-// from it, until a call there has gone well and this sender has seen enough for a word on the stage.
-constexpr Micros kHealthCheckTime = 50'000, kHealthCheckInterval = 1'000'000;
-// A zone that is in, and that this sender has seen fail at two partners or more, is looked at in the same
-// way, so that neither its failure nor its health is forgotten: sooner than Evidence forgets the last
-// failure.
-constexpr Micros kFailedZoneCheckInterval = 4'000'000;
-constexpr double kProbeRate = 4;  // calls a second into a zone in its trial, of the whole fleet
+/// Attempts per second into a zone in its probe stage, of the whole fleet.
+constexpr double kProbeRate = 4;
 
 class ZoneTrafficController {
  public:
+  /// `name`: the sender's name in the fleet.
   explicit ZoneTrafficController(std::string name) : name_(std::move(name)) {}
 
-  // The fleet stands so from now on. True: otherwise than before.
+  /// Applies the states of the plan. Returns whether any state has changed.
   bool applyStates(const ZoneStates& states, Micros now);
-  // What an earlier process of this sender used to send to zones that the fleet had left; before the first
-  // follow(). Without it a zone on its way back gets nothing from here.
-  void restoreBaseline(TrafficBaseline parts) { restored_ = std::move(parts); }
-  // Of the zones that are not in, to be kept for the next process.
+  /// Sets what an earlier process of this sender measured for zones that are not active. Call it before the
+  /// first applyStates(). Without a baseline this sender sends nothing to a recovering zone.
+  void restoreBaseline(TrafficBaseline baseline) { restored_baseline_ = std::move(baseline); }
+  /// The baselines of the zones that are not active, to be stored for the next process.
   TrafficBaseline baseline() const;
-  // Calls into zones on their way back need a lease that runs; without one they are seen as out.
-  void setLeaseValid(bool runs) { lease_valid_ = runs; }
-  // An entry of the list, new, changed or gone.
-  void onEndpointListed(const Endpoint& e);
+  /// Without a valid lease, recovering zones are treated as evacuated.
+  void setLeaseValid(bool valid) { lease_valid_ = valid; }
+  /// An endpoint was listed, changed or removed (state `gone`).
+  void onEndpointListed(const Endpoint& endpoint);
 
-  EndpointState visibleState(const Endpoint& e, Micros now);
-  // A call is about to begin. False: not there, now. `repeatable`: it may run twice.
-  bool admitAttempt(const AttemptId& id, const Endpoint& e, bool repeatable, Micros now);
-  // Asked again before its first byte.
+  /// The state in which the decision module is to see the endpoint.
+  EndpointState visibleState(const Endpoint& endpoint, Micros now);
+  /// Whether an attempt may start; takes its token. `idempotent`: it may be executed twice.
+  bool admitAttempt(const AttemptId& id, const Endpoint& endpoint, bool idempotent, Micros now);
+  /// Whether an admitted attempt may still send its first byte.
   bool isSendAllowed(const std::string& endpoint) const;
-  void onAttemptFinished(const AttemptOutcome& o, Micros now);
+  void onAttemptFinished(const AttemptOutcome& outcome, Micros now);
 
-  // Endpoints that the module is to see otherwise than it was last told by shows().
+  /// Endpoints whose visible state differs from what visibleState() returned last.
   std::vector<std::string> takeChangedEndpoints(Micros now);
-  bool isRecovering() const;  // some zone is on its way back, or not seen well since it came
+  /// Whether a zone is recovering, or an endpoint of an active zone needs health checks.
+  bool isRecovering() const;
   bool isRecovering(const std::string& zone) const { return stateOf(zone).phase == ZonePhase::recovering; }
+  /// Whether any zone is not active.
   bool hasStates() const { return !states_.empty(); }
 
+  /// This sender's votes, by zone.
   std::map<std::string, ZoneVote> votes(Micros now, const Regions& regions = {});
-  Micros stateSince(const std::string& zone) const;         // when it came to stand so
-  std::map<std::string, double> endpointFractions() const;  // of the listed endpoints, by zone
-  void expire(Micros now);                                  // each second or so
+  /// When the zone's phase, stage or probers last changed; 0 if they have not.
+  Micros stateSince(const std::string& zone) const;
+  /// Fraction of the listed endpoints that each zone has.
+  std::map<std::string, double> endpointFractions() const;
+  /// Drops old statistics and starts checks of failing zones. Call it about once a second.
+  void expire(Micros now);
 
  private:
-  // Of zones that are not in: what this sender used to send, from before they were left.
-  struct ZoneBaseline {
-    std::map<std::string, BaselineRate> endpoints;
-    std::map<std::int64_t, std::pair<double, int>> destinations;  // sum, and of how many endpoints
-    double all = 0;
+  using EndpointEntry = EndpointIndex::Entry;
+  struct AttemptIdHash {
+    std::size_t operator()(const AttemptId& id) const;
   };
+
   const ZoneState& stateOf(const std::string& zone) const;
-  ZoneBaseline baselineOf(const std::string& zone, Micros now) const;
-  double rateOf(const Endpoint& e, const ZoneState& s) const;
-  bool isHidden(const Endpoint& e, Micros now) const;
-  void startHealthChecks(Micros now);
-  void startHealthChecks(const Endpoint& e, Micros now, Micros again = kHealthCheckInterval);
-  void onHealthCheckEnded(const Endpoint& e, Micros now);
-  // Adds the endpoint if the module is to see it otherwise than it was told last.
+  void applyState(const std::string& zone, const ZoneState& before, const ZoneState& next, Micros now);
+  void resetEndpoints(const std::string& zone, ZonePhase before, ZonePhase next, Micros now);
+  ZoneBaseline measureBaseline(const std::string& zone, Micros now) const;
+  double allowedRate(const Endpoint& endpoint, const ZoneState& state) const;
+  TokenBucket& bucketOf(const Endpoint& endpoint, Micros now);
+  bool isHidden(const Endpoint& endpoint, Micros now) const;
+  bool admitToRecoveringZone(const Endpoint& endpoint, const ZoneState& state, bool idempotent, Micros now);
+  void openHealthCheckWindows(Micros now);
+  void openHealthCheckWindows(const std::string& zone, Micros now);
+  /// Appends the endpoint if its visible state has changed.
   void appendIfChanged(const std::string& id, Micros now, std::vector<std::string>& changed);
-  TokenBucket& bucketOf(const Endpoint& e, Micros now);
+  ZoneVote voteOn(const std::string& zone, Micros now, const Regions& regions) const;
+  void keepTrafficBeforeFailure(const std::string& zone, ZoneVote& vote);
 
   std::string name_;
   ZoneStates states_;
-  std::map<std::string, Micros> since_;
+  std::map<std::string, Micros> state_since_;  // by zone
   bool lease_valid_ = true;
   ZoneHealthMonitor health_;
-  // Shared with the calls that are out: each keeps it as it was when it began, and copies nothing.
-  using Listed = std::shared_ptr<const Endpoint>;
-  std::unordered_map<std::string, Listed> listed_;
-  std::map<std::string, std::set<std::string>> by_zone_;
-  std::set<std::string> unsettled_zones_;  // zones to look at though they are in again
+  EndpointIndex endpoints_;
+  std::set<std::string> changed_zones_;  // since the last takeChangedEndpoints()
   std::map<std::string, ZoneBaseline> baselines_;
-  TrafficBaseline restored_;
-  std::map<std::string, TokenBucket> buckets_;
-  std::map<std::string, EndpointState> visible_states_;  // of endpoints of zones that are not in
-  struct OfCall {
-    std::size_t operator()(const AttemptId& c) const {
-      return std::hash<std::string>()(c.message_id) ^
-             static_cast<std::size_t>(c.attempt) * 0x9e3779b97f4a7c15;
-    }
-  };
-  std::unordered_map<AttemptId, Listed, OfCall> out_;
-  std::map<std::int64_t, std::set<std::string>> by_destination_;
-  std::set<std::string> healthy_;  // endpoints of returning zones that have answered well since
-  // Of zones that are in again and did not, or that failed last: how often they are knocked at.
-  std::map<std::string, Micros> health_check_intervals_;
-  std::map<std::string, double>
-      traffic_before_failure_;  // traffic of zones that are in, from when they were last seen well
-  struct HealthCheck {
-    Micros begun = 0, until = 0;
-  };
-  std::map<std::int64_t, HealthCheck> health_checks_;  // by destination
+  TrafficBaseline restored_baseline_;
+  std::map<std::string, TokenBucket> buckets_;  // by endpoint
+  std::map<std::string, EndpointState>
+      visible_states_;  // by endpoint, where it may differ from the listed state
+  std::unordered_map<AttemptId, EndpointEntry, AttemptIdHash> attempts_;
+  std::set<std::string> healthy_;  // endpoints of recovering zones with a success since
+  HealthCheckSchedule health_checks_;
+  std::map<std::string, double> traffic_before_failure_;  // by active zone, from its last healthy vote
 };
 
 }  // namespace grademux::zones
--- a/tests/fleet/fleet_member_files_test.cpp
+++ b/tests/fleet/fleet_member_files_test.cpp
@@ -18,8 +18,8 @@
   const harness::TemporaryFolder folder;
   const std::string path = folder.path() + "/fleet-zones";
   EXPECT_TRUE(loadTrafficBaseline(path).empty());
-  const zones::TrafficBaseline parts = {{"b", {{"e1", {7, 12.375}}, {"e2", {-3, 0.1}}}},
-                                        {"c", {{"e3", {0, 4}}}}};
+  const zones::TrafficBaseline parts = {
+      {{"b", {{"e1", {7, 12.375}}, {"e2", {-3, 0.1}}}}, {"c", {{"e3", {0, 4}}}}}};
   ASSERT_EQ("", replaceFile(path, serializeTrafficBaseline(parts)));
   EXPECT_TRUE(loadTrafficBaseline(path) == parts);
 }
@@ -28,7 +28,7 @@
 TEST(FleetFiles, AFlippedBitOrACutLeavesNoPartThatIsAnother) {
   const harness::TemporaryFolder folder;
   const std::string path = folder.path() + "/fleet-zones";
-  const zones::TrafficBaseline parts = {{"b", {{"e1", {7, 12.375}}, {"e2", {8, 3}}}}};
+  const zones::TrafficBaseline parts = {{{"b", {{"e1", {7, 12.375}}, {"e2", {8, 3}}}}}};
   const std::string whole = serializeTrafficBaseline(parts);
   for (std::size_t byte = 0; byte + 1 < whole.size(); ++byte) {
     std::string flipped = whole;
--- a/tests/fleet/plan_compliance_test.cpp
+++ b/tests/fleet/plan_compliance_test.cpp
@@ -29,59 +29,60 @@
 PlanCompliance taken(const Plan& p) {
   PlanCompliance s("s1");
   EXPECT_TRUE(s.onPlanReceived(p, 100 * kSecond));
-  EXPECT_TRUE(s.due(own(p.requirements.settings), 100 * kSecond));
-  s.takenOver(p);
+  EXPECT_TRUE(s.shouldAdopt(own(p.requirements.settings), 100 * kSecond));
+  s.onPlanAdopted(p);
   return s;
 }
 
 TEST(FleetStanding, WithoutAWordOfTheStoreNobodyActs) {
   PlanCompliance s("s1");
-  EXPECT_FALSE(s.at(0, own("aa")).allowed);
-  EXPECT_EQ(s.at(0, own("aa")).compliance, Compliance::fenced);
+  EXPECT_FALSE(s.evaluate(0, own("aa")).allowed);
+  EXPECT_EQ(s.evaluate(0, own("aa")).compliance, Compliance::fenced);
   s.onPlanReceived(Plan(), 5);  // there is no plan
-  EXPECT_TRUE(s.at(6, own("aa")).allowed);
-  EXPECT_EQ(s.at(6, own("aa")).compliance, Compliance::current);
+  EXPECT_TRUE(s.evaluate(6, own("aa")).allowed);
+  EXPECT_EQ(s.evaluate(6, own("aa")).compliance, Compliance::current);
 }
 
 TEST(FleetStanding, TheLeaseRunsFromTheAskingLessTheMargin) {
   const PlanCompliance s = taken(plan(1, "aa"));
   const Micros ends = 100 * kSecond + 9'900'000;
-  EXPECT_EQ(s.at(101 * kSecond, own("aa")).compliance, Compliance::current);
-  EXPECT_EQ(s.at(107 * kSecond, own("aa")).compliance, Compliance::unknown);
-  EXPECT_TRUE(s.at(ends - 1, own("aa")).allowed);
-  EXPECT_FALSE(s.at(ends, own("aa")).allowed);
-  EXPECT_EQ(s.at(ends, own("aa")).compliance, Compliance::fenced);
-  EXPECT_EQ(s.at(0, own("aa")).until, ends);
+  EXPECT_EQ(s.evaluate(101 * kSecond, own("aa")).compliance, Compliance::current);
+  EXPECT_EQ(s.evaluate(107 * kSecond, own("aa")).compliance, Compliance::unknown);
+  EXPECT_TRUE(s.evaluate(ends - 1, own("aa")).allowed);
+  EXPECT_FALSE(s.evaluate(ends, own("aa")).allowed);
+  EXPECT_EQ(s.evaluate(ends, own("aa")).compliance, Compliance::fenced);
+  EXPECT_EQ(s.evaluate(0, own("aa")).until, ends);
 }
 
 TEST(FleetStanding, LenientServesOnUnderTheLastPlanItKnows) {
   const PlanCompliance s = taken(plan(1, "aa", false));
-  EXPECT_TRUE(s.at(9999 * kSecond, own("aa")).allowed);
-  EXPECT_EQ(s.at(9999 * kSecond, own("aa")).compliance, Compliance::unknown);
+  EXPECT_TRUE(s.evaluate(9999 * kSecond, own("aa")).allowed);
+  EXPECT_EQ(s.evaluate(9999 * kSecond, own("aa")).compliance, Compliance::unknown);
 }
 
 TEST(FleetStanding, BehindItServesUntilThePlanBindsAndNoLonger) {
   PlanCompliance s = taken(plan(1, "aa"));
   EXPECT_TRUE(s.onPlanReceived(plan(2, "bb", true, 60 * kSecond), 103 * kSecond));
-  EXPECT_FALSE(s.due(own("aa"), 104 * kSecond));
-  EXPECT_EQ(s.at(104 * kSecond, own("aa")).compliance, Compliance::catching_up);
-  EXPECT_NE(s.at(104 * kSecond, own("aa")).reason.find("settings aa, bb is asked for"), std::string::npos);
+  EXPECT_FALSE(s.shouldAdopt(own("aa"), 104 * kSecond));
+  EXPECT_EQ(s.evaluate(104 * kSecond, own("aa")).compliance, Compliance::catching_up);
+  EXPECT_NE(s.evaluate(104 * kSecond, own("aa")).reason.find("settings aa, bb is asked for"),
+            std::string::npos);
   // From the last read that showed plan 1: nobody knows how soon after that plan 2 was made.
-  EXPECT_TRUE(s.at(100 * kSecond + 59'000'000, own("aa")).allowed);
-  EXPECT_FALSE(s.at(100 * kSecond + 59'400'000, own("aa")).allowed);
+  EXPECT_TRUE(s.evaluate(100 * kSecond + 59'000'000, own("aa")).allowed);
+  EXPECT_FALSE(s.evaluate(100 * kSecond + 59'400'000, own("aa")).allowed);
   // More of the same is no more time.
   EXPECT_TRUE(s.onPlanReceived(plan(2, "bb", true, 60 * kSecond), 150 * kSecond));
-  EXPECT_FALSE(s.at(100 * kSecond + 59'400'000, own("aa")).allowed);
-  EXPECT_TRUE(s.due(own("bb"), 151 * kSecond));
-  s.takenOver(s.newest());
-  EXPECT_TRUE(s.at(159 * kSecond, own("bb")).allowed);
+  EXPECT_FALSE(s.evaluate(100 * kSecond + 59'400'000, own("aa")).allowed);
+  EXPECT_TRUE(s.shouldAdopt(own("bb"), 151 * kSecond));
+  s.onPlanAdopted(s.newest());
+  EXPECT_TRUE(s.evaluate(159 * kSecond, own("bb")).allowed);
 }
 
 // Of a plan between nothing is known, nor of when it bound.
 TEST(FleetStanding, OneThatMissedAPlanHasItsLeaseAlone) {
   PlanCompliance s = taken(plan(1, "aa"));
   s.onPlanReceived(plan(3, "bb", true, 600 * kSecond), 103 * kSecond);
-  EXPECT_FALSE(s.at(110 * kSecond, own("aa")).allowed);
+  EXPECT_FALSE(s.evaluate(110 * kSecond, own("aa")).allowed);
 }
 
 TEST(FleetStanding, AnOperatorsWordHoldsAtOnceAndIsTakenBack) {
@@ -89,11 +90,11 @@
   Plan out = plan(2, "aa", false);
   out.fenced = {"s1"};
   s.onPlanReceived(out, 101 * kSecond);
-  EXPECT_EQ(s.at(101 * kSecond, own("aa")).compliance, Compliance::fenced);
+  EXPECT_EQ(s.evaluate(101 * kSecond, own("aa")).compliance, Compliance::fenced);
   s.onPlanReceived(plan(3, "aa", false), 102 * kSecond);
-  EXPECT_TRUE(s.due(own("aa"), 104 * kSecond));
-  s.takenOver(s.newest());
-  EXPECT_EQ(s.at(102 * kSecond, own("aa")).compliance, Compliance::current);
+  EXPECT_TRUE(s.shouldAdopt(own("aa"), 104 * kSecond));
+  s.onPlanAdopted(s.newest());
+  EXPECT_EQ(s.evaluate(102 * kSecond, own("aa")).compliance, Compliance::current);
 }
 
 TEST(FleetStanding, AStoreThatWentBackGivesNoLease) {
@@ -101,30 +102,30 @@
   EXPECT_FALSE(s.onPlanReceived(plan(4, "aa"), 105 * kSecond));
   EXPECT_FALSE(s.onPlanReceived(Plan(), 106 * kSecond));
   EXPECT_FALSE(s.onPlanReceived(plan(5, "bb"), 107 * kSecond));  // the number used twice
-  EXPECT_NE(s.at(108 * kSecond, own("aa")).reason.find("it is another"), std::string::npos);
-  EXPECT_EQ(s.at(108 * kSecond, own("aa")).compliance, Compliance::unknown);
-  EXPECT_FALSE(s.at(110 * kSecond, own("aa")).allowed);
+  EXPECT_NE(s.evaluate(108 * kSecond, own("aa")).reason.find("it is another"), std::string::npos);
+  EXPECT_EQ(s.evaluate(108 * kSecond, own("aa")).compliance, Compliance::unknown);
+  EXPECT_FALSE(s.evaluate(110 * kSecond, own("aa")).allowed);
 }
 
 TEST(FleetStanding, AfterARestartAStrictPlanWaitsForTheStore) {
   PlanCompliance s("s1");
   s.restorePlan(plan(5, "aa"));
-  EXPECT_FALSE(s.at(kSecond, own("aa")).allowed);
+  EXPECT_FALSE(s.evaluate(kSecond, own("aa")).allowed);
   s.onPlanReceived(plan(5, "aa"), 2 * kSecond);
-  EXPECT_TRUE(s.at(3 * kSecond, own("aa")).allowed);
+  EXPECT_TRUE(s.evaluate(3 * kSecond, own("aa")).allowed);
   PlanCompliance lenient("s1");
   lenient.restorePlan(plan(5, "aa", false));
-  EXPECT_TRUE(lenient.at(kSecond, own("aa")).allowed);
-  EXPECT_EQ(lenient.at(kSecond, own("aa")).compliance, Compliance::unknown);
+  EXPECT_TRUE(lenient.evaluate(kSecond, own("aa")).allowed);
+  EXPECT_EQ(lenient.evaluate(kSecond, own("aa")).compliance, Compliance::unknown);
 }
 
 // Settings put in by hand under a strict plan that asks for others.
 TEST(FleetStanding, OneThatGoesAstrayStopsAtOnce) {
   const PlanCompliance s = taken(plan(1, "aa"));
-  EXPECT_FALSE(s.at(101 * kSecond, own("xx")).allowed);
+  EXPECT_FALSE(s.evaluate(101 * kSecond, own("xx")).allowed);
   const PlanCompliance lenient = taken(plan(1, "aa", false));
-  EXPECT_TRUE(lenient.at(101 * kSecond, own("xx")).allowed);
-  EXPECT_EQ(lenient.at(101 * kSecond, own("xx")).compliance, Compliance::catching_up);
+  EXPECT_TRUE(lenient.evaluate(101 * kSecond, own("xx")).allowed);
+  EXPECT_EQ(lenient.evaluate(101 * kSecond, own("xx")).compliance, Compliance::catching_up);
 }
 
 // The read that showed it was held back for longer than its lease is.
@@ -133,14 +134,14 @@
   Plan shorter = plan(2, "aa");
   shorter.lease = kSecond;
   s.onPlanReceived(shorter, 102 * kSecond);
-  EXPECT_FALSE(s.due(own("aa"), 104 * kSecond));
-  EXPECT_TRUE(s.at(104 * kSecond, own("aa")).allowed);
+  EXPECT_FALSE(s.shouldAdopt(own("aa"), 104 * kSecond));
+  EXPECT_TRUE(s.evaluate(104 * kSecond, own("aa")).allowed);
   s.onPlanReceived(shorter, 104 * kSecond);
-  EXPECT_FALSE(s.due(own("aa"), 104'600'000));  // it would be over before the next comes
-  ASSERT_TRUE(s.due(own("aa"), 104'400'000));
-  s.takenOver(s.newest());
-  EXPECT_TRUE(s.at(104'900'000, own("aa")).allowed);
-  EXPECT_FALSE(s.at(105 * kSecond, own("aa")).allowed);
+  EXPECT_FALSE(s.shouldAdopt(own("aa"), 104'600'000));  // it would be over before the next comes
+  ASSERT_TRUE(s.shouldAdopt(own("aa"), 104'400'000));
+  s.onPlanAdopted(s.newest());
+  EXPECT_TRUE(s.evaluate(104'900'000, own("aa")).allowed);
+  EXPECT_FALSE(s.evaluate(105 * kSecond, own("aa")).allowed);
 }
 
 TEST(FleetStanding, HowFarOneIsOnTheWayOut) {
@@ -176,7 +177,7 @@
     Micros cut_until = 0, still_until = 0;
     std::deque<std::pair<Micros, Plan>> lagging;
   };
-  const double margin = spoilt == Spoilt::no_margin ? 0 : kMargin;
+  const double margin = spoilt == Spoilt::no_margin ? 0 : kClockRateMargin;
   std::vector<Sender> senders;
   for (int i = 0; i < 5; ++i)
     senders.push_back(
@@ -258,10 +259,10 @@
       s.standing.onPlanReceived(d.plan, spoilt == Spoilt::lease_from_the_answer ? local(s, t) : d.asked);
       if (draw(0, 1) < 0.7)
         s.own.settings = s.standing.newest().requirements.settings;  // brought up, mostly
-      if (s.standing.due(s.own, local(s, t)))
-        s.standing.takenOver(s.standing.newest());
+      if (s.standing.shouldAdopt(s.own, local(s, t)))
+        s.standing.onPlanAdopted(s.standing.newest());
     } else {
-      const auto v = s.standing.at(local(s, t), s.own);
+      const auto v = s.standing.evaluate(local(s, t), s.own);
       const bool may =
           v.allowed || (spoilt == Spoilt::more_time_when_behind && v.compliance == Compliance::fenced &&
                         s.standing.newest().number > s.standing.acting().number);
--- a/tests/fleet/plan_test.cpp
+++ b/tests/fleet/plan_test.cpp
@@ -21,7 +21,7 @@
   Plan p = plan(7, "aa");
   p.requirements.daemon = "bb";
   p.requirements.program = "0.4.0";
-  p.requirements.listPrefix = 12;
+  p.requirements.list_version = 12;
   p.previous_requirements.settings = "cc";
   p.max_fenced_fraction = 0.5;
   p.fenced = {"s1", "s2"};
@@ -117,7 +117,7 @@
   Plan p = plan(5, "aa");
   p.requirements.daemon = "dd";
   p.requirements.program = "0.10";
-  p.requirements.listPrefix = 9;
+  p.requirements.list_version = 9;
   p.fenced = {"s2"};
   EXPECT_TRUE(missingRequirements({"0.10.0", "aa", "dd", 9, 0}, p, "s1").empty());
   EXPECT_TRUE(missingRequirements({"1.0", "aa", "dd", 10, 0}, p, "s1").empty());
