--- a/tests/knowledge/learned_state_file_test.cpp
+++ b/tests/knowledge/learned_state_file_test.cpp
@@ -14,6 +14,7 @@
 
 #include "../../src/core/file.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux::knowledge {
 namespace {
@@ -198,5 +199,26 @@
   EXPECT_NE(::access((path + ".new").c_str(), F_OK), 0);
 }
 
+// A file written by version 0.4 of the program, before its types were renamed: the stored format is
+// unchanged.
+TEST(LearnedStateFixture, ReadsTheFileOfVersion04) {
+  const DecodedFile decoded =
+      loadLearnedState(sourceFolder() + "/tests/knowledge/fixtures/learned-state-0.4", "n3");
+  const LearnedStateFile expected = book(2);
+  EXPECT_TRUE(decoded.found);
+  EXPECT_EQ(decoded.error, "");
+  EXPECT_EQ(decoded.damaged, 0u);
+  EXPECT_EQ(decoded.state.written, expected.written);
+  EXPECT_EQ(decoded.state.pool.last_outcome_at, expected.pool.last_outcome_at);
+  EXPECT_EQ(decoded.state.pool.mean_latency, expected.pool.mean_latency);
+  EXPECT_EQ(decoded.state.pool.latency_samples, expected.pool.latency_samples);
+  EXPECT_EQ(decoded.state.pool.stale_connection_score, expected.pool.stale_connection_score);
+  EXPECT_EQ(decoded.state.pool.stale_after_idle, expected.pool.stale_after_idle);
+  EXPECT_EQ(decoded.state.pool.stale_observed_at, expected.pool.stale_observed_at);
+  ASSERT_EQ(decoded.state.records.size(), expected.records.size());
+  for (std::size_t i = 0; i < expected.records.size(); ++i)
+    EXPECT_EQ(said(decoded.state.records[i]), said(expected.records[i]));
+}
+
 }  // namespace
 }  // namespace grademux::knowledge
