--- a/src/audit/command.cpp
+++ b/src/audit/command.cpp
@@ -76,7 +76,7 @@
 int ofMessage(const AuditQuery& q) {
   bool found = false;
   for (const std::string& folder : q.folders) {
-    Journal::MessageRecord w;
+    JournaledMessage w;
     try {
       w = Journal::readMessage(folder, q.message);
     } catch (const std::exception& e) {
--- a/src/core/delivery_engine.cpp
+++ b/src/core/delivery_engine.cpp
@@ -59,7 +59,7 @@
 
 void DeliveryEngine::recover(const json& known, const knowledge::LearnedStateFile& learned,
                              const std::set<AttemptId>& out) {
-  const Journal::Recovered& r = journal_.recovered();
+  const RecoveredJournal& r = journal_.recovered();
   if (r.damaged_ranges > 0)
     log::write(log::Event::journal_damaged, {{"stretches", r.damaged_ranges}});
   if (r.torn_tail)
@@ -85,7 +85,7 @@
     shift(a, ahead);
     events_.push_back(a);
   }
-  for (const Journal::OpenEntry& e : r.entries) {
+  for (const JournalEntry& e : r.entries) {
     if (e.notice_pending) {
       const FinalStatus how = e.notice.returned ? FinalStatus::returned : FinalStatus::failed;
       pending_notifications_[e.message.id] = {
@@ -503,7 +503,7 @@
     journal_.recordAttempt(s->id, {s->endpoint, unixNow(), false, version});
     sends.push_back({s, it->second.attempts++, version});
   }
-  const bool kept = journal_.flush();
+  const bool kept = journal_.flush().has_value();
   if (!kept)
     log::write(log::Event::journal_write_failed);
   std::set<std::string> fresh;  // an answer may bring the next submission
--- a/src/core/journal.h
+++ b/src/core/journal.h
@@ -1,172 +1,112 @@
-// grademux: the journal of what this sender has taken on. Append-only records, each checksummed, written
-// before what they promise; compacted by writing anew and renaming. Times in it are Unix time, which holds
-// across processes. It keeps what happened and decides nothing.
+// The journal of the messages that this sender has accepted: an append-only file of checksummed records,
+// written before what they promise is done, and compacted by writing a new file and renaming it. Times in it
+// are Unix time, which holds across processes. The journal decides nothing.
+//
+// Used from the loop thread alone, but readMessage() from any thread or process. The caller owns the journal.
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <functional>
-#include <map>
 #include <string>
-#include <string_view>
-#include <unordered_map>
-#include <vector>
 
-#include "message.h"
+#include "disk_budget.h"
+#include "journal_state.h"
+#include "journal_types.h"
+#include "result.h"
 
 namespace grademux {
 
-struct JournaledAttempt {
-  std::string endpoint;
-  Micros sent_at = 0;  // Unix time
-  bool never_executed = false;
-  std::uint32_t version = 0;  // that it was decided under; 0: none was kept
-};
-
-struct Notice {
-  bool returned = false;  // else given up
-  std::int64_t retry_after_ms = 0;
-  Micros at = 0;  // Unix time
-};
-
-// A message that is over, kept as long as its id may come again.
-struct FinishedMessage {
-  FinalOutcome outcome;
-  std::uint64_t digest = 0;    // of its content
-  Micros remember_until = 0;   // Unix time
-  bool legacy_digest = false;  // the digest is of a version before 0.4, see digestByFnv()
-  std::uint32_t version = 0;   // of its last attempt; 0: none was kept
-};
-
 class Journal {
  public:
-  struct OpenEntry {
-    AcceptedMessage message;
-    std::vector<JournaledAttempt> attempts;
-    bool notice_pending = false;  // its notice is owed
-    Notice notice;
-    std::uint64_t order = 0;
-  };
-  struct Recovered {
-    std::vector<OpenEntry> entries;          // in the order in which they were taken on
-    std::vector<std::string> endpoint_list;  // the entries of discovery's last list, as JSON
-    std::int64_t list_index = -1;            // its version; -1: none is kept
-    std::vector<DestinationHealth> health;   // times in Unix time
-    std::size_t damaged_ranges = 0;          // stretches that could not be read
-    bool torn_tail = false;                  // the tail was cut
-  };
-
-  // Opens or creates the journal in `folder`. Throws std::runtime_error when that can't be done.
+  // Opens or creates the journal in `folder`. `disk_bytes` is the disk budget of the folder. Throws
+  // std::runtime_error if the file can't be opened or read.
   Journal(const std::string& folder, std::uint64_t disk_bytes);
   ~Journal();
-  // What a journal holds of one message, read without a change to it, also while a process owns it.
-  struct MessageRecord {
-    bool found = false, finished = false;
-    AcceptedMessage message;                 // while it is open
-    std::vector<JournaledAttempt> attempts;  // the same
-    FinishedMessage outcome;                 // once it has ended
-    std::map<std::uint32_t, std::string> versions;
-  };
-  // Throws std::runtime_error when the file can't be read.
-  static MessageRecord readMessage(const std::string& folder, const std::string& id);
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // How many processes have owned this journal, with this one: each start counts one on.
-  std::int64_t epoch() const { return epoch_; }
-  // Gives the file up: what waits is written, and from then on nothing is, whoever asks.
+  // Reads what a journal holds of one message without changing the file, also while a process owns it. Throws
+  // std::runtime_error if the file can't be read.
+  static JournaledMessage readMessage(const std::string& folder, const std::string& id);
+
+  // The number of processes that have owned this journal, with this one.
+  std::int64_t epoch() const { return state_.epoch(); }
+  // Writes what is buffered and closes the file. Nothing is written from then on.
   void release();
-  // Takes it back, as it was left; false if another process has written to it.
-  bool reacquire();
+  // Opens the file again. Fails with owned_by_other if another process has written to it.
+  Result<void, JournalError> reacquire();
 
-  const Recovered& recovered() const { return recovered_; }
+  // What the file held when it was opened.
+  const RecoveredJournal& recovered() const { return recovered_; }
   void clearRecovered() { recovered_ = {}; }
 
-  // Keeps room to take this on and to see it through, old and new file together. It holds until the next
-  // flush, by when the message is either taken on or refused. False: there is none.
-  bool reserveSpace(const AcceptedMessage& m);
+  // Reserves the space of a message until it is finished, for the old and the new file of a compaction
+  // together. The reservation holds until the next flush, by when the message is either accepted or rejected.
+  Result<void, JournalError> reserveSpace(const AcceptedMessage& message);
 
-  // The number by which attempts name a version; written once for all that have the same.
+  // The number by which attempts name a decision version. Each version is recorded once.
   std::uint32_t versionOf(const std::string& text);
-  const std::map<std::uint32_t, std::string>& versions() const { return versions_; }
+  const DecisionVersions& versions() const { return state_.decisionVersions(); }
+
+  // Each of these appends a record to a buffer, which flush() writes.
 
-  // Each of these appends to a buffer; flush() writes it. False: nothing was written, the buffer waits for
-  // the next flush, and what it promises must not be done.
-  void recordAccepted(
-      const AcceptedMessage& m);  // with the rules of its class, once for all that have the same
-  void recordAttempt(const std::string& id, const JournaledAttempt& a);
+  // The class version of the message is recorded once for all messages that share it.
+  void recordAccepted(const AcceptedMessage& message);
+  void recordAttempt(const std::string& id, const JournaledAttempt& attempt);
   void recordNeverExecuted(const std::string& id, std::size_t attempt);
-  void recordNoticePending(const std::string& id, const Notice& n);
-  // Delivered, withdrawn, or its notice was answered: nothing more is owed, and its id is remembered.
-  void recordFinished(const std::string& id, const FinishedMessage& past);
-  void dropUnwritten(const std::string& id);  // it was not taken on after all
-  // Endpoints by name, as JSON, empty for one that is gone; `index` is the version of the list once these
-  // have been taken over. Costs what changed; the whole list is written by a compaction alone. False: the
-  // list takes more than a quarter of the disk budget, and is kept no more until one that fits is listed
-  // whole.
-  bool recordEndpointList(const std::vector<std::pair<std::string, std::string>>& changes, std::int64_t index,
-                          bool whole);
-  void recordHealth(const DestinationHealth& a);  // in Unix time; one that is healthy since
-                                                  // before 1970, and waits for nothing, is kept no more
-  void expireHealth(Micros before);               // Unix time: not heard of since
-  bool flush();
-
-  // Other files in the folder, which count against its budget: so many bytes of them. Where the journal needs
-  // that room `give_way` is asked to remove them; false: they can't go now.
-  void setOtherFilesBytes(std::uint64_t bytes) { other_files_bytes_ = bytes; }
-  void onSpaceNeeded(std::function<bool()> give_way) { free_space_ = std::move(give_way); }
-  // Bytes that the journal leaves of its budget, with some to spare for what comes next.
+  void recordNoticePending(const std::string& id, const Notice& notice);
+  // The message was delivered or withdrawn, or its notice was delivered: its id is remembered, nothing else
+  // remains.
+  void recordFinished(const std::string& id, const FinishedMessage& finished);
+  // The message was not accepted after all.
+  void dropUnwritten(const std::string& id);
+  // `index` is the version of the list once these changes are applied; `whole`: they are the whole list.
+  // Fails with endpoint_list_too_large if the list takes more than a quarter of the disk budget: the list is
+  // then not stored until a whole one that fits is recorded.
+  Result<void, JournalError> recordEndpointList(const EndpointChanges& changes, std::int64_t index,
+                                                bool whole);
+  // Times are Unix time. Health that says no more than a destination without a record is removed.
+  void recordHealth(const DestinationHealth& health);
+  // Removes health that was last observed before this Unix time.
+  void expireHealth(Micros before) { state_.expireHealth(before); }
+
+  // Writes the buffer. On an error nothing was written, the buffer waits for the next flush, and what the
+  // records promise must not be done.
+  Result<void, JournalError> flush();
+
+  // The bytes of other files in the folder, which count against the same budget.
+  void setOtherFilesBytes(std::uint64_t bytes) { budget_.setOtherFiles(bytes); }
+  // `free_space` is called from within reserveSpace() and flush() when the journal needs the space of the
+  // other files; it returns false if they can't be removed at the moment.
+  void onSpaceNeeded(std::function<bool()> free_space) { budget_.onSpaceNeeded(std::move(free_space)); }
+  // Bytes that the journal leaves of its budget, less a margin for the next records.
   std::uint64_t spareBytes() const;
 
-  // What is known of the end of `id`: null if it is open, unknown, or forgotten.
-  const FinishedMessage* findFinished(const std::string& id) const;
-  void expireFinished(Micros now);  // Unix time: what may not come again
+  // The final outcome of `id`; null if the message is open, unknown or expired.
+  const FinishedMessage* findFinished(const std::string& id) const { return state_.finished().find(id); }
+  // Removes finished messages that need not be remembered after `now`, in Unix time.
+  void expireFinished(Micros now) { state_.finished().expire(now); }
 
  private:
-  Journal() = default;
-  bool acquire();
-  std::uint64_t availableBytes() const { return disk_ > other_files_bytes_ ? disk_ - other_files_bytes_ : 0; }
-  void remember(const std::string& id, const FinishedMessage& past);
-  void setEntry(const std::string& name, std::string text);
-  void dropList();
-  void eraseEntry(const std::string& id);
-  void applyList(const std::string& payload);
+  void openFile();
+  void recover();
   void append(const std::string& payload);
-  void apply(const std::string& payload);
-  std::int64_t classVersionNumber(const ClassVersion& rules);
-  void storeClassVersion(std::int64_t number, ClassVersion rules);
-  void replay(const std::string& data);
-  void assumeExecuted();
-  std::uint64_t liveBytes() const;
-  bool compact();
-
-  std::string path_, fresh_path_;
-  std::uint64_t other_files_bytes_ = 0;
-  std::function<bool()> free_space_;
-  std::uint64_t disk_ = 0, size_ = 0, reserved_ = 0, next_order_ = 0;
-  std::int64_t epoch_ = 0;
-  std::uint64_t left_inode_ = 0;  // of the file that was given up
-  int fd_ = -1;
+  std::int64_t recordClassVersion(const ClassVersion& version);
+  bool needsCompaction(std::uint64_t size_after, std::uint64_t live) const;
+  Result<void, JournalError> compact();
+  Result<void, JournalError> replaceWith(const std::string& data);
+
+  std::string path_;
+  std::string compaction_path_;
+  DiskBudget budget_;
+  JournalState state_;
+  RecoveredJournal recovered_;
   std::string buffer_;
-  // Versions of classes that the file has, by the number that its messages name.
-  std::map<std::int64_t, ClassVersion> class_versions_;
-  std::unordered_map<const MessageClass*, std::int64_t> class_version_numbers_;
-  std::int64_t next_class_version_ = 0;
-  std::uint64_t class_version_bytes_ = 0;
-  std::map<std::uint32_t, std::string> versions_;  // the last, and those that attempts name
-  std::uint64_t versions_bytes_ = 0;
-  std::unordered_map<std::string, OpenEntry> entries_;
-  std::uint64_t entry_bytes_ = 0;  // of those, with what each is seen through by
-  // Ends in the order in which they may be forgotten, and where each stands (a deque moves none of them).
-  std::deque<std::pair<std::string, FinishedMessage>> finished_;
-  std::unordered_map<std::string_view, FinishedMessage*> finished_by_id_;
-  std::uint64_t finished_bytes_ = 0;
-  std::map<std::string, std::string> list_;  // by name
-  std::int64_t list_index_ = -1;
-  std::uint64_t list_bytes_ = 0;
-  bool list_fits_ = true, list_begun_ = false;
-  std::map<std::pair<std::int64_t, std::string>, DestinationHealth> health_;  // the latest of each
-  Recovered recovered_;
+  std::uint64_t size_ = 0;            // of the file
+  std::uint64_t reserved_ = 0;        // bytes for messages that wait for the next flush
+  std::uint64_t released_inode_ = 0;  // of the file that was released
+  int fd_ = -1;                       // -1: released
+  bool endpoint_list_fits_ = true;
 };
 
 }  // namespace grademux
--- /dev/null
+++ b/src/core/journal_state.h
@@ -0,0 +1,90 @@
+// What a journal holds, in memory: built by applying its records in order, at recovery and at each append. No
+// I/O.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "class_version_table.h"
+#include "finished_messages.h"
+#include "journal_record.h"
+#include "journaled_endpoint_list.h"
+
+namespace grademux {
+
+// Versions that open or remembered messages name.
+struct ReferencedVersions {
+  std::set<std::uint32_t> decision_versions;
+  std::set<std::int64_t> class_versions;
+};
+
+class JournalState {
+ public:
+  // An error means that the record, or a part of it, could not be used.
+  Result<void, RecordError> apply(std::string_view payload);
+  // Records were lost, among which may have been an attempt of any open message: each message counts as
+  // attempted at the time of its last known attempt, so that damage never causes a second execution.
+  // Non-idempotent messages among them can fail although they were never sent.
+  void onRecordsLost();
+
+  // The entry of an open message, or null.
+  const JournalEntry* findOpen(const std::string& message_id) const;
+  std::vector<const JournalEntry*> entriesInOrder() const;
+  RecoveredJournal contents() const;
+  ReferencedVersions referencedVersions() const;
+  void retainVersions(const ReferencedVersions& referenced);
+  void expireHealth(Micros before);  // Unix time of the last observation
+
+  // Bytes that a compaction would write, at most.
+  std::uint64_t liveBytes() const;
+
+  std::int64_t epoch() const { return epoch_; }
+  void startEpoch() { ++epoch_; }
+  FinishedMessages& finished() { return finished_; }
+  const FinishedMessages& finished() const { return finished_; }
+  ClassVersionTable& classVersions() { return class_versions_; }
+  const ClassVersionTable& classVersions() const { return class_versions_; }
+  const DecisionVersions& decisionVersions() const { return decision_versions_; }
+  const JournaledEndpointList& endpointList() const { return endpoint_list_; }
+
+  using HealthKey = std::pair<std::int64_t, std::string>;  // destination, endpoint
+  const std::map<HealthKey, DestinationHealth>& health() const { return health_; }
+
+ private:
+  Result<void, RecordError> applyRecord(AcceptedRecord& record);
+  Result<void, RecordError> applyRecord(AttemptRecord& record);
+  Result<void, RecordError> applyRecord(NeverExecutedRecord& record);
+  Result<void, RecordError> applyRecord(NoticePendingRecord& record);
+  Result<void, RecordError> applyRecord(DiscardedRecord& record);
+  Result<void, RecordError> applyRecord(FinishedRecord& record);
+  Result<void, RecordError> applyRecord(FinishedBatchRecord& record);
+  Result<void, RecordError> applyRecord(EndpointChangesRecord& record);
+  Result<void, RecordError> applyRecord(LegacyEndpointListRecord& record);
+  Result<void, RecordError> applyRecord(HealthRecord& record);
+  Result<void, RecordError> applyRecord(EpochRecord& record);
+  Result<void, RecordError> applyRecord(DecisionVersionRecord& record);
+  Result<void, RecordError> applyRecord(ClassVersionRecord& record);
+  JournalEntry* findEntry(const std::string& message_id);
+  void eraseEntry(const std::string& message_id);
+
+  std::int64_t epoch_ = 0;
+  std::unordered_map<std::string, JournalEntry> entries_;
+  std::uint64_t entry_bytes_ = 0;  // with the bytes reserved for what each will still write
+  std::uint64_t last_order_ = 0;
+  FinishedMessages finished_;
+  JournaledEndpointList endpoint_list_;
+  std::map<HealthKey, DestinationHealth> health_;  // the latest of each
+  ClassVersionTable class_versions_;
+  DecisionVersions decision_versions_;  // the last, and those that messages name
+  std::uint64_t decision_version_bytes_ = 0;
+};
+
+// Bytes that an accepted message may take until it is finished: itself, its attempts, its final outcome and
+// its notice.
+std::uint64_t reservedBytes(const AcceptedMessage& message);
+
+}  // namespace grademux
--- a/tests/core/journal_fixture_test.cpp
+++ b/tests/core/journal_fixture_test.cpp
@@ -28,10 +28,10 @@
     journal_ = std::make_unique<Journal>(folder_.path(), kDiskBudgetBytes);
   }
 
-  const Journal::OpenEntry& entry(const std::string& id) const {
+  const JournalEntry& entry(const std::string& id) const {
     const auto& entries = journal_->recovered().entries;
     const auto found = std::find_if(entries.begin(), entries.end(),
-                                    [&](const Journal::OpenEntry& e) { return e.message.id == id; });
+                                    [&](const JournalEntry& e) { return e.message.id == id; });
     if (found == entries.end())
       throw std::runtime_error("not recovered: " + id);
     return *found;
@@ -49,7 +49,7 @@
 
 TEST_P(JournalFixture, RecoversOpenMessagesInTheOrderOfAcceptance) {
   std::vector<std::string> ids;
-  for (const Journal::OpenEntry& e : journal_->recovered().entries)
+  for (const JournalEntry& e : journal_->recovered().entries)
     ids.push_back(e.message.id);
   EXPECT_EQ(ids, (std::vector<std::string>{"open", "repeated", "returned", "unclassed", "failed"}));
 }
@@ -102,12 +102,12 @@
 }
 
 TEST_P(JournalFixture, RecoversPendingNotices) {
-  const Journal::OpenEntry& returned = entry("returned");
+  const JournalEntry& returned = entry("returned");
   EXPECT_TRUE(returned.notice_pending);
   EXPECT_TRUE(returned.notice.returned);
   EXPECT_EQ(returned.notice.retry_after_ms, 250);
   EXPECT_EQ(returned.notice.at, 1000);
-  const Journal::OpenEntry& failed = entry("failed");
+  const JournalEntry& failed = entry("failed");
   EXPECT_TRUE(failed.notice_pending);
   EXPECT_FALSE(failed.notice.returned);
   EXPECT_EQ(failed.notice.at, 2000);
--- a/tests/core/journal_test.cpp
+++ b/tests/core/journal_test.cpp
@@ -1,4 +1,4 @@
-// The journal on files alone: what a killed process leaves, torn and damaged records, a full budget.
+// The journal on files: recovery after a kill, torn and damaged records, the disk budget.
 #include "../../src/core/journal.h"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
   std::ofstream(path, std::ios::binary | std::ios::trunc) << data;
 }
 
-TEST(Journal, GivesBackWhatIsOpenInTheOrderTaken) {
+TEST(Journal, RecoversOpenMessagesInTheOrderOfAcceptance) {
   TempFolder t;
   {
     Journal j(t.path(), 3'000'000);
@@ -48,7 +48,7 @@
     j.recordNoticePending("b", {true, 250, 0});
     j.recordHealth({"", 7, false, 11});
     j.recordHealth({"", 7, true, 99});
-    j.recordEndpointList({{"e1", "{\"name\":\"e1\"}"}}, 4, true);
+    ASSERT_TRUE(j.recordEndpointList({{"e1", "{\"name\":\"e1\"}"}}, 4, true));
     ASSERT_TRUE(j.flush());
   }
   Journal j(t.path(), 3'000'000);
@@ -78,19 +78,19 @@
 
 constexpr std::size_t kEpochRecord = 12 + 1 + 8;  // bytes
 
-TEST(Journal, CutsATornTailAtEveryLengthAndKeepsTheRest) {
+TEST(Journal, TruncatesATornTailOfAnyLengthAndKeepsTheRest) {
   TempFolder t;
   const std::string path = t.path() + "/journal";
   {
     Journal j(t.path(), 3'000'000);
     j.recordAccepted(message("a"));
-    j.flush();
+    ASSERT_TRUE(j.flush());
   }
   const std::string first = readFile(path);
   {
     Journal j(t.path(), 3'000'000);
     j.recordAccepted(message("b"));
-    j.flush();
+    ASSERT_TRUE(j.flush());
   }
   const std::string both = readFile(path);
   for (std::size_t size = first.size(); size < both.size(); ++size) {
@@ -100,7 +100,7 @@
       ASSERT_EQ(1u, j.recovered().entries.size()) << size;
       // Cut right after the record of the second owner's epoch nothing is torn.
       EXPECT_EQ(size > first.size() && size != first.size() + kEpochRecord, j.recovered().torn_tail) << size;
-      j.recordAccepted(message("c"));  // what comes after the cut is sound
+      j.recordAccepted(message("c"));  // records after the truncation are intact
       ASSERT_TRUE(j.flush());
     }
     Journal again(t.path(), 3'000'000);
@@ -108,20 +108,21 @@
   }
 }
 
-// A damaged record may have been an attempt of what was open: it must not be sent as if untried.
-TEST(Journal, PassesOverADamagedRecordAndDoubtsWhatWasOpen) {
+// A damaged record may have been an attempt of an open message: the message must not be sent as if it had
+// none.
+TEST(Journal, SkipsADamagedRecordAndAssumesAttemptsOfOpenMessages) {
   TempFolder t;
   const std::string path = t.path() + "/journal";
   std::size_t before = 0;
   {
     Journal j(t.path(), 3'000'000);
     j.recordAccepted(message("a"));
-    j.flush();
+    ASSERT_TRUE(j.flush());
     before = std::filesystem::file_size(path);
     j.recordAttempt("a", {"e1", 55, false});
-    j.flush();
+    ASSERT_TRUE(j.flush());
     j.recordAccepted(message("b"));
-    j.flush();
+    ASSERT_TRUE(j.flush());
   }
   const std::string whole = readFile(path);
   for (std::size_t at = before; at < before + 20; ++at) {
@@ -134,7 +135,7 @@
     EXPECT_EQ(1u, r.damaged_ranges);
     ASSERT_EQ(1u, r.entries[0].attempts.size());
     EXPECT_FALSE(r.entries[0].attempts[0].never_executed);
-    EXPECT_TRUE(r.entries[1].attempts.empty());  // taken on after the damage
+    EXPECT_TRUE(r.entries[1].attempts.empty());  // accepted after the damage
   }
 }
 
@@ -145,8 +146,9 @@
   return sum;
 }
 
-// A budget that is exceeded is a crash: so what would not fit is refused, and room comes back with ends.
-TEST(Journal, StaysInsideItsBudgetOldAndNewFileTogether) {
+// Exceeding the budget would end the process: messages that do not fit are rejected, and finished ones free
+// space.
+TEST(Journal, StaysWithinTheDiskBudgetDuringCompaction) {
   TempFolder t;
   const std::uint64_t budget = 1'000'000;
   Journal j(t.path(), budget);
@@ -175,8 +177,8 @@
   EXPECT_EQ(open.size(), again.recovered().entries.size());
 }
 
-// Risk: an id whose message ended before a restart is taken on anew, and runs twice.
-TEST(Journal, RemembersEndsOverRestartAndCompactionUntilTheirTime) {
+// Risk: an id whose message finished before a restart is accepted again, and executes twice.
+TEST(Journal, RemembersFinishedMessagesAcrossRestartAndCompactionUntilTheyExpire) {
   TempFolder t;
   const FinishedMessage delivered{{FinalStatus::delivered, 5, 0}, 77, 1000},
       back{{FinalStatus::returned, 6, 250}, 78, 2000};
@@ -195,10 +197,10 @@
     EXPECT_EQ(9, j.recovered().entries[0].notice.at);
     ASSERT_NE(nullptr, j.findFinished("a"));
     EXPECT_EQ(77u, j.findFinished("a")->digest);
-    EXPECT_EQ(nullptr, j.findFinished("b"));  // not before its notice is told
+    EXPECT_EQ(nullptr, j.findFinished("b"));  // not before its notice is delivered
     EXPECT_EQ(nullptr, j.findFinished("c"));
     j.recordFinished("b", back);
-    for (int i = 0; i < 3000; ++i) {  // until it has been compacted
+    for (int i = 0; i < 3000; ++i) {  // until it is compacted
       j.recordAccepted(message("x", 1000));
       j.dropUnwritten("x");
       ASSERT_TRUE(j.flush());
@@ -216,8 +218,8 @@
   EXPECT_EQ(nullptr, j.findFinished("b"));
 }
 
-// What is remembered of ends is part of the budget: it is never over it, and room comes back with time.
-TEST(Journal, EndsThatAreRememberedStayInsideTheBudget) {
+// Remembered messages count against the budget and free their space when they expire.
+TEST(Journal, KeepsRememberedMessagesWithinTheDiskBudget) {
   TempFolder t;
   const std::uint64_t budget = 400'000;
   Journal j(t.path(), budget);
@@ -240,7 +242,7 @@
   EXPECT_GT(refused, 100);
 }
 
-TEST(Journal, FailsPlainlyWhereItCannotBeKept) {
+TEST(Journal, ThrowsWhenItsFolderDoesNotExist) {
   EXPECT_THROW(Journal("/nonexistent/folder", 3'000'000), std::runtime_error);
 }
 
@@ -249,7 +251,6 @@
   return "{\"name\":\"e" + std::to_string(i) + "\",\"group\":" + std::to_string(i) + "}";
 }
 
-// Risk: a kill within the write of a long change leaves a version that claims what is not there.
 ClassVersion version(const std::string& name, Idempotency effect) {
   MessageClass c;
   c.name = name;
@@ -263,8 +264,8 @@
   return std::make_shared<const MessageClass>(std::move(c));
 }
 
-// Risk: after a restart a message is held to the rules that its class has by then.
-TEST(JournalRules, AMessageKeepsThoseItCameUnder) {
+// Risk: after a restart a message is treated by the newer version of its class.
+TEST(JournalClassVersions, RecoversEachMessageWithTheVersionItWasAcceptedUnder) {
   TempFolder t;
   const ClassVersion first = version("payment", Idempotency::non_idempotent),
                      second = version("payment", Idempotency::idempotent);
@@ -275,7 +276,7 @@
     b.class_version = second;
     j.recordAccepted(a);
     j.recordAccepted(b);
-    j.recordAccepted(c);              // before versions were kept
+    j.recordAccepted(c);              // as before class versions were recorded
     for (int i = 0; i < 2000; ++i) {  // enough for compactions
       AcceptedMessage m = message("x" + std::to_string(i));
       m.class_version = second;
@@ -299,8 +300,8 @@
   }
 }
 
-// Risk: the record of the rules is damaged, and a payment is held to laxer ones.
-TEST(JournalRules, ThoseThatDamageTookAreTheStrictest) {
+// Risk: the record of the class version is damaged, and a non-idempotent message is repeated.
+TEST(JournalClassVersions, FallsBackToTheStrictestWhenTheRecordIsDamaged) {
   TempFolder t;
   {
     Journal j(t.path(), 3'000'000);
@@ -322,15 +323,15 @@
   }
 }
 
-// Risk: a process that gave the journal up writes into it, or takes it back after another has.
-TEST(JournalOwner, WritesNothingOnceItIsGivenUp) {
+// Risk: a process writes into a journal that it released, or reacquires it after another process has written.
+TEST(JournalOwnership, WritesNothingAfterRelease) {
   TempFolder t;
   Journal j(t.path(), 3'000'000);
   EXPECT_EQ(1, j.epoch());
   j.recordAccepted(message("a"));
   ASSERT_TRUE(j.flush());
   j.recordAccepted(message("b"));
-  j.release();  // what waits goes out with it
+  j.release();  // flushes the buffer
   const std::string left = readFile(t.path() + "/journal");
   j.recordAccepted(message("c"));
   EXPECT_FALSE(j.flush());
@@ -351,7 +352,8 @@
   EXPECT_EQ(3u, third.recovered().entries.size());
 }
 
-TEST(JournalList, ATornChangeKeepsTheVersionBefore) {
+// Risk: a kill within the write of a long change leaves a list version that claims changes it lacks.
+TEST(JournalEndpointList, KeepsThePreviousVersionWhenAChangeIsTorn) {
   TempFolder t;
   const std::string path = t.path() + "/journal";
   Changes many;
@@ -359,14 +361,14 @@
     many.emplace_back("e" + std::to_string(i), listed(i));
   {
     Journal j(t.path(), 30'000'000);
-    j.recordEndpointList({{"e7", listed(1)}, {"old", listed(2)}}, 1, true);
+    ASSERT_TRUE(j.recordEndpointList({{"e7", listed(1)}, {"old", listed(2)}}, 1, true));
     ASSERT_TRUE(j.flush());
   }
   const std::size_t before = readFile(path).size();
   {
     Journal j(t.path(), 30'000'000);
-    j.recordEndpointList(many, 2, false);
-    j.recordEndpointList({{"old", ""}}, 3, false);
+    ASSERT_TRUE(j.recordEndpointList(many, 2, false));
+    ASSERT_TRUE(j.recordEndpointList({{"old", ""}}, 3, false));
     ASSERT_TRUE(j.flush());
   }
   const std::string all = readFile(path);
@@ -385,20 +387,20 @@
   }
 }
 
-// Risk: a change that damage has swallowed was a drain, and the list is used as if it were whole.
-TEST(JournalList, ADamagedChangeDropsTheListUntilItBeginsAnew) {
+// Risk: the damaged change was a draining endpoint, and the list is used as if it were complete.
+TEST(JournalEndpointList, DropsTheListAfterDamageUntilAWholeOneIsRecorded) {
   TempFolder t;
   const std::string path = t.path() + "/journal";
   std::size_t at = 0;
   {
     Journal j(t.path(), 3'000'000);
-    j.recordEndpointList({{"e1", listed(1)}}, 1, true);
-    j.flush();
+    ASSERT_TRUE(j.recordEndpointList({{"e1", listed(1)}}, 1, true));
+    ASSERT_TRUE(j.flush());
     at = readFile(path).size();
-    j.recordEndpointList({{"e2", listed(2)}}, 2, false);
-    j.flush();
-    j.recordEndpointList({{"e3", listed(3)}}, 3, false);
-    j.flush();
+    ASSERT_TRUE(j.recordEndpointList({{"e2", listed(2)}}, 2, false));
+    ASSERT_TRUE(j.flush());
+    ASSERT_TRUE(j.recordEndpointList({{"e3", listed(3)}}, 3, false));
+    ASSERT_TRUE(j.flush());
   }
   std::string data = readFile(path);
   data[at + 20] ^= 1;
@@ -408,15 +410,15 @@
     EXPECT_EQ(j.recovered().damaged_ranges, 1u);
     EXPECT_TRUE(j.recovered().endpoint_list.empty());
     EXPECT_EQ(j.recovered().list_index, -1);
-    j.recordEndpointList({{"e4", listed(4)}}, 4, true);
-    j.flush();
+    ASSERT_TRUE(j.recordEndpointList({{"e4", listed(4)}}, 4, true));
+    ASSERT_TRUE(j.flush());
   }
   const Journal j(t.path(), 3'000'000);
   EXPECT_EQ(j.recovered().endpoint_list, std::vector<std::string>{listed(4)});
   EXPECT_EQ(j.recovered().list_index, 4);
 }
 
-TEST(JournalList, ChangesCostWhatChangedAndACompactionKeepsTheWhole) {
+TEST(JournalEndpointList, AppendsChangesAloneAndCompactsToTheWholeList) {
   TempFolder t;
   Changes many;
   for (int i = 0; i < 20'000; ++i)
@@ -427,12 +429,12 @@
     ASSERT_TRUE(j.flush());
     const auto whole = std::filesystem::file_size(t.path() + "/journal");
     for (int i = 0; i < 200; ++i) {
-      j.recordEndpointList({{"e" + std::to_string(i), i % 2 ? "" : listed(-i)}}, 2 + i, false);
+      ASSERT_TRUE(j.recordEndpointList({{"e" + std::to_string(i), i % 2 ? "" : listed(-i)}}, 2 + i, false));
       ASSERT_TRUE(j.flush());
     }
     EXPECT_LT(std::filesystem::file_size(t.path() + "/journal"), whole + 200 * 128);
-    for (int i = 0; i < 9000; ++i) {  // until it is written anew
-      j.recordEndpointList({{"x", listed(i)}}, 300 + i, false);
+    for (int i = 0; i < 9000; ++i) {  // until it is compacted
+      ASSERT_TRUE(j.recordEndpointList({{"x", listed(i)}}, 300 + i, false));
       ASSERT_TRUE(j.flush());
     }
   }
@@ -442,15 +444,15 @@
   EXPECT_EQ(j.recovered().damaged_ranges, 0u);
 }
 
-// Risk: a list that is larger than the disk budget has every message refused.
-TEST(JournalList, AListTooLargeToBeKeptLeavesRoomForMessages) {
+// Risk: a list that is larger than the disk budget causes every message to be rejected.
+TEST(JournalEndpointList, LeavesSpaceForMessagesWhenTheListIsTooLarge) {
   TempFolder t;
   Journal j(t.path(), 1'000'000);
   Changes many;
   for (int i = 0; i < 20'000; ++i)
     many.emplace_back("e" + std::to_string(i), listed(i));
   EXPECT_FALSE(j.recordEndpointList(many, 1, true));
-  EXPECT_TRUE(j.recordEndpointList({{"e1", listed(5)}}, 2, false));  // said once
+  EXPECT_TRUE(j.recordEndpointList({{"e1", listed(5)}}, 2, false));  // reported once
   ASSERT_TRUE(j.flush());
   ASSERT_TRUE(j.reserveSpace(message("a")));
   j.recordAccepted(message("a"));
@@ -459,7 +461,7 @@
 }
 
 // Earlier versions wrote the whole list as one text.
-TEST(JournalList, ReadsTheListOfEarlierVersions) {
+TEST(JournalEndpointList, ReadsTheRecordOfEarlierVersions) {
   TempFolder t;
   const std::string text = R"({"index":5,"snapshot":true,"endpoints":[{"group":1,"name":"e1"}]})";
   std::string payload = "L";
@@ -480,7 +482,7 @@
   EXPECT_EQ(j.recovered().endpoint_list, std::vector<std::string>{R"({"group":1,"name":"e1"})"});
 }
 
-TEST(JournalAilments, AHealthyOneIsKeptNoMoreAndOldOnesCanBeDropped) {
+TEST(JournalHealth, DropsHealthyDestinationsAndExpiresOldRecords) {
   TempFolder t;
   {
     Journal j(t.path(), 3'000'000);
@@ -488,7 +490,7 @@
     j.recordHealth({"r", 2, true, 100});
     j.recordHealth({"", 3, true, 900});
     j.recordHealth({"", 1, false, -5});
-    j.flush();
+    ASSERT_TRUE(j.flush());
   }
   Journal j(t.path(), 3'000'000);
   ASSERT_EQ(j.recovered().health.size(), 2u);
@@ -497,16 +499,16 @@
   for (int i = 0; i < 20'000; ++i)
     j.recordAttempt("a", {"e", i, false});
   j.recordFinished("a", {});
-  j.flush();
+  ASSERT_TRUE(j.flush());
   j.recordAccepted(message("b"));
-  j.flush();
+  ASSERT_TRUE(j.flush());
   const Journal again(t.path(), 3'000'000);
   ASSERT_EQ(again.recovered().health.size(), 1u);
   EXPECT_EQ(again.recovered().health[0].destination, 3);
 }
 
-// What else stands in the folder counts against its budget, and goes before a message is turned away.
-TEST(JournalBeside, GivesWayWhereTheJournalNeedsTheRoom) {
+// Other files in the folder count against the budget, and are removed before a message is rejected.
+TEST(JournalDiskBudget, ReclaimsTheSpaceOfOtherFilesWhenNeeded) {
   const auto fill = [](bool gives_way, int& asked) {
     loopback::TempFolder folder;
     Journal j(folder.path(), 2'000'000);
@@ -540,9 +542,8 @@
   EXPECT_EQ(goes, 1);
 }
 
-// A journal of a version that kept no waits is read; a wait is kept, and goes when it is over and nothing
-// ails.
-TEST(JournalAilments, KeepAToldWait) {
+// Health with a pending Retry-After is kept; healthy destinations without one are not.
+TEST(JournalHealth, KeepsAPendingRetryAfter) {
   loopback::TempFolder folder;
   {
     Journal j(folder.path(), 3'000'000);
@@ -556,9 +557,7 @@
   EXPECT_EQ(j.recovered().health[0].observed_at, 100);
 }
 
-// ---- versions that attempts are decided under
-
-TEST(JournalVersions, AttemptsAndEndsNameThoseTheyWereDecidedUnder) {
+TEST(JournalDecisionVersions, RecordsTheVersionOfAttemptsAndFinishedMessages) {
   TempFolder t;
   const auto attempt = [](std::uint32_t version) {
     JournaledAttempt a;
@@ -581,8 +580,8 @@
     ASSERT_TRUE(j.flush());
   }
   for (int round = 0; round < 2; ++round) {  // as it was written, and after a compaction
-    const Journal::MessageRecord open = Journal::readMessage(t.path(), "open"),
-                                 over = Journal::readMessage(t.path(), "over");
+    const JournaledMessage open = Journal::readMessage(t.path(), "open"),
+                           over = Journal::readMessage(t.path(), "over");
     ASSERT_TRUE(open.found && !open.finished && over.found && over.finished);
     ASSERT_EQ(open.attempts.size(), 3u + static_cast<std::size_t>(round));  // one more for the damage
     EXPECT_EQ(open.versions.at(open.attempts[0].version), "{\"plan\":1}");
@@ -590,7 +589,7 @@
     EXPECT_EQ(open.attempts[2].version, 0u);
     EXPECT_EQ(over.versions.at(over.outcome.version), "{\"plan\":1}");
     EXPECT_FALSE(Journal::readMessage(t.path(), "nobody").found);
-    // Damage in the middle makes the next start write all anew.
+    // Damage in the middle makes the next start compact.
     std::string data = readFile(t.path() + "/journal");
     Journal j(t.path(), 3'000'000);
     j.recordAccepted(message("gone"));
@@ -603,13 +602,13 @@
     Journal k(t.path(), 3'000'000);
     EXPECT_EQ(k.recovered().damaged_ranges, 1u);
     EXPECT_EQ(k.versionOf("{\"plan\":" + std::to_string(3 + round) + "}"),
-              3u + static_cast<std::uint32_t>(round));  // no number comes twice
+              3u + static_cast<std::uint32_t>(round));  // no number is used twice
     ASSERT_TRUE(k.flush());
   }
 }
 
-// Looking on changes nothing, not even a torn tail: its owner may be writing it.
-TEST(JournalVersions, LookingOnTouchesNothing) {
+// Not even a torn tail is truncated: the owner may be writing it.
+TEST(JournalReadMessage, LeavesTheFileUnchanged) {
   TempFolder t;
   {
     Journal j(t.path(), 3'000'000);
