--- a/include/grademux/settings.h
+++ b/include/grademux/settings.h
@@ -1,5 +1,5 @@
 // grademux: what a site tells the decision module: classes of messages, tenants, kinds of destinations,
-// limits and rules. Types only; src/decision/check.h checks them.
+// limits and rules. Types only; src/decision/settings_check.h checks them.
 #pragma once
 
 #include <cstdint>
--- a/model/experiment.cpp
+++ b/model/experiment.cpp
@@ -85,7 +85,7 @@
   }
   if (const toml::node* tune = t.node("tune")) {
     if (!tune->is_table()) {
-      t.expected("tune", "a table is expected, as { kBurst = 1.0 }");
+      t.expected("tune", "a table is expected, as { kBurstSeconds = 1.0 }");
     } else {
       Table values(*tune->as_table(), "variant.tune", mistakes);
       for (const TunedValue& own : tunedValues())
--- a/model/tuned.cpp
+++ b/model/tuned.cpp
@@ -31,7 +31,7 @@
 #define decision tuned_decision
 #include "tuned.h"
 #define constexpr inline thread_local
-#include "../src/decision/logic.cpp"
+#include "../src/decision/sender.cpp"
 #undef constexpr
 #undef decision
 #undef Sender
@@ -53,18 +53,37 @@
 #name, [] { return static_cast<double>(values::name); }, \
    [](double x) { values::name = static_cast<decltype(values::name)>(x); } \
   }
-const Place kPlaces[] = {
-    GRADEMUX_TUNED(kRare),        GRADEMUX_TUNED(kTimeoutRatio),   GRADEMUX_TUNED(kRemember),
-    GRADEMUX_TUNED(kIdleCredit),  GRADEMUX_TUNED(kBurst),          GRADEMUX_TUNED(kShareMost),
-    GRADEMUX_TUNED(kShareStart),  GRADEMUX_TUNED(kShareCut),       GRADEMUX_TUNED(kShareFloor),
-    GRADEMUX_TUNED(kShareEase),   GRADEMUX_TUNED(kNearlyUsed),     GRADEMUX_TUNED(kShareGrowth),
-    GRADEMUX_TUNED(kStretchMost), GRADEMUX_TUNED(kTrialGap),       GRADEMUX_TUNED(kLaneShare),
-    GRADEMUX_TUNED(kFailMost),    GRADEMUX_TUNED(kFailGain),       GRADEMUX_TUNED(kStreak),
-    GRADEMUX_TUNED(kSlowRatio),   GRADEMUX_TUNED(kRecentGain),     GRADEMUX_TUNED(kUsualGain),
-    GRADEMUX_TUNED(kStallRatio),  GRADEMUX_TUNED(kUnsafePatience), GRADEMUX_TUNED(kRiskMost),
-    GRADEMUX_TUNED(kDeadSigns),   GRADEMUX_TUNED(kSuspect),        GRADEMUX_TUNED(kReuseLeast),
-    GRADEMUX_TUNED(kCrowd),       GRADEMUX_TUNED(kQueue),          GRADEMUX_TUNED(kWorthKept),
-    GRADEMUX_TUNED(kHoldReserve)};
+const Place kPlaces[] = {GRADEMUX_TUNED(kRareSenderFraction),
+                         GRADEMUX_TUNED(kTimeoutRatio),
+                         GRADEMUX_TUNED(kRetentionSpans),
+                         GRADEMUX_TUNED(kIdleCredit),
+                         GRADEMUX_TUNED(kBurstSeconds),
+                         GRADEMUX_TUNED(kMaxQuotaFraction),
+                         GRADEMUX_TUNED(kInitialQuotaShares),
+                         GRADEMUX_TUNED(kRejectionQuotaFactor),
+                         GRADEMUX_TUNED(kMinQuotaShares),
+                         GRADEMUX_TUNED(kLowAllowanceQuotaFactor),
+                         GRADEMUX_TUNED(kLowAllowanceFraction),
+                         GRADEMUX_TUNED(kQuotaGrowthShares),
+                         GRADEMUX_TUNED(kMaxGapStretch),
+                         GRADEMUX_TUNED(kTrialGapFraction),
+                         GRADEMUX_TUNED(kOutlierCallFraction),
+                         GRADEMUX_TUNED(kMaxFailureFraction),
+                         GRADEMUX_TUNED(kFailureGain),
+                         GRADEMUX_TUNED(kConsecutiveFailureThreshold),
+                         GRADEMUX_TUNED(kSlowLatencyRatio),
+                         GRADEMUX_TUNED(kRecentLatencyGain),
+                         GRADEMUX_TUNED(kTypicalLatencyGain),
+                         GRADEMUX_TUNED(kOverdueRatio),
+                         GRADEMUX_TUNED(kNonIdempotentTimeoutFactor),
+                         GRADEMUX_TUNED(kMaxUnknownOutcomeFraction),
+                         GRADEMUX_TUNED(kStaleConnectionThreshold),
+                         GRADEMUX_TUNED(kStaleConnectionSpans),
+                         GRADEMUX_TUNED(kMinExpectedReuses),
+                         GRADEMUX_TUNED(kReuseSenderCount),
+                         GRADEMUX_TUNED(kMaxQueueTimeFraction),
+                         GRADEMUX_TUNED(kMinRetainedPriority),
+                         GRADEMUX_TUNED(kOpenMessageReserve)};
 #undef GRADEMUX_TUNED
 
 // The values that this thread has now; null: the module's own.
--- a/src/core/delivery_engine.cpp
+++ b/src/core/delivery_engine.cpp
@@ -5,7 +5,7 @@
 #include <boost/asio/post.hpp>
 #include <cmath>
 
-#include "../decision/classes.h"
+#include "../decision/class_versions.h"
 #include "../knowledge/trust_decay.h"
 #include "../log/log.h"
 #include "clock.h"
@@ -46,7 +46,7 @@
                                Transport& transport, DeliveryNotifier& notices)
     : io_(io),
       settings_(settings),
-      classes_(decision::classesOf(settings_)),
+      classes_(decision::makeClassVersions(settings_)),
       sender_(std::move(settings), seed),
       journal_(journal),
       transport_(transport),
@@ -337,7 +337,7 @@
 
 void DeliveryEngine::applySettings(Settings settings) {
   settings_ = std::move(settings);
-  classes_ = decision::classesOf(settings_);
+  classes_ = decision::makeClassVersions(settings_);
   // Never less: ids of messages that came under a longer deadline may come again for as long.
   for (const MessageClass& c : settings_.classes)
     max_deadline_ = std::max(max_deadline_, c.deadline);
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "../decision/check.h"
+#include "../decision/settings_check.h"
 #include "../net/address.h"
 #include "../operate/admin_server.h"
 
--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <random>
 
-#include "../decision/check.h"
+#include "../decision/settings_check.h"
 #include "../membership/partner_file.h"
 #include "../replay/stream_codec.h"
 
--- a/src/decision/classes.h
+++ b/src/decision/class_versions.h
@@ -10,20 +10,20 @@
 namespace grademux::decision {
 
 // Each whole by itself: what the settings say of all classes alike stands in it too.
-inline std::vector<ClassVersion> classesOf(const Settings& set) {
+inline std::vector<ClassVersion> makeClassVersions(const Settings& set) {
   std::vector<ClassVersion> all;
-  for (MessageClass c : set.classes) {
-    if (c.max_attempts == 0)
-      c.max_attempts = set.max_attempts;
-    all.push_back(std::make_shared<const MessageClass>(std::move(c)));
+  for (MessageClass message_class : set.classes) {
+    if (message_class.max_attempts == 0)
+      message_class.max_attempts = set.max_attempts;
+    all.push_back(std::make_shared<const MessageClass>(std::move(message_class)));
   }
   return all;
 }
 
-inline double leastAim(const Settings& set) {  // microseconds
+inline double shortestLatencyObjective(const Settings& set) {  // microseconds
   double least = 1e300;
-  for (const MessageClass& c : set.classes)
-    least = std::min(least, static_cast<double>(c.latency_objective));
+  for (const MessageClass& message_class : set.classes)
+    least = std::min(least, static_cast<double>(message_class.latency_objective));
   return least;
 }
 
--- a/src/decision/containers.h
+++ b/src/decision/containers.h
@@ -125,12 +125,13 @@
 // Items in the order of a rising number of theirs. Adding is O(1), removal a search by halves and a move of
 // pointers: a list would be O(1), but its walk was measured at half the pace.
 template <class T, std::uint64_t T::*Place>
-class Line {
+class OrderedList {
  public:
   void add(T* item) { items_.push_back(item); }
   void remove(const T* item) {
-    items_.erase(std::lower_bound(items_.begin(), items_.end(), item->*Place,
-                                  [](const T* i, std::uint64_t place) { return i->*Place < place; }));
+    items_.erase(
+        std::lower_bound(items_.begin(), items_.end(), item->*Place,
+                         [](const T* queued, std::uint64_t place) { return queued->*Place < place; }));
   }
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
@@ -143,14 +144,14 @@
 
 // Keys to look at again, each at its time and but once: a later call for one that waits changes nothing.
 template <class Key>
-class Revisit {
+class RevisitQueue {
  public:
-  void at(std::int64_t when, const Key& key) {
+  void schedule(std::int64_t when, const Key& key) {
     if (waiting_.insert(key).second)
       order_.insert({when, key});
   }
   // Takes out the first whose time has come.
-  bool due(std::int64_t now, Key& key) {
+  bool takeDue(std::int64_t now, Key& key) {
     if (order_.empty() || order_.begin()->first > now)
       return false;
     key = order_.begin()->second;
--- a/tests/decision/reference_tags_test.cpp
+++ b/tests/decision/reference_tags_test.cpp
@@ -4,15 +4,15 @@
 #include <map>
 #include <random>
 
-#include "../../src/decision/tags.h"
+#include "../../src/decision/fair_queue.h"
 #include "sender_fixture.h"
 
 namespace grademux {
 namespace {
 
-using decision::Dest;
+using decision::Destination;
+using decision::FairQueue;
 using decision::Message;
-using decision::Tags;
 
 // As the paper has it, with a shift added to each tag.
 struct Plain {
@@ -87,42 +87,44 @@
     std::mt19937_64 random(seed);
     Settings s = makeSettings();
     s.classes[1].latency_objective = 300 * kMs;
-    Tags tags(s, seed);
-    tags.turn = 1;
+    FairQueue fair_queue(s, seed);
+    fair_queue.iteration = 1;
     Plain plain;
     std::deque<Message> messages;
     std::uint64_t starts = 0, by_global = 0;
     for (int step = 0; step < 3000; ++step) {
-      tags.now += static_cast<Micros>(random() % 120) * kMs;
-      const auto now = static_cast<double>(tags.now);
+      fair_queue.now += static_cast<Micros>(random() % 120) * kMs;
+      const auto now = static_cast<double>(fair_queue.now);
       const std::uint64_t what = random() % 20;
-      if (what < 9 || tags.backlog.empty()) {
+      if (what < 9 || fair_queue.backlog.empty()) {
         Message& m = messages.emplace_back();
         const std::int64_t id = static_cast<std::int64_t>(random() % 12);
-        m.dest = &tags.dests[id];
-        m.dest->id = id;
-        m.cls = tags.classes[random() % 2];
-        tags.hold(m, tags.now);
-        plain.arrive(id, static_cast<double>(m.cls->latency_objective), now);
+        m.destination = &fair_queue.destinations[id];
+        m.destination->id = id;
+        m.class_version = fair_queue.class_versions[random() % 2];
+        fair_queue.enqueue(m, fair_queue.now);
+        plain.arrive(id, static_cast<double>(m.class_version->latency_objective), now);
         continue;
       }
-      Dest* d = tags.nextFrom({false, -1e300, 0});
+      Destination* destination = fair_queue.nextDestination({false, -1e300, 0});
       const auto [id, global] = plain.next(now);
-      ASSERT_NE(d, nullptr);
-      ASSERT_EQ(d->id, id) << "seed " << seed << ", step " << step;
-      ASSERT_EQ(std::get<0>(tags.placeOf(*d)), global) << "seed " << seed << ", step " << step;
+      ASSERT_NE(destination, nullptr);
+      ASSERT_EQ(destination->id, id) << "seed " << seed << ", step " << step;
+      ASSERT_EQ(std::get<0>(fair_queue.positionOf(*destination)), global)
+          << "seed " << seed << ", step " << step;
       const bool started = what < 18;
       if (random() % 8 == 0) {
         const double served = plain.lines[id].tags.front().second + static_cast<double>(random() % 9) * 4e5;
-        tags.raise(*d, served - tags.shift);
+        fair_queue.raiseGlobalTags(*destination, served - fair_queue.global_tag_shift);
         plain.raise(id, served);
         continue;
       }
-      Message& m = **(d->held.begin() + static_cast<std::ptrdiff_t>(random() % d->held.size()));
-      tags.unhold(m, started);
+      Message& m =
+          **(destination->queue.begin() + static_cast<std::ptrdiff_t>(random() % destination->queue.size()));
+      fair_queue.dequeue(m, started);
       if (started && global)
-        tags.dropLocalTags(*d);
-      plain.leave(id, static_cast<double>(m.cls->latency_objective), started, started && global);
+        fair_queue.lowerLocalTags(*destination);
+      plain.leave(id, static_cast<double>(m.class_version->latency_objective), started, started && global);
       starts += started;
       by_global += started && global;
     }
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -127,7 +127,9 @@
   };
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const std::string module = without(played(w, seed));
-    EXPECT_NE(tuned({{"kBurst", 20}, {"kStreak", 1}, {"kTimeoutRatio", 30}}, seed), module);
+    EXPECT_NE(
+        tuned({{"kBurstSeconds", 20}, {"kConsecutiveFailureThreshold", 1}, {"kTimeoutRatio", 30}}, seed),
+        module);
     EXPECT_EQ(tuned({}, seed), module);
   }
 }
@@ -135,7 +137,8 @@
 // Each value is one that the module looks at: changed by much, something is decided otherwise in some world.
 TEST(Tuned, ListsTheModulesValues) {
   std::size_t constants = 0;
-  for (const char* file : {"state", "tags", "bound", "health", "attempts", "admission"}) {
+  for (const char* file : {"decision_state", "fair_queue", "rate_limiter", "outlier_detector", "retry_policy",
+                           "admission_control"}) {
     std::ifstream in(sourceFolder() + "/src/decision/" + file + ".h");
     for (std::string line; std::getline(in, line);)
       constants += line.rfind("constexpr ", 0) == 0;
