--- a/src/decision/decision_state.h
+++ b/src/decision/decision_state.h
@@ -167,7 +167,6 @@
   double stale_connection_score = 0;  // signs of connections that die idle, decayed; the shortest that died
   Micros stale_after_idle = kNever, stale_observed_at = -kNever;
   DestinationKind default_kind;
-
   DecisionState(Settings initial_settings, std::uint64_t seed)
       : settings(std::move(initial_settings)), random(seed) {
     tenant_rates.resize(settings.tenants.size());
@@ -177,46 +176,25 @@
   }
 
   bool hasSeparateRoutes(const EndpointEntry& endpoint) const { return endpoint.kind->has_separate_routes; }
-  TargetState& limitScope(EndpointEntry& endpoint) {
-    return hasSeparateRoutes(endpoint) ? endpoint.target : endpoint.destination->target;
-  }
+  TargetState& limitScope(EndpointEntry& endpoint);
 
   // The list told of a drain or removal: nothing new goes there from that moment, well inside the grace.
   bool isReady(const EndpointEntry& endpoint) const { return endpoint.state == EndpointState::ready; }
+  bool isCold(const TargetState& target) const;
 
-  bool isCold(const TargetState& target) const {
-    return target.outlier.is_down || now - target.outlier.warming_since < settings.slow_start_time;
-  }
   bool isLargeFleet() const { return kRareSenderFraction * settings.sender_count > 1; }
-
-  double readyEndpointCount(const Destination& destination) const {
-    const auto ready_count = std::count_if(destination.endpoints.begin(), destination.endpoints.end(),
-                                           [this](EndpointEntry* endpoint) { return isReady(*endpoint); });
-    return std::max(1.0, static_cast<double>(ready_count));
-  }
+  double readyEndpointCount(const Destination& destination) const;
 
   // What is gone is remembered at least so long: an id that returns before finds its state.
-  Micros retentionTime() const {
-    return 1 + std::max(2 * settings.overload_collapse_time,
-                        static_cast<Micros>(kRetentionSpans * rateSpanSeconds() * kSecond));
-  }
+  Micros retentionTime() const;
+
+  double collapseTime() const;
+
+  double rateSpanSeconds() const;
 
-  double collapseTime() const {
-    return static_cast<double>(std::max<Micros>(1, settings.overload_collapse_time));
-  }
-  double rateSpanSeconds() const {
-    return static_cast<double>(std::max<Micros>(1, settings.slow_start_time)) / kSecond;
-  }
   double perSecond(const Rate& rate) const { return rate.perSecond(now, rateSpanSeconds()); }
   void countEvent(Rate& rate) { rate.count(now, rateSpanSeconds()); }
-
-  double expectedLatency(const EndpointEntry& endpoint) const {
-    if (endpoint.target.outlier.latency_samples > 0)
-      return endpoint.target.outlier.typical_latency;
-    if (endpoint.destination->target.outlier.latency_samples > 0)
-      return endpoint.destination->target.outlier.typical_latency;
-    return mean_latency_samples > 0 ? mean_latency : shortest_objective / kTimeoutRatio;
-  }
+  double expectedLatency(const EndpointEntry& endpoint) const;
 };
 
 }  // namespace grademux::decision
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -12,144 +12,38 @@
 
 struct FairQueue : DecisionState {
   using DecisionState::DecisionState;
-
   // On arrival all global tags move so that the smallest is now: else new ones starve or rule.
-  void adjustGlobalTags() {
-    if (!backlog.empty())
-      global_tag_shift += static_cast<double>(now) - (backlog.bySecond().begin()->first + global_tag_shift);
-  }
-
-  double destinationWeight(const Destination& destination) const {
-    for (const EndpointEntry* endpoint : destination.endpoints)
-      if (endpoint->state == EndpointState::ready && settings.weight_kind != WeightKind::none &&
-          endpoint->weight > 0)
-        return endpoint->weight;
-    return 1;
-  }
-
-  void updateIndex(Destination& destination) {
-    if (destination.tags.empty())
-      return backlog.drop(destination.id);
-    backlog.put(destination.id, &destination, destination.tags.front().local,
-                destination.tags.front().global + destination.global_tag_raise);
-  }
-
-  void enqueue(Message& message, Micros not_before) {
-    Destination& destination = *message.destination;
-    adjustGlobalTags();
-    message.is_queued = true;
-    message.not_before = not_before;
-    message.queue_sequence = ++next_queue_sequence;
-    destination.queue.add(&message);
-    destination.queued_objectives.insert(static_cast<double>(message.class_version->latency_objective));
-    ++queued_messages;
-    destination.local_tag_interval =
-        *destination.queued_objectives.begin();  // M: one start for each aim of the most urgent held class
-    const double step = kSecond / destinationWeight(destination), now_tag = static_cast<double>(now);
-    // Idle credit, sigma/w at most; none after an outage: with its backlog that would push it over.
-    const double credit =
-        destination.tags.empty() && destination.last_global_tag > -1e17 && !isCold(destination.target)
-            ? kIdleCredit * step
-            : 0;
-    destination.last_local_tag =
-        std::max(destination.last_local_tag + destination.local_tag_interval, now_tag);
-    destination.last_global_tag =
-        std::max(destination.last_global_tag + step, now_tag - global_tag_shift - credit);
-    destination.tags.push_back(
-        {destination.last_local_tag, destination.last_global_tag - destination.global_tag_raise});
-    updateIndex(destination);
-  }
+  void adjustGlobalTags();
+
+  double destinationWeight(const Destination& destination) const;
+
+  void updateIndex(Destination& destination);
+
+  void enqueue(Message& message, Micros not_before);
 
   // Takes a message out of the held ones. A start takes the first tag; one that leaves unserved the last.
-  void dequeue(Message& message, bool started) {
-    Destination& destination = *message.destination;
-    destination.queue.remove(&message);
-    destination.queued_objectives.erase(
-        destination.queued_objectives.find(static_cast<double>(message.class_version->latency_objective)));
-    --queued_messages;
-    message.is_queued = false;
-    if (started) {
-      destination.tags.pop_front();
-    } else {
-      destination.tags.pop_back();
-      destination.last_local_tag -= destination.local_tag_interval;
-      destination.last_global_tag -= kSecond / destinationWeight(destination);
-    }
-    updateIndex(destination);
-  }
+  void dequeue(Message& message, bool started);
 
   // A destination that could not send while others did gains no claim by it but one start: with the old tags
   // of a long wait it would take all slots for as long, once it may send again, from those that were served
   // meanwhile.
-  void raiseGlobalTags(Destination& destination, double served) {
-    const double credit = isCold(destination.target) ? 0 : kSecond / destinationWeight(destination);
-    const double increase =
-        served - credit - (destination.tags.front().global + destination.global_tag_raise);
-    if (increase <= 0)
-      return;
-    destination.global_tag_raise += increase;
-    destination.last_global_tag += increase;
-    updateIndex(destination);
-  }
-
-  void lowerLocalTags(Destination& destination) {
-    for (FairQueueTag& tag : destination.tags)
-      tag.local -= destination.local_tag_interval;
-    destination.last_local_tag -= destination.local_tag_interval;
-    updateIndex(destination);
-  }
+  void raiseGlobalTags(Destination& destination, double served);
+
+  void lowerLocalTags(Destination& destination);
 
   // The order in which destinations may use a free slot: due local tags first, then global ones; ties by
   // destination. A place: by its global tag?, the tag, the destination.
   using QueuePosition = std::tuple<bool, double, std::int64_t>;
-  QueuePosition positionOf(const Destination& destination) const {
-    const FairQueueTag& tag = destination.tags.front();
-    const bool due = tag.local <= static_cast<double>(now);
-    return {!due, due ? tag.local : tag.global + destination.global_tag_raise, destination.id};
-  }
+  QueuePosition positionOf(const Destination& destination) const;
+
   // The first from a place on where something may still leave in this turn.
-  Destination* nextDestination(const QueuePosition& from) const {
-    for (const bool global : {false, true}) {
-      if (global < std::get<0>(from))
-        continue;
-      const auto& order = global ? backlog.bySecond() : backlog.byFirst();
-      auto it = global == std::get<0>(from) ? order.lower_bound({std::get<1>(from), std::get<2>(from)})
-                                            : order.begin();
-      for (; it != order.end() && (global || it->first <= static_cast<double>(now)); ++it) {
-        Destination* destination = backlog.at(it->second);
-        if (destination->blocked_in_iteration != iteration && std::get<0>(positionOf(*destination)) == global)
-          return destination;
-      }
-    }
-    return nullptr;
-  }
+  Destination* nextDestination(const QueuePosition& from) const;
 
   // What a message of a tenant is worth, as far as this sender can tell: the part inside its share in full.
-  double tenantWeight(int tenant) const {
-    if (tenant < 0)
-      return 1;
-    const double quota = settings.tenants[static_cast<std::size_t>(tenant)].quota / settings.sender_count;
-    const double rate = perSecond(tenant_rates[static_cast<std::size_t>(tenant)]);
-    if (quota <= 0 || rate <= quota)
-      return 1;
-    return quota / rate + (1 - quota / rate) * settings.over_quota_weight;
-  }
+  double tenantWeight(int tenant) const;
 
   // Which held message of a destination takes its tag: the one that loses most by waiting for the backlog.
-  double priorityAt(const Message& message, Micros when) const {
-    const MessageClass& message_class = *message.class_version;
-    const double age = static_cast<double>(when - message.submitted_at),
-                 aim = static_cast<double>(message.latency_objective);
-    const double deadline = std::max(aim, static_cast<double>(message_class.deadline));
-    double share = 1;
-    if (age >= deadline)
-      return 0;
-    if (age > aim && settings.lateness_penalty == LatenessPenalty::linear)
-      share = 1 - (1 - message_class.late_weight_fraction) * (age - aim) / (deadline - aim);
-    else if (age > aim)
-      share = std::max(message_class.late_weight_fraction, std::exp2(-(age - aim) / aim));
-    return message_class.priority_weight * share * tenantWeight(message.tenant);
-  }
+  double priorityAt(const Message& message, Micros when) const;
 };
 
 }  // namespace grademux::decision
