--- a/src/daemon/service.h
+++ b/src/daemon/service.h
@@ -1,4 +1,4 @@
-// grademux: one running sender: wires the parts together, and carries out signals.
+// One running sender: connects its parts, and carries out signals and the operators' commands.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,14 +9,15 @@
 
 namespace grademux {
 
+/// Recording of the decision module's input and output, for replay.
 struct Recording {
-  std::string path;  // empty: none
-  std::uint64_t most_bytes = 0;
+  std::string path;              // empty: nothing is recorded
+  std::uint64_t most_bytes = 0;  // recording ends when the file has this size
 };
 
-// Runs until SIGTERM or SIGINT has been carried out. Throws std::exception saying what is wrong when it can't
-// begin; the journal is untouched then if a door can't be bound.
-void serve(boost::asio::io_context& io, boost::asio::signal_set& signals, Config config, DaemonFile daemon,
-           const Recording& recording = {});
+/// Runs until SIGTERM or SIGINT has been carried out. Throws std::exception when the sender can't start; if a
+/// listener can't be bound, the journal is unchanged then.
+void serve(boost::asio::io_context& io, boost::asio::signal_set& signals, Config config,
+           DaemonFile daemon_file, const Recording& recording = {});
 
 }  // namespace grademux
