--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -281,7 +281,7 @@
               doors_.releaseAddresses();
             },
             [this] {
-              return (!clients_ || clients_->openRequests() + clients_->halfRead() == 0) &&
+              return (!clients_ || clients_->openRequests() + clients_->partialRequests() == 0) &&
                      doors_.openRequests() == 0;
             },
             [this] { return give(); },
--- a/src/listener/http/http_listener.cpp
+++ b/src/listener/http/http_listener.cpp
@@ -12,7 +12,7 @@
 #include <variant>
 
 #include "../../core/clock.h"
-#include "../listening_socket.h"
+#include "../connection_close.h"
 #include "messages.h"
 
 namespace grademux {
@@ -29,13 +29,11 @@
 constexpr int kKernelBuffer = 32768;
 constexpr std::size_t kOutLimit = 65536;  // bytes of answers held before reading stops
 // A client is owed an error or its end within 3 s. Limits on: a whole request (of a batch: a line) from its
-// first byte on, an answer's way out without progress, and the discard after an error.
-constexpr Micros kWhole = 2'000'000, kWrite = 2'000'000, kLeave = 500'000;
+// first byte on, and an answer's way out without progress.
+constexpr Micros kWhole = 2'000'000, kWrite = 2'000'000;
 constexpr Micros kFirstByte = 10'000'000;  // clients open connections ahead of need
-constexpr Micros kSweep = 100'000;         // how often the limits are looked at
 constexpr Micros kMayClose = 2'000'000;    // idle for so long, a connection makes room for a newcomer
-constexpr std::size_t kDiscard = 1u << 20;
-constexpr int kMostFaults = 64;  // useless requests in a row
+constexpr int kMostFaults = 64;            // useless requests in a row
 
 std::string lower(boost::beast::string_view s) {
   std::string out(s.data(), s.size());
@@ -81,13 +79,13 @@
   std::optional<Parser> parser;
   std::variant<Target, Problem> target;  // of the request that is being read, once its head is there
   bool head_done = false, last = false;  // last: no request is read after this one
-  bool open = true, waiting = false, write_busy = false, ended = false, leaving = false, used = false;
+  bool open = true, waiting = false, write_busy = false, ended = false, used = false;
+  GracefulClose graceful_close;
   std::deque<std::shared_ptr<Slot>> slots;
   std::shared_ptr<Batch> batch;
   std::vector<std::weak_ptr<Slot>> waits;
   Micros since = monotonicNow();  // the request's first byte, or idle since
-  Micros write_since = 0, leave_since = 0;
-  std::size_t thrown = 0;
+  Micros write_since = 0;
   int faults = 0;
 
   // ---- reading
@@ -124,10 +122,8 @@
       return endOfInput();
     if (e)
       return close();
-    if (leaving) {
-      thrown += n;
-      return thrown >= kDiscard ? close() : wait();
-    }
+    if (graceful_close.isStarted())
+      return graceful_close.discard(n) ? close() : wait();
     in.append(door.read_buffer_.data(), n);
     go();
   }
@@ -135,7 +131,7 @@
   // A client may end its sending and still read: what it has asked for is answered.
   void endOfInput() {
     ended = true;
-    if (leaving || (slots.empty() && !write_busy))
+    if (graceful_close.isStarted() || (slots.empty() && !write_busy))
       return close();
     if (batch && !batch->whole)
       return spoil({400, "malformed-request", "the batch did not come to its end"});
@@ -157,12 +153,21 @@
     at = 0;
     if (in.empty())
       in.shrink_to_fit();
-    if (last && !leaving)
+    if (last && !graceful_close.isStarted())
       in.clear();
     flush();
     if (open && !last && mayRead())
       wait();
+    updateGroup();
+  }
+
+  // Tells the table whether this connection is idle; called at the end of each step that can change that.
+  void updateGroup() {
+    const std::size_t now_in = idle() ? kIdle : kBusy;
+    if (open && now_in != group)
+      door.sessions_.move(*this, group = now_in);
   }
+  std::size_t group = kIdle;
 
   // One push of the parser. False: more bytes are needed.
   bool step() {
@@ -449,7 +454,7 @@
     scheduled = true;
     asio::post(door.io_, [self = shared_from_this()] {
       self->scheduled = false;
-      if (self->open && !self->leaving)
+      if (self->open && !self->graceful_close.isStarted())
         self->go();
     });
   }
@@ -566,7 +571,7 @@
     if (slots.empty()) {
       if (ended)
         return close();
-      if (door.isDraining() && !parser && in.empty() && nothingCame())
+      if (door.isDraining() && !parser && in.empty() && isInputEmpty(socket))
         return hangUp();
       if (!parser)
         since = monotonicNow();
@@ -578,36 +583,30 @@
   void hangUp() {
     if (ended)
       return close();
-    if (leaving)
+    if (graceful_close.isStarted())
       return;
-    error_code ignored;
-    socket.shutdown(tcp::socket::shutdown_send, ignored);
+    graceful_close.start(socket, monotonicNow());
     in.clear();
     at = 0;
-    leaving = true;
-    leave_since = monotonicNow();
+    updateGroup();
     wait();
   }
 
   // ---- limits
 
-  bool idle() const { return slots.empty() && !write_busy && !parser && !leaving; }
-  bool nothingCame() {
-    error_code error;
-    return socket.available(error) == 0 && !error;
-  }
+  bool idle() const { return slots.empty() && !write_busy && !parser && !graceful_close.isStarted(); }
   // Between requests, unless the next one has come meanwhile, which is then served first.
   void hangUpIfIdle() {
-    if (idle() && in.empty() && nothingCame())
+    if (idle() && in.empty() && isInputEmpty(socket))
       hangUp();
   }
 
   void checkLimit(Micros now) {
     if (write_busy && now - write_since >= kWrite)
       return close();
-    if (leaving && now - leave_since >= kLeave)
+    if (graceful_close.isExpired(now))
       return close();
-    if (leaving)
+    if (graceful_close.isStarted())
       return;
     for (std::size_t i = 0; i < waits.size();) {
       const auto slot = waits[i].lock();
@@ -667,66 +666,42 @@
     door.open_requests_ -= slots.size() + owed;
     slots.clear();
     owed = 0;
-    closeDrained(socket);
-    door.sessions_.erase(shared_from_this());
+    const auto self = shared_from_this();
+    closeNow(socket);
+    door.sessions_.remove(*this);
   }
 };
 
 HttpListener::HttpListener(asio::io_context& io, const tcp::endpoint& listen, Limits limits)
-    : io_(io), acceptor_(io), accept_timer_(io), sweep_timer_(io), limits_(limits), read_buffer_(kPiece) {
-  bindListener(acceptor_, listen);
-  acceptor_.set_option(asio::socket_base::send_buffer_size(kKernelBuffer));
-  acceptor_address_ = acceptor_.local_endpoint();
+    : io_(io),
+      acceptor_(io, *this, ConnectionAcceptor::RoomCheck::before_accept),
+      limits_(limits),
+      read_buffer_(kPiece) {
+  acceptor_.bind(listen);
+  acceptor_.setSendBufferSize(kKernelBuffer);
 }
 
 HttpListener::~HttpListener() {
-  const auto all = sessions_;
-  for (const auto& s : all)
-    s->close();
+  sessions_.forEach([](Session& session) { session.close(); });
 }
 
 void HttpListener::start(SubmissionHandler& core, const operate::ServiceState& state) {
   handler_ = &core;
   state_ = &state;
-  acceptor_.listen();
-  accept();
-  sweep();
-}
-
-void HttpListener::accept() {
-  if (!makeRoom())
-    return retryAccept();  // all have a request open: newcomers wait in the backlog
-  acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted)
-      return;
-    if (e)
-      return retryAccept();  // out of descriptors, say: try again soon rather than spin
-    error_code ignored;
-    s.set_option(tcp::no_delay(true), ignored);
-    s.non_blocking(true, ignored);
-    const auto session = std::make_shared<Session>(*this, std::move(s));
-    sessions_.insert(session);
-    session->read();  // its request has mostly come by now
-    accept();
-  });
+  acceptor_.start();
 }
 
-void HttpListener::retryAccept() {
-  accept_timer_.expires_after(std::chrono::milliseconds(20));
-  accept_timer_.async_wait([this](error_code stopped) {
-    if (!stopped && !removed_)
-      accept();
-  });
+void HttpListener::serve(tcp::socket socket) {
+  const auto session = std::make_shared<Session>(*this, std::move(socket));
+  sessions_.add(session, kIdle);
+  session->read();  // its first request has usually arrived by now
 }
 
-// At the limit the connection that has idled longest makes room, if for long enough.
+// At the limit the connection that has been idle longest makes room, if for long enough.
 bool HttpListener::makeRoom() {
   if (sessions_.size() < limits_.connections)
     return true;
-  std::shared_ptr<Session> longest;
-  for (const auto& s : sessions_)
-    if (s->idle() && (!longest || s->since < longest->since))
-      longest = s;
+  const std::shared_ptr<Session> longest = sessions_.oldest(kIdle);
   if (!longest || monotonicNow() - longest->since < kMayClose)
     return false;
   longest->close();
@@ -735,28 +710,19 @@
 
 void HttpListener::sweep() {
   const Micros now = monotonicNow();
-  const auto all = sessions_;
-  for (const auto& s : all)
-    if (s->open)
-      s->checkLimit(now);
-  sweep_timer_.expires_after(std::chrono::microseconds(kSweep));
-  sweep_timer_.async_wait([this](error_code stopped) {
-    if (!stopped)
-      sweep();
+  sessions_.forEach([now](Session& session) {
+    if (session.open)
+      session.checkLimit(now);
   });
 }
 
-void HttpListener::drain(DrainReason how) {
+void HttpListener::drain(DrainReason reason) {
   draining_since_ = monotonicNow();
-  if (how == DrainReason::removed) {
+  if (reason == DrainReason::removed) {
     removed_ = true;
-    error_code ignored;
-    acceptor_.close(ignored);
-    accept_timer_.cancel();
+    acceptor_.close();
   }
-  const auto all = sessions_;
-  for (const auto& s : all)
-    s->drainNow(how != DrainReason::standby);
+  sessions_.forEach([reason](Session& session) { session.drainNow(reason != DrainReason::standby); });
 }
 
 }  // namespace grademux
--- a/src/listener/http/http_listener.h
+++ b/src/listener/http/http_listener.h
@@ -4,15 +4,15 @@
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/steady_timer.hpp>
-#include <set>
 #include <vector>
 
+#include "../connection_acceptor.h"
+#include "../connection_table.h"
 #include "../listener.h"
 
 namespace grademux {
 
-class HttpListener : public Listener {
+class HttpListener : public Listener, private ConnectionHandler {
  public:
   struct Limits {
     std::size_t connections = 256;
@@ -30,32 +30,31 @@
   HttpListener& operator=(const HttpListener&) = delete;
 
   void start(SubmissionHandler& core, const operate::ServiceState& state) override;
-  void drain(DrainReason how) override;
+  void drain(DrainReason reason) override;
   std::size_t openRequests() const override { return open_requests_; }
   std::size_t connectionCount() const override { return sessions_.size(); }
-  boost::asio::ip::tcp::endpoint address() const override { return acceptor_address_; }
+  boost::asio::ip::tcp::endpoint address() const override { return acceptor_.address(); }
   void setLimits(Limits limits) { limits_ = limits; }  // hold from the next request on
 
  private:
   struct Session;
-  void accept();
-  void retryAccept();
-  bool makeRoom();
-  void sweep();
+  static constexpr std::size_t kIdle = 0, kBusy = 1, kGroupCount = 2;  // of the table
+
+  bool makeRoom() override;
+  void serve(boost::asio::ip::tcp::socket socket) override;
+  void sweep() override;
   bool isDraining() const { return removed_ || state_->isDraining(); }
   bool rejectsNewRequests() const {
     return removed_ || state_->isStopping();
   }  // what has not begun here begins elsewhere
 
   boost::asio::io_context& io_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::ip::tcp::endpoint acceptor_address_;
-  boost::asio::steady_timer accept_timer_, sweep_timer_;
+  ConnectionAcceptor acceptor_;
   Limits limits_;
   SubmissionHandler* handler_ = nullptr;
   const operate::ServiceState* state_ = nullptr;
   Micros draining_since_ = 0;  // drained last
-  std::set<std::shared_ptr<Session>> sessions_;
+  ConnectionTable<Session, kGroupCount> sessions_;
   std::vector<char> read_buffer_;  // what is read goes through it: a connection that waits holds no buffer
   std::size_t open_requests_ = 0;
   std::int64_t next_id_ = 0;  // of connections
--- a/src/listener/listening_socket.cpp
+++ b/src/listener/listening_socket.cpp
@@ -13,9 +13,7 @@
 namespace grademux {
 
 namespace {
-constexpr int kKernelBuffer = 32768;
-constexpr std::size_t kPiece = 16384;
-constexpr int kMostPieces = 64;  // read away before a close
+constexpr int kReceiveBufferBytes = 32768;
 }  // namespace
 
 void bindListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address) {
@@ -24,7 +22,7 @@
     acceptor.open(address.protocol());
     acceptor.set_option(socket_base::reuse_address(true));
     // A client that sends 60 MB must not fill it.
-    acceptor.set_option(socket_base::receive_buffer_size(kKernelBuffer));
+    acceptor.set_option(socket_base::receive_buffer_size(kReceiveBufferBytes));
     acceptor.bind(address);
   } catch (const boost::system::system_error& e) {
     std::ostringstream what;
@@ -69,17 +67,7 @@
     wrong(std::strerror(errno));
   acceptor.assign(address.protocol(), fd);
   boost::system::error_code ignored;
-  acceptor.set_option(boost::asio::socket_base::receive_buffer_size(kKernelBuffer), ignored);
-}
-
-void closeDrained(boost::asio::ip::tcp::socket& socket) {
-  boost::system::error_code error;
-  socket.shutdown(boost::asio::socket_base::shutdown_send, error);
-  socket.non_blocking(true, error);
-  static char piece[kPiece];  // one loop, one thread
-  for (int pieces = 0; pieces < kMostPieces && !error; ++pieces)
-    socket.read_some(boost::asio::buffer(piece), error);
-  socket.close(error);
+  acceptor.set_option(boost::asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ignored);
 }
 
 }  // namespace grademux
--- a/src/listener/listening_socket.h
+++ b/src/listener/listening_socket.h
@@ -16,9 +16,4 @@
 void adoptListeningSocket(boost::asio::ip::tcp::acceptor& acceptor, int passed,
                           const boost::asio::ip::tcp::endpoint& address);
 
-// Closes a client's connection at once, in the order that loses least: sends the end, reads away what has
-// come, for a bounded amount, then closes. A close over unread input resets the connection, and replies that
-// the client has not read yet go with it.
-void closeDrained(boost::asio::ip::tcp::socket& socket);
-
 }  // namespace grademux
--- a/src/listener/resp/resp_listener.cpp
+++ b/src/listener/resp/resp_listener.cpp
@@ -1,158 +1,132 @@
-// grademux: the RESP2 listener; see server.h.
+// See resp_listener.h.
 #include "resp_listener.h"
 
 #include <algorithm>
-#include <chrono>
+#include <initializer_list>
 
 #include "../../core/clock.h"
-#include "../listening_socket.h"
 
 namespace grademux {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
-using boost::system::error_code;
+using Phase = RespSession::Phase;
 
 namespace {
 
-constexpr std::size_t kReadBuffer = 16384;  // bytes
-constexpr Micros kSweepPeriod = 100'000;    // how often the limits of sessions are looked at
-constexpr std::size_t kCrowdPart = 8;       // many are open once they take more than the table's part of this
-// Places of the table, and the part of it at most, that are for connections that are closing.
-constexpr std::size_t kClosingReserve = 16, kClosingPart = 16;
-constexpr Micros kAcceptPause = 20'000;
+constexpr std::size_t kReadBufferBytes = 16384;
+constexpr std::size_t kCrowdedDivisor = 8;  // crowded: more than this part of the table is taken
+// Places of the table that are for closing connections: so many, and at most this part of the table.
+constexpr std::size_t kClosingReserve = 16, kClosingReserveDivisor = 16;
+// A new client that wants something has sent it by then (microseconds).
+constexpr Micros kNewClientGrace = 200'000;
+
+constexpr std::size_t groupOf(Phase phase, bool proven) {
+  return 2 * static_cast<std::size_t>(phase) + (proven ? 1 : 0);
+}
+
+std::shared_ptr<RespSession> longestInPhase(std::initializer_list<std::shared_ptr<RespSession>> sessions) {
+  std::shared_ptr<RespSession> longest;
+  for (const auto& session : sessions)
+    if (session && (!longest || session->since() < longest->since()))
+      longest = session;
+  return longest;
+}
 
 }  // namespace
 
 RespListener::RespListener(asio::io_context& io, const tcp::endpoint& listen, Limits limits, int passed)
     : io_(io),
-      acceptor_(io),
-      accept_timer_(io),
-      sweep_timer_(io),
+      acceptor_(io, *this, ConnectionAcceptor::RoomCheck::after_accept),
       limits_(limits),
-      read_buffer_(kReadBuffer),
-      passed_listener_(passed >= 0) {
-  if (passed_listener_)
-    adoptListeningSocket(acceptor_, passed, listen);
+      read_buffer_(kReadBufferBytes) {
+  if (passed >= 0)
+    acceptor_.adopt(passed, listen);
   else
-    bindListener(acceptor_, listen);
-  acceptor_address_ = acceptor_.local_endpoint();
+    acceptor_.bind(listen);
 }
 
 RespListener::~RespListener() {
-  for (const SessionPtr& session : sessions_)
-    session->abandon();
+  sessions_.forEach([](RespSession& session) { session.abandon(); });
 }
 
 void RespListener::start(SubmissionHandler& core, const operate::ServiceState& state) {
   handler_ = &core;
   state_ = &state;
   started_at_ = monotonicNow();
-  if (!passed_listener_)
-    acceptor_.listen();
-  accept();
-  sweep();
+  acceptor_.start();
 }
 
 RespFacts RespListener::facts() const {
   return {sessions_.size(), monotonicNow() - started_at_, isDraining()};
 }
 
-std::size_t RespListener::openRequests() const {
-  return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
-                                                [](const SessionPtr& s) { return s->hasUnanswered(); }));
+std::size_t RespListener::countIn(Phase phase) const {
+  return sessions_.count(groupOf(phase, false)) + sessions_.count(groupOf(phase, true));
 }
 
-std::size_t RespListener::countIn(RespSession::Phase phase) const {
-  return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
-                                                [&](const SessionPtr& s) { return s->phase() == phase; }));
+std::size_t RespListener::countProven() const {
+  std::size_t count = 0;
+  for (std::size_t phase = 0; phase < RespSession::kPhaseCount; ++phase)
+    if (static_cast<Phase>(phase) != Phase::closing)
+      count += sessions_.count(groupOf(static_cast<Phase>(phase), true));
+  return count;
 }
 
-std::size_t RespListener::halfRead() const {
-  return countIn(RespSession::Phase::partial);
+std::size_t RespListener::openRequests() const {
+  return countIn(Phase::asked) + countIn(Phase::waiting);
 }
 
-// ---- accepting
+std::size_t RespListener::partialRequests() const {
+  return countIn(Phase::partial);
+}
 
-void RespListener::accept() {
-  if (accepting_ || paused_)
-    return;
-  accepting_ = true;
-  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
-    accepting_ = false;
-    if (error == asio::error::operation_aborted)
-      return;
-    if (error)
-      return acceptLater();  // out of descriptors, say: try again soon rather than spin
-    error_code ignored;
-    socket.set_option(tcp::no_delay(true), ignored);
-    socket.non_blocking(true, ignored);
-    admit(std::move(socket));
-  });
+void RespListener::onPhaseEntered(const RespSession& session) {
+  sessions_.move(session, groupOf(session.phase(), session.proven()));
 }
 
-void RespListener::admit(tcp::socket socket) {
-  if (!makeRoom()) {  // each has a request open, which is a matter of milliseconds
-    newcomer_ = std::make_unique<tcp::socket>(std::move(socket));
-    return acceptLater();
-  }
+void RespListener::serve(tcp::socket socket) {
   limitProven();
   SessionOwner& owner = *this;
   const auto session = std::make_shared<RespSession>(io_, owner, std::move(socket), ++next_number_);
-  sessions_.insert(session);
-  session->start();  // its request has mostly come by now
-  accept();
-}
-
-void RespListener::acceptLater() {
-  accept_timer_.expires_after(std::chrono::microseconds(kAcceptPause));
-  accept_timer_.async_wait([this](error_code stopped) {
-    if (stopped || removed_)
-      return;
-    if (!newcomer_)
-      return accept();
-    const auto waiting = std::move(newcomer_);
-    admit(std::move(*waiting));
-  });
-}
-
-void RespListener::stopAccepting() {
-  error_code ignored;
-  acceptor_.cancel(ignored);
-  accept_timer_.cancel();
+  sessions_.add(session, groupOf(session->phase(), session->proven()));
+  session->start();  // its first request has usually arrived by now
 }
 
 // ---- bounds on the table
 
-// Guards against clients that ask once and keep their connection: those who hold it have only so many, too,
-// and what idles here is missing there.
+// While the table is crowded, idle connections are closed sooner: clients that keep a connection for each
+// request would run out of descriptors of their own, too.
 bool RespListener::isCrowded() const {
-  return kCrowdPart * sessions_.size() > limits_.all;
-}
-
-// The session that is least in use, if it may be closed; null: there is none.
-RespListener::SessionPtr RespListener::leastUsed(bool closing_too) const {
+  return kCrowdedDivisor * sessions_.size() > limits_.all;
+}
+
+// The session whose client loses least by its close, null if each is in use. In this order, and within each
+// by the time in the phase: rejected or closing ones, clients that have never submitted, idle ones, new
+// clients, and those that wait for a final outcome (which can be asked for again).
+RespListener::SessionPtr RespListener::leastUsed(bool include_closing) const {
+  const auto oldest = [this](Phase phase, bool proven) { return sessions_.oldest(groupOf(phase, proven)); };
+  SessionPtr useless = longestInPhase({oldest(Phase::throttled, false), oldest(Phase::throttled, true)});
+  if (include_closing)
+    useless = longestInPhase({useless, oldest(Phase::closing, false), oldest(Phase::closing, true)});
+  const SessionPtr unproven = longestInPhase({oldest(Phase::idle, false), oldest(Phase::partial, false)});
   const Micros now = monotonicNow();
-  SessionPtr least;
-  RespSession::Rank least_rank{RespSession::kInUse, 0};
-  for (const SessionPtr& session : sessions_) {
-    if (!closing_too && session->phase() == RespSession::Phase::closing)
-      continue;
-    const RespSession::Rank rank = session->rank(now);
-    if (rank >= least_rank)
-      continue;
-    least = session;
-    least_rank = rank;
-  }
-  return least;
-}
-
-// Near the limit the session that is least in use makes room: gracefully while there is a reserve, at once
-// when the table is full. Guards against idle, silent and useless connections that leave good clients waiting
-// in the backlog, and against running out of descriptors, which the calls to endpoints need too.
+  for (const SessionPtr& candidate : {useless, unproven})
+    if (candidate && now - candidate->since() >= kNewClientGrace)
+      return candidate;
+  if (const SessionPtr idle = oldest(Phase::idle, true))
+    return idle;
+  if (const SessionPtr newest = longestInPhase({useless, unproven}))
+    return newest;
+  return longestInPhase({oldest(Phase::waiting, false), oldest(Phase::waiting, true)});
+}
+
+// Near the limit the session least in use makes room: gracefully while there is a reserve, at once when the
+// table is full. Keeps idle, silent and useless connections from blocking the backlog, and leaves descriptors
+// for the connections to endpoints.
 bool RespListener::makeRoom() {
-  const std::size_t reserve = std::min(kClosingReserve, limits_.all / kClosingPart);
-  const std::size_t serving = sessions_.size() - countIn(RespSession::Phase::closing);
+  const std::size_t reserve = std::min(kClosingReserve, limits_.all / kClosingReserveDivisor);
+  const std::size_t serving = sessions_.size() - countIn(Phase::closing);
   if (reserve > 0 && serving + reserve >= limits_.all)
     if (const SessionPtr least = leastUsed(false))
       least->closeGracefully();
@@ -165,84 +139,61 @@
   return true;
 }
 
-// Those that hand messages in may hold so many connections altogether, idle ones too: beyond that they can't
-// ask. So the one that has idled longest is closed while there is still room for the next.
+// Closes the proven session that has been idle longest while there is still room for the next, so that
+// clients that submit never reach their limit.
 void RespListener::limitProven() {
-  std::size_t proven = 0;
-  SessionPtr longest;
-  for (const SessionPtr& session : sessions_) {
-    if (!session->proven() || session->phase() == RespSession::Phase::closing)
-      continue;
-    ++proven;
-    const bool longer = !longest || session->since() < longest->since();
-    if (session->phase() == RespSession::Phase::idle && longer && session->nothingCame())
-      longest = session;
-  }
-  if (longest && proven >= limits_.proven)
-    longest->closeGracefully();
+  if (countProven() < limits_.proven)
+    return;
+  const auto& idle = sessions_.members(groupOf(Phase::idle, true));
+  const auto longest = std::find_if(idle.begin(), idle.end(),
+                                    [](const SessionPtr& session) { return session->isInputEmpty(); });
+  if (longest != idle.end())
+    SessionPtr(*longest)->closeGracefully();
 }
 
 void RespListener::sweep() {
   const Micros now = monotonicNow();
-  const auto all = sessions_;
-  for (const SessionPtr& session : all)
-    session->checkLimit(now);
-  sweep_timer_.expires_after(std::chrono::microseconds(kSweepPeriod));
-  sweep_timer_.async_wait([this](error_code stopped) {
-    if (!stopped)
-      sweep();
-  });
+  sessions_.forEach([now](RespSession& session) { session.checkLimit(now); });
 }
 
-// ---- sending clients away
+// ---- draining
 
-void RespListener::drain(DrainReason how) {
+void RespListener::drain(DrainReason reason) {
   draining_since_ = monotonicNow();
-  if (how == DrainReason::standby) {
-    const auto all = sessions_;
-    for (const SessionPtr& session : all)
-      session->checkOutcome(draining_since_);
+  if (reason == DrainReason::standby) {
+    sessions_.forEach([this](RespSession& session) { session.checkOutcome(draining_since_); });
     return;
   }
-  if (how == DrainReason::removed) {
+  if (reason == DrainReason::removed) {
     removed_ = true;
-    error_code ignored;
-    acceptor_.close(ignored);
-    accept_timer_.cancel();
-    newcomer_ = nullptr;
+    acceptor_.close();
   }
   closeIdle();
 }
 
 void RespListener::closeIdle() {
-  const auto all = sessions_;
-  for (const SessionPtr& session : all) {
-    session->closeIfIdle();
-    session->checkOutcome(monotonicNow());
-  }
+  sessions_.forEach([](RespSession& session) {
+    session.closeIfIdle();
+    session.checkOutcome(monotonicNow());
+  });
 }
 
 void RespListener::pause() {
   paused_ = true;
   draining_since_ = monotonicNow();
-  stopAccepting();
-  if (const auto waiting = std::move(newcomer_))
-    admit(std::move(*waiting));
+  acceptor_.pause();
   closeIdle();
 }
 
 void RespListener::resume() {
   paused_ = false;
-  accept();
+  acceptor_.resume();
 }
 
 void RespListener::finish() {
   paused_ = true;
-  stopAccepting();
-  newcomer_ = nullptr;  // it waited in vain, and has not been read
-  const auto all = sessions_;
-  for (const SessionPtr& session : all)
-    session->finish();
+  acceptor_.stop();
+  sessions_.forEach([](RespSession& session) { session.finish(); });
 }
 
 }  // namespace grademux
--- a/src/listener/resp/resp_listener.h
+++ b/src/listener/resp/resp_listener.h
@@ -1,22 +1,23 @@
-// grademux: the RESP2 listener that clients hand messages to: accepts connections, bounds how many there are,
-// and makes room for newcomers in a full table. What happens on one connection: session.h.
+// The RESP2 listener: bounds how many client connections there are, and closes those least in use when a new
+// one needs their place. What happens on one connection: session.h. Loop thread only; sessions are shared
+// with their pending socket operations and may outlive the listener, closed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/steady_timer.hpp>
 #include <memory>
-#include <set>
 #include <vector>
 
+#include "../connection_acceptor.h"
+#include "../connection_table.h"
 #include "../listener.h"
 #include "session.h"
 
 namespace grademux {
 
-class RespListener : public Listener, private SessionOwner {
+class RespListener : public Listener, private SessionOwner, private ConnectionHandler {
  public:
-  // Connections altogether, and those among them that have handed a message in.
+  // Connections altogether, and those among them that have submitted a message.
   struct Limits {
     std::size_t all = 1, proven = 1;
   };
@@ -30,21 +31,26 @@
   RespListener& operator=(const RespListener&) = delete;
 
   void start(SubmissionHandler& core, const operate::ServiceState& state) override;
-  void drain(DrainReason how) override;
+  void drain(DrainReason reason) override;
   std::size_t openRequests() const override;
   std::size_t connectionCount() const override { return sessions_.size(); }
-  // Another process takes the address over: newcomers wait for it, connections end between requests.
+  // Another process takes the address over: new clients wait for it, connections end between requests.
   void pause();
-  void resume();  // it did not come to that: newcomers are served again
-  // The process is about to end: nobody is accepted any more, and each connection is closed gracefully, which
-  // takes a moment; see connections().
+  // The other process did not take over: new clients are served again.
+  void resume();
+  // The process is about to end: nothing more is accepted, and each connection is closed gracefully, which
+  // takes a moment; see connectionCount().
   void finish();
-  std::size_t halfRead() const;  // requests that have begun to come
-  boost::asio::ip::tcp::endpoint address() const override { return acceptor_address_; }
-  void setLimits(Limits limits) { limits_ = limits; }  // what is over them ends as others come
+  // Requests of which a part has been read.
+  std::size_t partialRequests() const;
+  boost::asio::ip::tcp::endpoint address() const override { return acceptor_.address(); }
+  // Connections over the new limits are closed as others are accepted.
+  void setLimits(Limits limits) { limits_ = limits; }
 
  private:
   using SessionPtr = std::shared_ptr<RespSession>;
+  // One group for each phase of a session, apart for proven sessions and others.
+  using Sessions = ConnectionTable<RespSession, 2 * RespSession::kPhaseCount>;
 
   SubmissionHandler& handler() override { return *handler_; }
   RespFacts facts() const override;
@@ -52,34 +58,30 @@
   Micros drainingSince() const override { return draining_since_; }
   bool isCrowded() const override;
   std::vector<char>& readBuffer() override { return read_buffer_; }
-  void onSessionClosed(const SessionPtr& session) override { sessions_.erase(session); }
+  void onPhaseEntered(const RespSession& session) override;
+  void onSessionClosed(const RespSession& session) override { sessions_.remove(session); }
 
-  void accept();
-  void admit(boost::asio::ip::tcp::socket socket);
-  void acceptLater();
-  void stopAccepting();
-  bool makeRoom();
-  SessionPtr leastUsed(bool closing_too) const;
+  bool makeRoom() override;
+  void serve(boost::asio::ip::tcp::socket socket) override;
+  void sweep() override;
+
+  SessionPtr leastUsed(bool include_closing) const;
   std::size_t countIn(RespSession::Phase phase) const;
+  std::size_t countProven() const;
   void limitProven();
-  void sweep();
   void closeIdle();
 
   boost::asio::io_context& io_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::ip::tcp::endpoint acceptor_address_;
-  boost::asio::steady_timer accept_timer_, sweep_timer_;
+  ConnectionAcceptor acceptor_;
   Limits limits_;
   SubmissionHandler* handler_ = nullptr;
   const operate::ServiceState* state_ = nullptr;
-  std::set<SessionPtr> sessions_;
-  std::unique_ptr<boost::asio::ip::tcp::socket> newcomer_;  // accepted, waits for room
+  Sessions sessions_;
   std::vector<char> read_buffer_;
   std::int64_t next_number_ = 0;  // of connections
   Micros started_at_ = 0, draining_since_ = 0;
-  bool accepting_ = false, removed_ = false;
-  bool paused_ = false;  // nobody is accepted: another process takes the address over, or this one ends
-  bool passed_listener_ = false;  // the listening socket is another's, too
+  bool removed_ = false;
+  bool paused_ = false;  // nothing is accepted: another process takes the address over, or this one ends
 };
 
 }  // namespace grademux
--- a/src/listener/resp/session.cpp
+++ b/src/listener/resp/session.cpp
@@ -8,7 +8,6 @@
 
 #include "../../core/clock.h"
 #include "../listener.h"
-#include "../listening_socket.h"
 #include "parser.h"
 #include "put_request.h"
 
@@ -20,15 +19,11 @@
 
 namespace {
 
-constexpr std::size_t kMostDiscarded = 1u << 20;  // bytes, after the end was sent
 // A connection is owed an error or its end within 3 s. Limits on: the first byte, a whole request from its
-// first byte on, a reply's way out, and the discard after the end.
-constexpr Micros kFirstByteLimit = 2'000'000, kRequestLimit = 2'000'000, kWriteLimit = 2'000'000,
-                 kClosingLimit = 500'000;
+// first byte on, and a reply's way out.
+constexpr Micros kFirstByteLimit = 2'000'000, kRequestLimit = 2'000'000, kWriteLimit = 2'000'000;
 constexpr Micros kLastRequestLimit = 3'500'000;  // of a request, since clients are sent away
-constexpr Micros kMayClose = 2'000'000;          // without a request for so long, a client expects the end
 constexpr Micros kKeepAlive = 300'000'000;  // while few are open, a connection that asks seldom is let be
-constexpr Micros kNewcomer = 200'000;       // one that wants something has said so by then
 constexpr int kMostUseless = 12;            // useless requests in a row, answered ever more slowly
 constexpr Micros kThrottle = 10'000, kMostThrottle = 320'000;
 
@@ -40,9 +35,11 @@
 }
 
 void RespSession::enter(Phase phase) {
-  if (phase != Phase::partial || phase_ != phase)
-    since_ = monotonicNow();
+  if (phase == Phase::partial && phase_ == phase)
+    return;  // the time limit runs from the first byte of the request on
+  since_ = monotonicNow();
   phase_ = phase;
+  owner_.onPhaseEntered(*this);
 }
 
 void RespSession::waitToRead() {
@@ -70,8 +67,7 @@
   if (error)
     return close();
   if (phase_ == Phase::closing) {
-    discarded_ += size;
-    return discarded_ >= kMostDiscarded ? close() : waitToRead();
+    return graceful_close_.discard(size) ? close() : waitToRead();
   }
   in_.append(buffer.data(), size);
   parse();
@@ -168,7 +164,7 @@
   if (last_reply_)
     return closeGracefully();
   if (owner_.isDraining()) {
-    if (in_.empty() && nothingCame())
+    if (in_.empty() && isInputEmpty())
       return closeGracefully();
     // Guards against clients that ask on and on over one connection and are never sent away. What they have
     // sent and was not read is theirs to send again.
@@ -193,24 +189,22 @@
   in_.empty() ? waitToRead() : parse();
 }
 
-bool RespSession::nothingCame() const {
-  error_code error;
-  return socket_.available(error) == 0 && !error;
+bool RespSession::isInputEmpty() const {
+  return grademux::isInputEmpty(socket_);
 }
 
 void RespSession::closeGracefully() {
   if (!open_ || phase_ == Phase::closing)
     return;
   throttle_timer_.cancel();
-  error_code ignored;
-  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  graceful_close_.start(socket_, monotonicNow());
   in_.clear();
   enter(Phase::closing);
   waitToRead();
 }
 
 void RespSession::closeIfIdle() {
-  if (phase_ == Phase::idle && nothingCame())
+  if (phase_ == Phase::idle && isInputEmpty())
     closeGracefully();
 }
 
@@ -224,14 +218,15 @@
 void RespSession::close() {
   if (!open_)
     return;
+  const auto self = shared_from_this();  // the owner may hold the last other reference
   abandon();
-  owner_.onSessionClosed(shared_from_this());
+  owner_.onSessionClosed(*this);
 }
 
 void RespSession::abandon() {
   open_ = false;
   throttle_timer_.cancel();
-  closeDrained(socket_);
+  closeNow(socket_);
 }
 
 void RespSession::checkLimit(Micros now) {
@@ -248,7 +243,7 @@
         close();
       return;
     case Phase::closing:
-      if (spent >= kClosingLimit)
+      if (graceful_close_.isExpired(now))
         close();
       return;
     case Phase::waiting:
@@ -263,7 +258,7 @@
   if (owner_.isDraining() && now >= std::max(since_, owner_.drainingSince()) + drainDelay(client_.id))
     return closeIfIdle();
   const bool has_asked = useful_ || useless_requests_ > 0;
-  const Micros limit = !has_asked ? kFirstByteLimit : owner_.isCrowded() ? kMayClose : kKeepAlive;
+  const Micros limit = !has_asked ? kFirstByteLimit : owner_.isCrowded() ? kIdleCloseable : kKeepAlive;
   if (now - since_ >= limit)
     closeIfIdle();
 }
@@ -277,19 +272,4 @@
   answer("-ERR the request did not come to its end\r\n");
 }
 
-RespSession::Rank RespSession::rank(Micros now) const {
-  const Micros spent = now - since_;
-  if (phase_ == Phase::asked || phase_ == Phase::writing)
-    return {kInUse + 1, since_};
-  if (phase_ == Phase::waiting)
-    return {kInUse - 1, since_};  // closed, it may ask again: nothing is lost
-  if (phase_ == Phase::partial && proven_)
-    return {kInUse, since_};
-  // A newcomer's first request is on its way: closed now, it would have failed.
-  const bool useless = phase_ == Phase::closing || phase_ == Phase::throttled;
-  if (useless || !proven_)
-    return {spent >= kNewcomer ? !useless : 4, since_};
-  return {spent >= kMayClose ? 2 : 3, since_};
-}
-
 }  // namespace grademux
--- a/src/listener/resp/session.h
+++ b/src/listener/resp/session.h
@@ -7,10 +7,10 @@
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "../../core/message.h"
+#include "../connection_close.h"
 #include "commands.h"
 
 namespace grademux {
@@ -32,8 +32,10 @@
   // Where a read puts its bytes before a session keeps what it needs: a connection that waits holds no
   // buffer.
   virtual std::vector<char>& readBuffer() = 0;
+  // The session has entered a phase, the one it was in included; its time in the phase starts anew.
+  virtual void onPhaseEntered(const RespSession& session) = 0;
   // The session has closed its socket and is to be forgotten.
-  virtual void onSessionClosed(const std::shared_ptr<RespSession>& session) = 0;
+  virtual void onSessionClosed(const RespSession& session) = 0;
 };
 
 class RespSession : public std::enable_shared_from_this<RespSession> {
@@ -47,9 +49,9 @@
     throttled,  // the last request was useless; what comes next waits
     closing     // the end was sent; what comes is thrown away until the client ends its side
   };
-  // How gladly a session makes room for another, the lowest first; sessions at kInUse or above are kept.
-  using Rank = std::pair<int, Micros>;
-  static constexpr int kInUse = 8;
+  static constexpr std::size_t kPhaseCount = 7;
+  // Without a request for so long (microseconds), a client expects the end of its connection.
+  static constexpr Micros kIdleCloseable = 2'000'000;
 
   RespSession(boost::asio::io_context& io, SessionOwner& owner, boost::asio::ip::tcp::socket socket,
               std::int64_t number);
@@ -60,9 +62,8 @@
   Micros since() const { return since_; }  // in this phase, monotonic
   // The client has handed a message in.
   bool proven() const { return proven_; }
-  bool hasUnanswered() const { return phase_ == Phase::asked || phase_ == Phase::waiting; }
-  Rank rank(Micros now) const;
-  bool nothingCame() const;
+  // The client has sent nothing that has not been read.
+  bool isInputEmpty() const;
 
   // Ends the connection in order (RFC 9112, section 9.6): sends the end, then reads until the client ends its
   // side, for a bounded time, and heeds nothing of it. A close with input unread would reset the connection
@@ -110,8 +111,8 @@
   Micros patience_ = 0;
   Phase phase_ = Phase::idle;
   Micros since_ = 0;
-  std::size_t discarded_ = 0;  // bytes
-  int useless_requests_ = 0;   // in a row
+  GracefulClose graceful_close_;
+  int useless_requests_ = 0;  // in a row
   bool last_reply_ = false, open_ = true, waits_to_read_ = false;
   bool useful_ = false;  // has had a reply that was no error
   bool proven_ = false;
