--- /dev/null
+++ b/src/listener/http/http_session.cpp
@@ -0,0 +1,334 @@
+// Reading, writing, time limits and close of HTTP connections; see http_session.h.
+#include "http_session.h"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "../../core/clock.h"
+#include "../listener.h"
+
+namespace grademux {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+using namespace http_listener;
+
+namespace {
+
+constexpr std::size_t kMaxIdleOutputBytes = 16384;  // capacity kept between responses
+constexpr std::size_t kMaxHeldBytes = 65536;        // of responses, before reading stops
+// A client gets an error or the end of its connection within 3 s. Limits on a request (of a batch: a line)
+// from its first byte on, and on a write without progress.
+constexpr Micros kRequestLimit = 2'000'000, kWriteLimit = 2'000'000;
+constexpr Micros kFirstByteLimit = 10'000'000;  // clients open connections ahead of need
+constexpr int kMaxClientErrors = 64;            // in a row
+constexpr int kTooManyRequests = 429;
+
+}  // namespace
+
+HttpSession::HttpSession(HttpSessionOwner& owner, tcp::socket socket, std::int64_t number)
+    : owner_(owner), socket_(std::move(socket)), number_(number), since_(monotonicNow()) {}
+
+// ---- reading
+
+bool HttpSession::mayRead() const {
+  if (output_.size() + responses_.heldBytes() >= kMaxHeldBytes)
+    return false;
+  if (batch_)
+    return batch_->openLines() < owner_.limits().batch_window;
+  return responses_.size() < std::max<std::size_t>(1, owner_.limits().pipeline);
+}
+
+void HttpSession::waitToRead() {
+  if (waiting_to_read_ || !open_ || input_ended_)
+    return;
+  waiting_to_read_ = true;
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
+    self->waiting_to_read_ = false;
+    if (!self->open_ || error == asio::error::operation_aborted)
+      return;
+    error ? self->close() : self->read();
+  });
+}
+
+void HttpSession::read() {
+  error_code error;
+  std::vector<char>& buffer = owner_.readBuffer();
+  const std::size_t size = socket_.read_some(asio::buffer(buffer), error);
+  if (error == asio::error::would_block || error == asio::error::try_again)
+    return waitToRead();
+  if (error == asio::error::eof)
+    return onEndOfInput();
+  if (error)
+    return close();
+  if (graceful_close_.isStarted())
+    return graceful_close_.discard(size) ? close() : waitToRead();
+  input_.append(buffer.data(), size);
+  processInput();
+}
+
+// A client may end its side and still read: its requests are answered.
+void HttpSession::onEndOfInput() {
+  input_ended_ = true;
+  if (graceful_close_.isStarted() || (responses_.empty() && !writing_))
+    return close();
+  if (batch_ && !batch_->isInputComplete())
+    return abortBatch({400, "malformed-request", "the batch did not come to its end"});
+  last_request_read_ = true;
+  responses_.closeAfterLast();
+  flush();
+}
+
+// Parses what has come as far as the bounds allow, then waits for more.
+void HttpSession::processInput() {
+  while (open_ && !last_request_read_ && mayRead() && parsed_ < input_.size()) {
+    if (!parseStep())
+      break;
+  }
+  if (!open_)
+    return;
+  input_.erase(0, parsed_);
+  parsed_ = 0;
+  if (input_.empty())
+    input_.shrink_to_fit();
+  if (last_request_read_ && !graceful_close_.isStarted())
+    input_.clear();
+  flush();
+  if (open_ && !last_request_read_ && mayRead())
+    waitToRead();
+  reportIdle();
+}
+
+// The same from the loop, for callers that may be called by the parser.
+void HttpSession::processInputLater() {
+  if (process_scheduled_ || !open_)
+    return;
+  process_scheduled_ = true;
+  asio::post(socket_.get_executor(), [self = shared_from_this()] {
+    self->process_scheduled_ = false;
+    if (self->open_ && !self->graceful_close_.isStarted())
+      self->processInput();
+  });
+}
+
+// False: more bytes are needed, or the request was rejected.
+bool HttpSession::parseStep() {
+  if (!parser_.isActive()) {
+    if (input_[parsed_] == '\r' || input_[parsed_] == '\n') {  // RFC 9112, section 2.2
+      ++parsed_;
+      return true;
+    }
+    parser_.start();
+    since_ = monotonicNow();
+  }
+  const RequestParser::Step step = parser_.parse(std::string_view(input_).substr(parsed_));
+  parsed_ += step.consumed;
+  if (step.problem) {
+    rejectRequest(*step.problem);
+    return false;
+  }
+  if (!step.body.empty() && !onBody(step.body))
+    return false;
+  if (step.head_complete && !onHead())
+    return false;
+  if (step.complete) {
+    onRequestRead();
+    return open_;
+  }
+  return step.consumed > 0;
+}
+
+// ---- writing
+
+void HttpSession::answer(const ResponsePointer& response, const Response& content) {
+  if (!open_ || response->complete)
+    return;
+  render(response, content);
+  flush();
+}
+
+void HttpSession::render(const ResponsePointer& response, const Response& content) {
+  const bool client_error = content.status / 100 == 4 && content.status != kTooManyRequests;
+  consecutive_client_errors_ = client_error ? consecutive_client_errors_ + 1 : 0;
+  const bool is_last = responses_.isLast(response);
+  if (consecutive_client_errors_ >= kMaxClientErrors || (owner_.isDraining() && is_last)) {
+    response->closes_connection = is_last;
+    last_request_read_ = last_request_read_ || is_last;
+  }
+  response->bytes += serializeResponse(content, response->closes_connection, unixNow() / 1'000'000);
+  response->complete = true;
+}
+
+void HttpSession::flush() {
+  if (writing_ || !open_)
+    return;
+  ResponseQueue::Ready ready = responses_.takeReady(
+      [this](const ResponsePointer& response, const Response& content) { render(response, content); });
+  output_ = std::move(ready.bytes);
+  output_responses_ += ready.completed;
+  if (output_.empty())
+    return;
+  close_after_write_ = close_after_write_ || ready.closes_connection;
+  writing_ = true;
+  write_since_ = monotonicNow();
+  write(0);
+}
+
+void HttpSession::write(std::size_t from) {
+  socket_.async_write_some(asio::buffer(output_.data() + from, output_.size() - from),
+                           [self = shared_from_this(), from](error_code error, std::size_t size) {
+                             if (!self->open_)
+                               return;
+                             if (error)
+                               return self->close();
+                             self->write_since_ = monotonicNow();
+                             if (from + size < self->output_.size())
+                               return self->write(from + size);
+                             self->onWritten();
+                           });
+}
+
+void HttpSession::onWritten() {
+  writing_ = false;
+  output_.clear();
+  if (output_.capacity() > kMaxIdleOutputBytes)
+    output_.shrink_to_fit();
+  owner_.onRequestsClosed(std::exchange(output_responses_, 0));
+  if (close_after_write_)
+    return closeGracefully();
+  if (responses_.empty()) {
+    if (input_ended_)
+      return close();
+    if (owner_.isDraining() && !parser_.isActive() && input_.empty() && isInputEmpty(socket_))
+      return closeGracefully();
+    if (!parser_.isActive())
+      since_ = monotonicNow();
+  }
+  processInput();
+}
+
+// ---- time limits and the end of the connection
+
+bool HttpSession::isIdle() const {
+  return responses_.empty() && !writing_ && !parser_.isActive() && !graceful_close_.isStarted();
+}
+
+// Called at the end of each step that can change isIdle().
+void HttpSession::reportIdle() {
+  if (!open_ || isIdle() == reported_idle_)
+    return;
+  reported_idle_ = !reported_idle_;
+  owner_.onIdleChanged(*this, reported_idle_);
+}
+
+void HttpSession::checkLimits(Micros now) {
+  if (!open_)
+    return;
+  if (writing_ && now - write_since_ >= kWriteLimit)
+    return close();
+  if (graceful_close_.isExpired(now))
+    return close();
+  if (graceful_close_.isStarted())
+    return;
+  checkOutcomeWaits(now);
+  if (!open_ || last_request_read_)
+    return;
+  if (owner_.isDraining() && checkDraining(now))
+    return;
+  if (!isIdle())
+    return checkRequestLimit(now);
+  if (now - since_ >= (used_ ? owner_.limits().idle_timeout : kFirstByteLimit))
+    closeIfIdle();
+}
+
+// Answers requests that have waited for an outcome long enough: the message is accepted and still open.
+void HttpSession::checkOutcomeWaits(Micros now) {
+  for (std::size_t i = 0; i < outcome_waits_.size();) {
+    const auto response = outcome_waits_[i].lock();
+    if (response && !response->complete && now < response->wait_until) {
+      ++i;
+      continue;
+    }
+    outcome_waits_.erase(outcome_waits_.begin() + static_cast<std::ptrdiff_t>(i));
+    if (response)
+      answerAccepted(response);
+  }
+}
+
+// True: the connection has been dealt with.
+bool HttpSession::checkDraining(Micros now) {
+  if (isIdle() && now >= std::max(since_, owner_.drainingSince()) + drainDelay(number_)) {
+    closeIfIdle();
+    return true;
+  }
+  // A batch without an end: the lines that were read keep their results.
+  const bool overdue = now - owner_.drainingSince() >= kDrainDeadline;
+  if (!batch_ || batch_->isInputComplete() || !overdue)
+    return false;
+  abortBatch({503, "draining", "hand the rest in elsewhere, or here again later"});
+  return true;
+}
+
+void HttpSession::checkRequestLimit(Micros now) {
+  if (!parser_.isActive())
+    return;
+  if (!mayRead()) {  // the session, not the client, holds up the request
+    since_ = now;
+    if (batch_)
+      batch_->restartLineTimer(now);
+    return;
+  }
+  if (now - (batch_ ? std::max(since_, batch_->lineSince()) : since_) < kRequestLimit)
+    return;
+  const bool between_lines = batch_ && !batch_->isInLine() && parser_.isHeadComplete();
+  if (between_lines && now - batch_->lineSince() < owner_.limits().idle_timeout)
+    return;
+  socket_.cancel();
+  rejectRequest({408, "too-slow", "2 s from the first byte to the last are allowed"});
+}
+
+void HttpSession::drain(bool close_idle) {
+  if (!open_)
+    return;
+  if (close_idle && isIdle())
+    return closeIfIdle();
+  for (const auto& wait : outcome_waits_)
+    if (const auto response = wait.lock())
+      answerAccepted(response);
+  outcome_waits_.clear();
+}
+
+// A request that has arrived meanwhile is served first.
+void HttpSession::closeIfIdle() {
+  if (isIdle() && input_.empty() && isInputEmpty(socket_))
+    closeGracefully();
+}
+
+void HttpSession::closeGracefully() {
+  if (input_ended_)
+    return close();
+  if (graceful_close_.isStarted())
+    return;
+  graceful_close_.start(socket_, monotonicNow());
+  input_.clear();
+  parsed_ = 0;
+  reportIdle();
+  waitToRead();
+}
+
+void HttpSession::close() {
+  if (!open_)
+    return;
+  const auto self = shared_from_this();  // the owner may hold the last other reference
+  open_ = false;
+  owner_.onRequestsClosed(responses_.size() + output_responses_);
+  responses_.clear();
+  output_responses_ = 0;
+  closeNow(socket_);
+  owner_.onSessionClosed(*this);
+}
+
+}  // namespace grademux
--- /dev/null
+++ b/src/listener/http/http_session.h
@@ -0,0 +1,152 @@
+// One client connection of the HTTP listener (HTTP/1.1, RFC 9112): reads requests while earlier ones are
+// open, routes them, and writes the responses in order. Each step has a time limit, and what a connection may
+// hold is bounded. A session knows its listener by HttpSessionOwner alone. Loop thread only; sessions are
+// shared with their pending socket operations and submissions, and may outlive the listener, closed.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <memory>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "../../core/message.h"
+#include "../connection_close.h"
+#include "batch.h"
+#include "request_messages.h"
+#include "request_parser.h"
+#include "response_messages.h"
+#include "response_queue.h"
+
+namespace grademux {
+
+class HttpSession;
+
+struct HttpLimits {
+  std::size_t connections = 256;
+  std::size_t pipeline = 16;           // requests of a connection read and not answered
+  std::size_t batch_window = 64;       // lines of a batch read and not answered
+  std::size_t request_bytes = 131072;  // the body of a request, or one line of a batch
+  Micros max_wait = 30'000'000;        // a client's "Prefer: wait" is cut to it
+  Micros idle_timeout = 60'000'000;    // a connection without a request is closed after it
+};
+
+// What the sessions of one listener ask it for. It is not called once a session is closed.
+class HttpSessionOwner {
+ public:
+  virtual ~HttpSessionOwner() = default;
+  virtual SubmissionHandler& handler() = 0;
+  virtual const HttpLimits& limits() const = 0;
+  // Clients are to go elsewhere: connections end between requests.
+  virtual bool isDraining() const = 0;
+  virtual Micros drainingSince() const = 0;  // monotonic; meaningful while isDraining()
+  // New submissions are answered with 503.
+  virtual bool rejectsNewRequests() const = 0;
+  // Where a read puts its bytes before a session keeps what it needs: an idle connection holds no buffer.
+  virtual std::vector<char>& readBuffer() = 0;
+  virtual void onRequestOpened() = 0;
+  virtual void onRequestsClosed(std::size_t count) = 0;
+  // The session has become idle, or is no longer.
+  virtual void onIdleChanged(const HttpSession& session, bool idle) = 0;
+  // The session has closed its socket and is to be forgotten.
+  virtual void onSessionClosed(const HttpSession& session) = 0;
+};
+
+class HttpSession : public std::enable_shared_from_this<HttpSession> {
+ public:
+  // `number`: among the connections of the listener; spreads the drain of idle ones.
+  HttpSession(HttpSessionOwner& owner, boost::asio::ip::tcp::socket socket, std::int64_t number);
+
+  // Begins to serve; called once, when the owner knows the session (as an idle one).
+  void start() { read(); }
+  // When the current request, or the time without one, began; monotonic, microseconds.
+  Micros since() const { return since_; }
+  // Applies the time limits.
+  void checkLimits(Micros now);
+  // Clients are to leave: answers requests that wait for a final outcome. `close_idle`: closes the connection
+  // if there is no request.
+  void drain(bool close_idle);
+  // Closes at once, without the responses that are not written.
+  void close();
+
+ private:
+  using ResponsePointer = http_listener::ResponseQueue::Pointer;
+
+  // Reading.
+  void waitToRead();
+  void read();
+  void onEndOfInput();
+  void processInput();
+  void processInputLater();
+  bool parseStep();
+  bool mayRead() const;
+
+  // Requests.
+  bool onHead();
+  bool onBody(std::string_view bytes);
+  void onRequestRead();
+  ResponsePointer currentResponse();
+  void route(const ResponsePointer& response, bool is_get, bool is_put, const http_listener::Fields& fields);
+  void rejectMethod(const ResponsePointer& response, const char* allowed);
+  void submit(const ResponsePointer& response, const std::string& id, const http_listener::Fields& fields);
+  Micros preferredWait(const http_listener::Fields& fields) const;
+  void waitForOutcome(const ResponsePointer& response, const std::string& id, Micros wait);
+  void answerAccepted(const ResponsePointer& response);
+  void rejectRequest(const http_listener::Problem& problem);
+  http_listener::Problem bodyTooLong() const;
+
+  // Batches.
+  void startBatch();
+  void finishBatch();
+  void onBatchLine(const std::shared_ptr<http_listener::Batch>& batch, http_listener::Batch::Line line);
+  void releaseBatchResults(http_listener::Batch& batch);
+  void abortBatch(const http_listener::Problem& problem);
+
+  // Responses.
+  void answer(const ResponsePointer& response, const http_listener::Response& content);
+  void render(const ResponsePointer& response, const http_listener::Response& content);
+  void flush();
+  void write(std::size_t from);
+  void onWritten();
+
+  // Time limits and the end of the connection.
+  bool isIdle() const;
+  void reportIdle();
+  void checkOutcomeWaits(Micros now);
+  bool checkDraining(Micros now);
+  void checkRequestLimit(Micros now);
+  void closeIfIdle();
+  void closeGracefully();
+
+  HttpSessionOwner& owner_;
+  boost::asio::ip::tcp::socket socket_;
+  const std::int64_t number_;
+  Micros since_;
+
+  std::string input_;
+  std::size_t parsed_ = 0;  // bytes of `input_`
+  http_listener::RequestParser parser_;
+  std::variant<http_listener::Target, http_listener::Problem> target_;  // of the request that is being read
+  std::string body_;                                                    // of that request
+  bool response_placed_ = false;                                        // it has its place in `responses_`
+  std::shared_ptr<http_listener::Batch> batch_;  // the request that is being read is one
+
+  http_listener::ResponseQueue responses_;
+  std::vector<std::weak_ptr<http_listener::PendingResponse>> outcome_waits_;
+  std::string output_;                // being written
+  std::size_t output_responses_ = 0;  // that end in `output_`
+  Micros write_since_ = 0;            // the last progress
+  int consecutive_client_errors_ = 0;
+
+  GracefulClose graceful_close_;
+  bool open_ = true;
+  bool input_ended_ = false;        // the client has ended its side
+  bool last_request_read_ = false;  // what comes is not parsed
+  bool used_ = false;               // a request has been read
+  bool waiting_to_read_ = false, writing_ = false, close_after_write_ = false;
+  bool process_scheduled_ = false;
+  bool reported_idle_ = true;
+};
+
+}  // namespace grademux
--- /dev/null
+++ b/src/listener/http/request_parser.cpp
@@ -0,0 +1,100 @@
+// See request_parser.h.
+#include "request_parser.h"
+
+#include <boost/asio/buffer.hpp>
+
+namespace grademux::http_listener {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+namespace {
+
+constexpr std::size_t kMaxHeaderBytes = 16384;
+
+std::string toLower(boost::beast::string_view text) {
+  std::string lower(text.data(), text.size());
+  for (char& letter : lower)
+    if (letter >= 'A' && letter <= 'Z')
+      letter = static_cast<char>(letter - 'A' + 'a');
+  return lower;
+}
+
+}  // namespace
+
+void RequestParser::start() {
+  parser_.emplace();
+  parser_->eager(false);
+  parser_->header_limit(kMaxHeaderBytes);
+  // The session applies limits of its own to bodies. Boost 1.74 takes 0 for no body at all.
+  parser_->body_limit(UINT64_MAX / 2);
+  head_complete_ = false;
+}
+
+RequestParser::Step RequestParser::parse(std::string_view input) {
+  Step step;
+  if (head_complete_) {
+    parser_->get().body().data = body_buffer_.data();
+    parser_->get().body().size = body_buffer_.size();
+    parser_->get().body().more = true;
+  }
+  error_code error;
+  step.consumed = parser_->put(boost::asio::buffer(input.data(), input.size()), error);
+  if (error == http::error::header_limit) {
+    step.problem = Problem{431, "header-too-long", "a header may have 16384 bytes"};
+    return step;
+  }
+  if (error && error != http::error::need_more && error != http::error::need_buffer) {
+    step.problem = Problem{400, "malformed-request", error.message()};
+    return step;
+  }
+  if (step.consumed == 0 && input.size() > kMaxHeaderBytes) {
+    step.problem = Problem{431, "header-too-long", "a header, or the frame of a chunk, may have 16384 bytes"};
+    return step;
+  }
+  if (head_complete_)
+    step.body = {body_buffer_.data(), body_buffer_.size() - parser_->get().body().size};
+  else
+    step.head_complete = head_complete_ = parser_->is_header_done();
+  step.complete = parser_->is_done();
+  return step;
+}
+
+std::optional<Problem> RequestParser::checkHead() const {
+  const Head& request = head();
+  if (request.version() != 11 && request.version() != 10)
+    return Problem{505, "malformed-request", "HTTP/1.1 is expected"};
+  const bool coded = request.count(http::field::transfer_encoding) > 0;
+  // RFC 9112, section 6.3: another reader of such a request could find a second request in its body.
+  const std::size_t lengths =
+      request.count(http::field::content_length) + request.count(http::field::transfer_encoding);
+  if (lengths > 1 || (coded && request.version() == 10))
+    return Problem{400, "malformed-request", "more than one length of the body is told"};
+  if (coded && toLower(request[http::field::transfer_encoding]) != "chunked")
+    return Problem{501, "unsupported-encoding", "chunked is known"};
+  if (request.version() == 11 && request.count(http::field::host) != 1)
+    return Problem{400, "malformed-request", "one field Host is expected"};
+  return std::nullopt;
+}
+
+Fields RequestParser::fields() const {
+  Fields fields;
+  for (const auto& field : head())
+    fields.emplace_back(toLower(field.name_string()),
+                        std::string(field.value().data(), field.value().size()));
+  return fields;
+}
+
+std::string_view RequestParser::target() const {
+  return {head().target().data(), head().target().size()};
+}
+
+bool RequestParser::expectsContinue() const {
+  return toLower(head()[http::field::expect]) == "100-continue" && !parser_->is_done();
+}
+
+std::uint64_t RequestParser::contentLength() const {
+  return parser_->content_length() ? *parser_->content_length() : 0;
+}
+
+}  // namespace grademux::http_listener
--- /dev/null
+++ b/src/listener/http/response_queue.cpp
@@ -0,0 +1,44 @@
+// See response_queue.h.
+#include "response_queue.h"
+
+#include <utility>
+
+namespace grademux::http_listener {
+
+ResponseQueue::Pointer ResponseQueue::append() {
+  responses_.push_back(std::make_shared<PendingResponse>());
+  return responses_.back();
+}
+
+std::size_t ResponseQueue::heldBytes() const {
+  std::size_t bytes = 0;
+  for (const Pointer& response : responses_)
+    bytes += response->bytes.size();
+  return bytes;
+}
+
+void ResponseQueue::closeAfterLast() {
+  for (const Pointer& response : responses_)
+    response->closes_connection = isLast(response);
+}
+
+ResponseQueue::Ready ResponseQueue::takeReady(const Render& render) {
+  Ready ready;
+  while (!responses_.empty() && !ready.closes_connection) {
+    const Pointer first = responses_.front();
+    if (first->deferred) {
+      const auto make = std::exchange(first->deferred, nullptr);
+      render(first, make());
+    }
+    ready.bytes += first->bytes;
+    first->bytes.clear();
+    if (!first->complete)
+      break;
+    ready.closes_connection = first->closes_connection;
+    responses_.pop_front();
+    ++ready.completed;
+  }
+  return ready;
+}
+
+}  // namespace grademux::http_listener
--- a/src/listener/resp/resp_listener.cpp
+++ b/src/listener/resp/resp_listener.cpp
@@ -114,9 +114,9 @@
   for (const SessionPtr& candidate : {useless, unproven})
     if (candidate && now - candidate->since() >= kNewClientGrace)
       return candidate;
-  if (const SessionPtr idle = oldest(Phase::idle, true))
+  if (SessionPtr idle = oldest(Phase::idle, true))
     return idle;
-  if (const SessionPtr newest = longestInPhase({useless, unproven}))
+  if (SessionPtr newest = longestInPhase({useless, unproven}))
     return newest;
   return longestInPhase({oldest(Phase::waiting, false), oldest(Phase::waiting, true)});
 }
--- a/tests/listener/http_messages_test.cpp
+++ b/tests/listener/http_messages_test.cpp
@@ -3,7 +3,8 @@
 
 #include <nlohmann/json.hpp>
 
-#include "../../src/listener/http/messages.h"
+#include "../../src/listener/http/request_messages.h"
+#include "../../src/listener/http/response_messages.h"
 
 namespace grademux::http_listener {
 namespace {
@@ -96,11 +97,11 @@
 TEST(HttpMessages, LinesCarryTheirId) {
   std::string id;
   EXPECT_EQ("b1",
-            good(readLine(R"({"id":"b1","class":"c","destination":7,"deadline_ms":1})", id)).message.id);
+            good(readBatchLine(R"({"id":"b1","class":"c","destination":7,"deadline_ms":1})", id)).message.id);
   EXPECT_EQ("b1", id);
-  EXPECT_EQ(400, wrong(readLine(R"({"class":"c","destination":7,"deadline_ms":1})", id)));
-  EXPECT_EQ(400, wrong(readLine(R"({"id":"","class":"c","destination":7,"deadline_ms":1})", id)));
-  EXPECT_EQ(400, wrong(readLine("rubbish", id)));
+  EXPECT_EQ(400, wrong(readBatchLine(R"({"class":"c","destination":7,"deadline_ms":1})", id)));
+  EXPECT_EQ(400, wrong(readBatchLine(R"({"id":"","class":"c","destination":7,"deadline_ms":1})", id)));
+  EXPECT_EQ(400, wrong(readBatchLine("rubbish", id)));
 }
 
 TEST(HttpMessages, TargetsAreReadStrictly) {
@@ -118,38 +119,39 @@
 }
 
 TEST(HttpMessages, PreferencesAreReadAsRfc7240HasThem) {
-  EXPECT_EQ(10, waitAsked("wait=10"));
-  EXPECT_EQ(10, waitAsked("respond-async, wait=10"));
-  EXPECT_EQ(0, waitAsked("wait=0"));
+  EXPECT_EQ(10, preferredWaitSeconds("wait=10"));
+  EXPECT_EQ(10, preferredWaitSeconds("respond-async, wait=10"));
+  EXPECT_EQ(0, preferredWaitSeconds("wait=0"));
   for (const char* p : {"", "wait", "wait=", "wait=-1", "wait=1.5", "waits=3", "wait=99999999999999999999"})
-    EXPECT_FALSE(waitAsked(p)) << p;
+    EXPECT_FALSE(preferredWaitSeconds(p)) << p;
 }
 
 TEST(HttpMessages, ATimeToComeBackIsNeverTooEarly) {
-  const Response r = answerOf("m", SubmissionResult::rejected(1'200'001));
+  const Response r = submissionResponse("m", SubmissionResult::rejected(1'200'001));
   EXPECT_EQ(429, r.status);
   EXPECT_EQ("application/problem+json", r.type);
   EXPECT_EQ(1201, json::parse(r.body)["retry_after_ms"]);
   ASSERT_EQ(1u, r.fields.size());
   EXPECT_EQ("2", r.fields[0].second);  // whole seconds, upwards
-  EXPECT_TRUE(answerOf("m", SubmissionResult::rejected(0)).fields.empty());
+  EXPECT_TRUE(submissionResponse("m", SubmissionResult::rejected(0)).fields.empty());
 }
 
 TEST(HttpMessages, EachAnswerHasItsStatusAndDocument) {
-  EXPECT_EQ(202, answerOf("m", SubmissionResult::accepted()).status);
-  EXPECT_EQ(422, answerOf("m", SubmissionResult::invalid("unknown-class", "x")).status);
-  EXPECT_EQ("urn:grademux:problem:unknown-class",
-            json::parse(answerOf("m", SubmissionResult::invalid("unknown-class", "x")).body)["type"]);
-  EXPECT_EQ(409, answerOf("m", {SubmissionResult::Kind::conflict, 0, {}, {}, {}}).status);
-  EXPECT_EQ(422, answerOf("m", {SubmissionResult::Kind::failed, 0, {}, {}, {}}).status);
-  EXPECT_EQ(503, draining().status);
-  EXPECT_EQ(404, statusOf("m", {}).status);
+  EXPECT_EQ(202, submissionResponse("m", SubmissionResult::accepted()).status);
+  EXPECT_EQ(422, submissionResponse("m", SubmissionResult::invalid("unknown-class", "x")).status);
+  EXPECT_EQ(
+      "urn:grademux:problem:unknown-class",
+      json::parse(submissionResponse("m", SubmissionResult::invalid("unknown-class", "x")).body)["type"]);
+  EXPECT_EQ(409, submissionResponse("m", {SubmissionResult::Kind::conflict, 0, {}, {}, {}}).status);
+  EXPECT_EQ(422, submissionResponse("m", {SubmissionResult::Kind::failed, 0, {}, {}, {}}).status);
+  EXPECT_EQ(503, drainingResponse().status);
+  EXPECT_EQ(404, statusResponse("m", {}).status);
   const MessageStatus ended{MessageStatus::State::finished, {FinalStatus::returned, 5'000'000, 250'000}};
-  const json o = json::parse(statusOf("m", ended).body);
+  const json o = json::parse(statusResponse("m", ended).body);
   EXPECT_EQ("handed_back", o["state"]);
   EXPECT_EQ(5000, o["ended_ms"]);
   EXPECT_EQ(250, o["retry_after_ms"]);
-  const std::string line = lineOf("m", answerOf("m", SubmissionResult::accepted()));
+  const std::string line = batchResponseLine("m", submissionResponse("m", SubmissionResult::accepted()));
   EXPECT_EQ('\n', line.back());
   EXPECT_EQ(202, json::parse(line)["status"]);
 }
--- a/tests/listener/http_openapi_test.cpp
+++ b/tests/listener/http_openapi_test.cpp
@@ -3,7 +3,7 @@
 
 #include <regex>
 
-#include "../../src/listener/http/messages.h"
+#include "../../src/listener/http/request_messages.h"
 #include "../support/http_client.h"
 #include "../support/program_paths.h"
 
@@ -166,7 +166,7 @@
             {"key", "k"}, {"order_key", "o"}, {"repeat", true},   {"body", "b"}};
   auto reads = [](const json& o) {
     std::string id;
-    return std::holds_alternative<Submission>(http_listener::readLine(o.dump(), id));
+    return std::holds_alternative<Submission>(http_listener::readBatchLine(o.dump(), id));
   };
   EXPECT_EQ("", d.wrong(schema, full));
   EXPECT_TRUE(reads(full));
