--- a/src/listener/resp/commands.cpp
+++ b/src/listener/resp/commands.cpp
@@ -1,4 +1,4 @@
-// grademux: the commands of the RESP2 door; see commands.h.
+// See commands.h.
 #include "commands.h"
 
 #include <algorithm>
@@ -8,155 +8,161 @@
 
 namespace {
 
-constexpr std::size_t kLongestName = 64;  // of a client, in bytes
+constexpr std::size_t kMaxNameBytes = 64;  // of a client
+constexpr std::size_t kMaxWaitDigits = 12;
 
-std::string simple(const std::string& s) {
-  return "+" + s + "\r\n";
+// RESP2 replies, and RESP3 ones where they differ.
+
+std::string simpleString(const std::string& text) {
+  return "+" + text + "\r\n";
 }
-std::string fault(const std::string& s) {
-  return "-" + s + "\r\n";
+std::string errorReply(const std::string& text) {
+  return "-" + text + "\r\n";
 }
-std::string number(std::int64_t n) {
-  return ":" + std::to_string(n) + "\r\n";
+std::string integer(std::int64_t value) {
+  return ":" + std::to_string(value) + "\r\n";
 }
-std::string bulk(const std::string& s) {
-  return "$" + std::to_string(s.size()) + "\r\n" + s + "\r\n";
+std::string bulkString(const std::string& text) {
+  return "$" + std::to_string(text.size()) + "\r\n" + text + "\r\n";
 }
-std::string arrayOf(const std::vector<std::string>& items) {
-  std::string a = "*" + std::to_string(items.size()) + "\r\n";
-  for (const std::string& i : items)
-    a += i;
-  return a;
+// `items` are replies themselves.
+std::string array(const std::vector<std::string>& items) {
+  std::string reply = "*" + std::to_string(items.size()) + "\r\n";
+  for (const std::string& item : items)
+    reply += item;
+  return reply;
 }
 constexpr const char* kNullBulk = "$-1\r\n";
 constexpr const char* kNull = "_\r\n";  // RESP3
 constexpr const char* kNullArray = "*-1\r\n";
 
-std::string upper(std::string s) {
-  for (char& c : s)
-    if (c >= 'a' && c <= 'z')
-      c = static_cast<char>(c - 'a' + 'A');
-  return s;
+std::string toUpper(std::string text) {
+  for (char& letter : text)
+    if (letter >= 'a' && letter <= 'z')
+      letter = static_cast<char>(letter - 'a' + 'A');
+  return text;
 }
 
 using Words = std::vector<std::string>;
-using Does = RespCommand::Does;
-using Run = RespCommand (*)(const Words&, RespClient&, const RespFacts&);
+using Action = RespCommand::Action;
+using Handler = RespCommand (*)(const Words&, RespClient&, const ListenerStatus&);
 
-RespCommand replied(std::string reply) {
-  return {Does::reply, std::move(reply)};
+RespCommand reply(std::string text) {
+  return {Action::reply, std::move(text)};
 }
-RespCommand failed(const std::string& why) {
-  return replied(fault("ERR " + why));
+RespCommand error(const std::string& reason) {
+  return reply(errorReply("ERR " + reason));
 }
 
-// Names are shown in lists, where a space or a line's end would be taken for the next field.
-bool setName(RespClient& c, const std::string& name) {
-  const bool good = name.size() <= kLongestName &&
-                    std::all_of(name.begin(), name.end(), [](char x) { return x > ' ' && x < 127; });
+// Names are printed in lists, where a space or line end would start the next field.
+bool setName(RespClient& client, const std::string& name) {
+  const bool good = name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char letter) {
+                      return letter > ' ' && letter < 127;
+                    });
   if (good)
-    c.name = name;
+    client.name = name;
   return good;
 }
 constexpr const char* kBadName = "a client's name has 64 printable characters without spaces at most";
 constexpr const char* kNoPassword = "no password is set at this door";
 
-RespCommand ping(const Words& w, RespClient&, const RespFacts& f) {
-  // No word of its own for errors that are the client's: this one is no fault.
-  if (f.sends_away)
-    return replied(fault("AWAY this sender sends clients away"));
-  return replied(w.size() > 1 ? bulk(w[1]) : simple("PONG"));
+RespCommand ping(const Words& words, RespClient&, const ListenerStatus& status) {
+  if (status.draining)
+    return reply(errorReply("AWAY this sender sends clients away"));
+  return reply(words.size() > 1 ? bulkString(words[1]) : simpleString("PONG"));
 }
-RespCommand echo(const Words& w, RespClient&, const RespFacts&) {
-  return replied(bulk(w[1]));
+RespCommand echo(const Words& words, RespClient&, const ListenerStatus&) {
+  return reply(bulkString(words[1]));
 }
 
-RespCommand hello(const Words& w, RespClient& c, const RespFacts&) {
-  const int protocol = w.size() == 1 ? c.protocol : w[1] == "2" ? 2 : w[1] == "3" ? 3 : 0;
+RespCommand hello(const Words& words, RespClient& client, const ListenerStatus&) {
+  const int protocol = words.size() == 1 ? client.protocol : words[1] == "2" ? 2 : words[1] == "3" ? 3 : 0;
   if (protocol == 0)
-    return replied(fault("NOPROTO this door speaks RESP2 and RESP3"));
-  for (std::size_t i = 2; i < w.size();) {
-    const std::string option = upper(w[i]);
+    return reply(errorReply("NOPROTO this door speaks RESP2 and RESP3"));
+  for (std::size_t i = 2; i < words.size();) {
+    const std::string option = toUpper(words[i]);
     if (option == "AUTH")
-      return failed(kNoPassword);
-    if (option != "SETNAME" || i + 1 >= w.size())
-      return failed("HELLO takes a version, then SETNAME name");
-    if (!setName(c, w[i + 1]))
-      return failed(kBadName);
+      return error(kNoPassword);
+    if (option != "SETNAME" || i + 1 >= words.size())
+      return error("HELLO takes a version, then SETNAME name");
+    if (!setName(client, words[i + 1]))
+      return error(kBadName);
     i += 2;
   }
-  c.protocol = protocol;
-  const std::vector<std::string> facts{
-      bulk("server"),  bulk("grademux"),   bulk("version"), bulk(GRADEMUX_VERSION),
-      bulk("proto"),   number(protocol),   bulk("id"),      number(c.id),
-      bulk("mode"),    bulk("standalone"), bulk("role"),    bulk("master"),
-      bulk("modules"), arrayOf({})};
+  client.protocol = protocol;
+  const std::vector<std::string> facts{bulkString("server"),  bulkString("grademux"),
+                                       bulkString("version"), bulkString(GRADEMUX_VERSION),
+                                       bulkString("proto"),   integer(protocol),
+                                       bulkString("id"),      integer(client.id),
+                                       bulkString("mode"),    bulkString("standalone"),
+                                       bulkString("role"),    bulkString("master"),
+                                       bulkString("modules"), array({})};
   if (protocol == 2)
-    return replied(arrayOf(facts));
+    return reply(array(facts));
   std::string map = "%" + std::to_string(facts.size() / 2) + "\r\n";
-  for (const std::string& f : facts)
-    map += f;
-  return replied(map);
+  for (const std::string& fact : facts)
+    map += fact;
+  return reply(map);
 }
 
-RespCommand auth(const Words&, RespClient&, const RespFacts&) {
-  return failed(kNoPassword);
+RespCommand auth(const Words&, RespClient&, const ListenerStatus&) {
+  return error(kNoPassword);
 }
 
-RespCommand client(const Words& w, RespClient& c, const RespFacts&) {
-  const std::string what = upper(w[1]);
-  if (what == "ID" && w.size() == 2)
-    return replied(number(c.id));
-  if (what == "GETNAME" && w.size() == 2)
-    return replied(!c.name.empty() ? bulk(c.name) : c.protocol == 3 ? kNull : kNullBulk);
-  if (what == "SETNAME" && w.size() == 3)
-    return setName(c, w[2]) ? replied(simple("OK")) : failed(kBadName);
-  if (what == "SETINFO" && w.size() == 4) {
-    const std::string field = upper(w[2]);
-    return field == "LIB-NAME" || field == "LIB-VER" ? replied(simple("OK"))
-                                                     : failed("SETINFO knows LIB-NAME and LIB-VER");
+RespCommand clientCommand(const Words& words, RespClient& client, const ListenerStatus&) {
+  const std::string subcommand = toUpper(words[1]);
+  if (subcommand == "ID" && words.size() == 2)
+    return reply(integer(client.id));
+  if (subcommand == "GETNAME" && words.size() == 2)
+    return reply(!client.name.empty() ? bulkString(client.name) : client.protocol == 3 ? kNull : kNullBulk);
+  if (subcommand == "SETNAME" && words.size() == 3)
+    return setName(client, words[2]) ? reply(simpleString("OK")) : error(kBadName);
+  if (subcommand == "SETINFO" && words.size() == 4) {
+    const std::string field = toUpper(words[2]);
+    return field == "LIB-NAME" || field == "LIB-VER" ? reply(simpleString("OK"))
+                                                     : error("SETINFO knows LIB-NAME and LIB-VER");
   }
-  return failed("CLIENT knows ID, GETNAME, SETNAME name and SETINFO LIB-NAME|LIB-VER value");
+  return error("CLIENT knows ID, GETNAME, SETNAME name and SETINFO LIB-NAME|LIB-VER value");
 }
 
-RespCommand info(const Words&, RespClient&, const RespFacts& f) {
-  return replied(
-      bulk("# Server\r\nserver_name:grademux\r\ngrademux_version:" + std::string(GRADEMUX_VERSION) +
-           "\r\nuptime_in_seconds:" + std::to_string(f.up / 1'000'000) +
-           "\r\n\r\n# Clients\r\nconnected_clients:" + std::to_string(f.connections) +
-           "\r\n\r\n# Persistence\r\nloading:0\r\n"));
+RespCommand info(const Words&, RespClient&, const ListenerStatus& status) {
+  return reply(
+      bulkString("# Server\r\nserver_name:grademux\r\ngrademux_version:" + std::string(GRADEMUX_VERSION) +
+                 "\r\nuptime_in_seconds:" + std::to_string(status.uptime / 1'000'000) +
+                 "\r\n\r\n# Clients\r\nconnected_clients:" + std::to_string(status.connections) +
+                 "\r\n\r\n# Persistence\r\nloading:0\r\n"));
 }
 
-RespCommand select(const Words& w, RespClient&, const RespFacts&) {
-  return w[1] == "0" ? replied(simple("OK")) : failed("there is database 0 alone");
+RespCommand select(const Words& words, RespClient&, const ListenerStatus&) {
+  return words[1] == "0" ? reply(simpleString("OK")) : error("there is database 0 alone");
 }
-RespCommand quit(const Words&, RespClient&, const RespFacts&) {
-  return {Does::quit, simple("OK")};
+RespCommand quit(const Words&, RespClient&, const ListenerStatus&) {
+  return {Action::quit, simpleString("OK")};
 }
-RespCommand reset(const Words&, RespClient& c, const RespFacts&) {
-  c.name.clear();
-  c.protocol = 2;
-  return replied(simple("RESET"));
+RespCommand reset(const Words&, RespClient& client, const ListenerStatus&) {
+  client.name.clear();
+  client.protocol = 2;
+  return reply(simpleString("RESET"));
 }
-RespCommand put(const Words&, RespClient&, const RespFacts&) {
-  return {Does::put, {}};
+RespCommand put(const Words&, RespClient&, const ListenerStatus&) {
+  return {Action::put, {}};
 }
-RespCommand get(const Words&, RespClient&, const RespFacts&) {
-  return {Does::get, {}};
+RespCommand get(const Words&, RespClient&, const ListenerStatus&) {
+  return {Action::get, {}};
 }
-RespCommand wait(const Words&, RespClient&, const RespFacts&) {
-  return {Does::wait, {}};
+RespCommand wait(const Words&, RespClient&, const ListenerStatus&) {
+  return {Action::wait, {}};
 }
-RespCommand command(const Words& w, RespClient&, const RespFacts&);
+RespCommand command(const Words& words, RespClient&, const ListenerStatus&);
 
-struct Entry {
+struct CommandEntry {
   const char* name;
-  std::size_t least, most;  // words, the command's own among them
-  Run run;
+  std::size_t min_words, max_words;  // with the command's name
+  Handler handler;
   const char* summary;
 };
-constexpr std::size_t kAny = 1000;
-constexpr Entry kCommands[] = {
+constexpr std::size_t kUnlimited = 1000;
+constexpr CommandEntry kCommands[] = {
     {"MSG.PUT", 5, 5, put, "Hands a message in: order key or 0, id, values (c, d, dest, k), body"},
     {"MSG.GET", 2, 2, get, "What is known of a message"},
     {"MSG.WAIT", 3, 3, wait, "Waits for a message's end, for so many milliseconds at most"},
@@ -164,103 +170,106 @@
     {"ECHO", 2, 2, echo, "Answers the word given"},
     {"HELLO", 1, 7, hello, "Begins with a version of the protocol, 2 or 3"},
     {"AUTH", 2, 3, auth, "There is no password"},
-    {"CLIENT", 2, 4, client, "This connection's id and name"},
-    {"INFO", 1, kAny, info, "Figures of this door"},
+    {"CLIENT", 2, 4, clientCommand, "This connection's id and name"},
+    {"INFO", 1, kUnlimited, info, "Figures of this door"},
     {"SELECT", 2, 2, select, "Takes database 0"},
-    {"COMMAND", 1, kAny, command, "What this door can do"},
+    {"COMMAND", 1, kUnlimited, command, "What this door can do"},
     {"RESET", 1, 1, reset, "Forgets the connection's name"},
     {"QUIT", 1, 1, quit, "Ends the connection"},
 };
 
-const Entry* entryOf(const std::string& name) {
-  const std::string asked = upper(name);
-  for (const Entry& e : kCommands)
-    if (asked == e.name)
-      return &e;
+const CommandEntry* findCommand(const std::string& name) {
+  const std::string upper_name = toUpper(name);
+  for (const CommandEntry& entry : kCommands)
+    if (upper_name == entry.name)
+      return &entry;
   return nullptr;
 }
 
-std::string lower(std::string s) {
-  for (char& c : s)
-    if (c >= 'A' && c <= 'Z')
-      c = static_cast<char>(c - 'A' + 'a');
-  return s;
+std::string toLower(std::string text) {
+  for (char& letter : text)
+    if (letter >= 'A' && letter <= 'Z')
+      letter = static_cast<char>(letter - 'A' + 'a');
+  return text;
 }
 
 // Name, arity (negative: at least so many), flags, and the places of keys, of which there are none.
-std::string describe(const Entry& e) {
-  const auto least = static_cast<std::int64_t>(e.least);
-  return arrayOf({bulk(lower(e.name)), number(e.least == e.most ? least : -least), arrayOf({}), number(0),
-                  number(0), number(0)});
+std::string describe(const CommandEntry& entry) {
+  const auto min_words = static_cast<std::int64_t>(entry.min_words);
+  return array({bulkString(toLower(entry.name)),
+                integer(entry.min_words == entry.max_words ? min_words : -min_words), array({}), integer(0),
+                integer(0), integer(0)});
 }
 
-RespCommand command(const Words& w, RespClient& c, const RespFacts&) {
-  const std::string what = w.size() > 1 ? upper(w[1]) : "";
+RespCommand command(const Words& words, RespClient& client, const ListenerStatus&) {
+  const std::string subcommand = words.size() > 1 ? toUpper(words[1]) : "";
   std::vector<std::string> all;
-  if (what.empty() || (what == "INFO" && w.size() == 2)) {
-    for (const Entry& e : kCommands)
-      all.push_back(describe(e));
-  } else if (what == "COUNT" && w.size() == 2) {
-    return replied(number(std::size(kCommands)));
-  } else if (what == "INFO") {
-    for (std::size_t i = 2; i < w.size(); ++i)
-      all.push_back(entryOf(w[i]) ? describe(*entryOf(w[i]))
-                                  : std::string(c.protocol == 3 ? kNull : kNullArray));
-  } else if (what == "DOCS") {
-    for (const Entry& e : kCommands) {
-      const auto named = [&](const std::string& n) { return upper(n) == e.name; };
-      if (w.size() > 2 && std::none_of(w.begin() + 2, w.end(), named))
+  if (subcommand.empty() || (subcommand == "INFO" && words.size() == 2)) {
+    for (const CommandEntry& entry : kCommands)
+      all.push_back(describe(entry));
+  } else if (subcommand == "COUNT" && words.size() == 2) {
+    return reply(integer(std::size(kCommands)));
+  } else if (subcommand == "INFO") {
+    for (std::size_t i = 2; i < words.size(); ++i)
+      all.push_back(findCommand(words[i]) ? describe(*findCommand(words[i]))
+                                          : std::string(client.protocol == 3 ? kNull : kNullArray));
+  } else if (subcommand == "DOCS") {
+    for (const CommandEntry& entry : kCommands) {
+      const auto named = [&](const std::string& name) { return toUpper(name) == entry.name; };
+      if (words.size() > 2 && std::none_of(words.begin() + 2, words.end(), named))
         continue;
-      all.push_back(bulk(lower(e.name)));
-      all.push_back(arrayOf({bulk("summary"), bulk(e.summary)}));
+      all.push_back(bulkString(toLower(entry.name)));
+      all.push_back(array({bulkString("summary"), bulkString(entry.summary)}));
     }
   } else {
-    return failed("COMMAND knows COUNT, INFO and DOCS");
+    return error("COMMAND knows COUNT, INFO and DOCS");
   }
-  return replied(arrayOf(all));
+  return reply(array(all));
 }
 
 }  // namespace
 
-bool knowsCommand(std::string_view word, bool whole) {
-  const std::string asked = upper(std::string(word.substr(0, kLongestName)));
-  return !asked.empty() && std::any_of(std::begin(kCommands), std::end(kCommands), [&](const Entry& e) {
-    return whole ? asked == e.name : std::string_view(e.name).substr(0, asked.size()) == asked;
-  });
+bool isCommandName(std::string_view word, bool complete) {
+  const std::string prefix = toUpper(std::string(word.substr(0, kMaxNameBytes)));
+  return !prefix.empty() &&
+         std::any_of(std::begin(kCommands), std::end(kCommands), [&](const CommandEntry& entry) {
+           return complete ? prefix == entry.name
+                           : std::string_view(entry.name).substr(0, prefix.size()) == prefix;
+         });
 }
 
-RespCommand readCommand(const Words& words, RespClient& c, const RespFacts& facts) {
-  const Entry* e = entryOf(words[0]);
-  if (!e)
-    return failed("unknown command");
-  if (words.size() < e->least || words.size() > e->most)
-    return failed("wrong number of arguments");
-  return e->run(words, c, facts);
+RespCommand readCommand(const Words& words, RespClient& client, const ListenerStatus& status) {
+  const CommandEntry* entry = findCommand(words[0]);
+  if (!entry)
+    return error("unknown command");
+  if (words.size() < entry->min_words || words.size() > entry->max_words)
+    return error("wrong number of arguments");
+  return entry->handler(words, client, status);
 }
 
-std::string statusReply(const MessageStatus& s, int protocol) {
-  switch (s.state) {
+std::string statusReply(const MessageStatus& status, int protocol) {
+  switch (status.state) {
     case MessageStatus::State::unknown:
       return protocol == 3 ? kNull : kNullArray;
     case MessageStatus::State::open:
-      return arrayOf({bulk("state"), bulk("open")});
+      return array({bulkString("state"), bulkString("open")});
     case MessageStatus::State::finished:
       break;
   }
-  std::vector<std::string> fields{bulk("state"), bulk(nameOf(s.outcome.status)), bulk("ended_ms"),
-                                  number(s.outcome.at / 1000)};
-  if (s.outcome.retry_after > 0) {
-    fields.push_back(bulk("retry_after_ms"));
-    fields.push_back(number((s.outcome.retry_after + 999) / 1000));
+  std::vector<std::string> fields{bulkString("state"), bulkString(nameOf(status.outcome.status)),
+                                  bulkString("ended_ms"), integer(status.outcome.at / 1000)};
+  if (status.outcome.retry_after > 0) {
+    fields.push_back(bulkString("retry_after_ms"));
+    fields.push_back(integer((status.outcome.retry_after + 999) / 1000));
   }
-  return arrayOf(fields);
+  return array(fields);
 }
 
-bool readWait(const std::string& ms, Micros& wait) {
-  if (ms.empty() || ms.size() > 12 || ms.find_first_not_of("0123456789") != std::string::npos)
-    return false;
-  wait = std::min<Micros>(std::strtoll(ms.c_str(), nullptr, 10) * 1000, kLongestRespWait);
-  return true;
+std::optional<Micros> readWait(const std::string& milliseconds) {
+  const bool digits = milliseconds.find_first_not_of("0123456789") == std::string::npos;
+  if (milliseconds.empty() || milliseconds.size() > kMaxWaitDigits || !digits)
+    return std::nullopt;
+  return std::min<Micros>(std::strtoll(milliseconds.c_str(), nullptr, 10) * 1000, kMaxRespWait);
 }
 
 }  // namespace grademux
--- a/src/listener/resp/parser.cpp
+++ b/src/listener/resp/parser.cpp
@@ -1,4 +1,4 @@
-// grademux: RESP2 requests; see parser.h.
+// See parser.h.
 #include "parser.h"
 
 #include <algorithm>
@@ -6,51 +6,53 @@
 namespace grademux {
 namespace {
 
-constexpr std::size_t kLongestCount = 8;  // digits
+constexpr std::size_t kMaxCountDigits = 8;
 
 // "<sign><digits>\r\n" at `at`; moves past it.
-Parsed readCount(std::string_view in, std::size_t& at, char sign, std::size_t most, std::size_t& count,
-                 std::string& error) {
+ParseStatus readCount(std::string_view in, std::size_t& at, char sign, std::size_t max, std::size_t& count,
+                      std::string& error) {
   if (at >= in.size())
-    return Parsed::partial;
+    return ParseStatus::partial;
   if (in[at] != sign) {
     error = std::string("Protocol error: expected '") + sign + "'";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
-  std::size_t i = at + 1, value = 0, digits = 0;
-  for (; i < in.size() && in[i] >= '0' && in[i] <= '9'; ++i) {
-    if (++digits > kLongestCount)
+  std::size_t next = at + 1, value = 0, digits = 0;
+  for (; next < in.size() && in[next] >= '0' && in[next] <= '9'; ++next) {
+    if (++digits > kMaxCountDigits)
       break;
-    value = 10 * value + static_cast<std::size_t>(in[i] - '0');
+    value = 10 * value + static_cast<std::size_t>(in[next] - '0');
   }
-  if (i < in.size() && (in[i] != '\r' || digits == 0)) {
+  if (next < in.size() && (in[next] != '\r' || digits == 0)) {
     error = "Protocol error: invalid length";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
-  if (value > most) {
+  if (value > max) {
     error = "Protocol error: too long";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
-  if (i + 1 >= in.size())
-    return Parsed::partial;
-  if (in[i + 1] != '\n') {
+  if (next + 1 >= in.size())
+    return ParseStatus::partial;
+  if (in[next + 1] != '\n') {
     error = "Protocol error: invalid length";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
-  at = i + 2;
+  at = next + 2;
   count = value;
-  return Parsed::whole;
+  return ParseStatus::complete;
 }
 
-bool isBlank(char c) {
-  return c == ' ' || c == '\t';
+bool isBlank(char letter) {
+  return letter == ' ' || letter == '\t';
 }
-int hexDigit(char c) {
-  if (c >= '0' && c <= '9')
-    return c - '0';
-  if (c >= 'a' && c <= 'f')
-    return c - 'a' + 10;
-  return c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
+
+// The value of a hexadecimal digit; -1: it is none.
+int hexDigit(char digit) {
+  if (digit >= '0' && digit <= '9')
+    return digit - '0';
+  if (digit >= 'a' && digit <= 'f')
+    return digit - 'a' + 10;
+  return digit >= 'A' && digit <= 'F' ? digit - 'A' + 10 : -1;
 }
 
 // One word of an inline command from `at` on; false if its quotes are not balanced.
@@ -84,25 +86,25 @@
   }
   if (at == line.size())
     return false;
-  ++at;  // the quote; a blank or the end has to follow
+  ++at;  // the closing quote; a blank or the end must follow
   return at == line.size() || isBlank(line[at]);
 }
 
-Parsed parseInline(std::string_view in, std::vector<std::string>& words, std::size_t& used,
-                   std::string& error, KnowsCommand knows) {
+ParseStatus parseInline(std::string_view in, std::vector<std::string>& words, std::size_t& used,
+                        std::string& error, IsCommandName is_command) {
   const std::size_t end = in.find('\n');
   const std::size_t first = in.substr(0, end).find_first_of(" \t\r");
-  const bool whole = end != std::string_view::npos || first != std::string_view::npos;
-  if (!knows(in.substr(0, std::min(first, end)), whole)) {
+  const bool complete = end != std::string_view::npos || first != std::string_view::npos;
+  if (!is_command(in.substr(0, std::min(first, end)), complete)) {
     error = "Protocol error: expected '*'";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
-  if (std::min(end, in.size()) > kLongestLine) {
+  if (std::min(end, in.size()) > kMaxInlineBytes) {
     error = "Protocol error: too long";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
   if (end == std::string_view::npos)
-    return Parsed::partial;
+    return ParseStatus::partial;
   std::string_view line = in.substr(0, end);
   if (!line.empty() && line.back() == '\r')
     line.remove_suffix(1);
@@ -111,57 +113,57 @@
       ++at;
     if (at == line.size())
       break;
-    if (words.size() == kMostWords) {
+    if (words.size() == kMaxWords) {
       error = "Protocol error: too long";
-      return Parsed::malformed;
+      return ParseStatus::malformed;
     }
     words.emplace_back();
     if (!readWord(line, at, words.back())) {
       error = "Protocol error: unbalanced quotes in request";
-      return Parsed::malformed;
+      return ParseStatus::malformed;
     }
   }
   used = end + 1;
-  return Parsed::whole;
+  return ParseStatus::complete;
 }
 
 }  // namespace
 
-Parsed parseRequest(std::string_view in, std::vector<std::string>& words, std::size_t& used,
-                    std::string& error, KnowsCommand knows) {
+ParseStatus parseRequest(std::string_view in, std::vector<std::string>& words, std::size_t& used,
+                         std::string& error, IsCommandName is_command) {
   words.clear();
-  if (knows && !in.empty() && in[0] != '*')
-    return parseInline(in, words, used, error, knows);
+  if (is_command && !in.empty() && in[0] != '*')
+    return parseInline(in, words, used, error, is_command);
   std::size_t at = 0, count = 0;
-  Parsed p = readCount(in, at, '*', kMostWords, count, error);
-  if (p != Parsed::whole)
-    return p;
+  ParseStatus status = readCount(in, at, '*', kMaxWords, count, error);
+  if (status != ParseStatus::complete)
+    return status;
   if (count == 0) {
     error = "Protocol error: empty request";
-    return Parsed::malformed;
+    return ParseStatus::malformed;
   }
   std::size_t total = 0;
   for (std::size_t i = 0; i < count; ++i) {
     std::size_t size = 0;
-    p = readCount(in, at, '$', kLongestWord, size, error);
-    if (p != Parsed::whole)
-      return p;
+    status = readCount(in, at, '$', kMaxWordBytes, size, error);
+    if (status != ParseStatus::complete)
+      return status;
     total += size;
-    if (total > 2 * kLongestWord) {
+    if (total > 2 * kMaxWordBytes) {
       error = "Protocol error: too long";
-      return Parsed::malformed;
+      return ParseStatus::malformed;
     }
     if (in.size() - at < size + 2)
-      return Parsed::partial;
+      return ParseStatus::partial;
     if (in[at + size] != '\r' || in[at + size + 1] != '\n') {
       error = "Protocol error: a string without its end";
-      return Parsed::malformed;
+      return ParseStatus::malformed;
     }
     words.emplace_back(in.substr(at, size));
     at += size + 2;
   }
   used = at;
-  return Parsed::whole;
+  return ParseStatus::complete;
 }
 
 }  // namespace grademux
--- a/src/listener/resp/put_request.h
+++ b/src/listener/resp/put_request.h
@@ -1,24 +1,25 @@
-// grademux: the request `MSG.PUT` of the RESP2 protocol: its words to a submission, the answer to a reply. No
-// I/O.
+// The request MSG.PUT: its words to a Submission, and the result to a reply. The only place that knows the
+// field letters of the protocol. No I/O.
 #pragma once
 
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "../../core/message.h"
+#include "../../core/result.h"
 
 namespace grademux {
 
-// The submission that `words` (command, order key, id, list of values, body) hand in, or what is wrong with
-// them, for people. Takes the body out of `words`.
-struct PutRequest {
-  Submission submission;
-  std::optional<std::string> error;
+// Why a MSG.PUT can't be used, for people.
+struct PutError {
+  std::string reason;
 };
-PutRequest readPut(std::vector<std::string>& words);
 
-// The reply line to a submission, with its end.
-std::string replyTo(const SubmissionResult& answer);
+// Reads the words of a MSG.PUT: command, ordering key, id, list of values, body. Takes the body out of
+// `words`.
+Result<Submission, PutError> readPut(std::vector<std::string>& words);
+
+// The reply to a MSG.PUT, with its line end.
+std::string putReply(const SubmissionResult& result);
 
 }  // namespace grademux
--- a/src/listener/resp/resp_listener.cpp
+++ b/src/listener/resp/resp_listener.cpp
@@ -21,8 +21,8 @@
 // A new client that wants something has sent it by then (microseconds).
 constexpr Micros kNewClientGrace = 200'000;
 
-constexpr std::size_t groupOf(Phase phase, bool proven) {
-  return 2 * static_cast<std::size_t>(phase) + (proven ? 1 : 0);
+constexpr std::size_t groupOf(Phase phase, bool has_submitted) {
+  return 2 * static_cast<std::size_t>(phase) + (has_submitted ? 1 : 0);
 }
 
 std::shared_ptr<RespSession> longestInPhase(std::initializer_list<std::shared_ptr<RespSession>> sessions) {
@@ -57,7 +57,7 @@
   acceptor_.start();
 }
 
-RespFacts RespListener::facts() const {
+ListenerStatus RespListener::status() const {
   return {sessions_.size(), monotonicNow() - started_at_, isDraining()};
 }
 
@@ -65,7 +65,7 @@
   return sessions_.count(groupOf(phase, false)) + sessions_.count(groupOf(phase, true));
 }
 
-std::size_t RespListener::countProven() const {
+std::size_t RespListener::countSubmitters() const {
   std::size_t count = 0;
   for (std::size_t phase = 0; phase < RespSession::kPhaseCount; ++phase)
     if (static_cast<Phase>(phase) != Phase::closing)
@@ -74,7 +74,7 @@
 }
 
 std::size_t RespListener::openRequests() const {
-  return countIn(Phase::asked) + countIn(Phase::waiting);
+  return countIn(Phase::submitted) + countIn(Phase::waiting);
 }
 
 std::size_t RespListener::partialRequests() const {
@@ -82,14 +82,14 @@
 }
 
 void RespListener::onPhaseEntered(const RespSession& session) {
-  sessions_.move(session, groupOf(session.phase(), session.proven()));
+  sessions_.move(session, groupOf(session.phase(), session.hasSubmitted()));
 }
 
 void RespListener::serve(tcp::socket socket) {
-  limitProven();
+  limitSubmitters();
   SessionOwner& owner = *this;
   const auto session = std::make_shared<RespSession>(io_, owner, std::move(socket), ++next_number_);
-  sessions_.add(session, groupOf(session->phase(), session->proven()));
+  sessions_.add(session, groupOf(session->phase(), session->hasSubmitted()));
   session->start();  // its first request has usually arrived by now
 }
 
@@ -105,18 +105,21 @@
 // by the time in the phase: rejected or closing ones, clients that have never submitted, idle ones, new
 // clients, and those that wait for a final outcome (which can be asked for again).
 RespListener::SessionPtr RespListener::leastUsed(bool include_closing) const {
-  const auto oldest = [this](Phase phase, bool proven) { return sessions_.oldest(groupOf(phase, proven)); };
+  const auto oldest = [this](Phase phase, bool has_submitted) {
+    return sessions_.oldest(groupOf(phase, has_submitted));
+  };
   SessionPtr useless = longestInPhase({oldest(Phase::throttled, false), oldest(Phase::throttled, true)});
   if (include_closing)
     useless = longestInPhase({useless, oldest(Phase::closing, false), oldest(Phase::closing, true)});
-  const SessionPtr unproven = longestInPhase({oldest(Phase::idle, false), oldest(Phase::partial, false)});
+  const SessionPtr non_submitter =
+      longestInPhase({oldest(Phase::idle, false), oldest(Phase::partial, false)});
   const Micros now = monotonicNow();
-  for (const SessionPtr& candidate : {useless, unproven})
+  for (const SessionPtr& candidate : {useless, non_submitter})
     if (candidate && now - candidate->since() >= kNewClientGrace)
       return candidate;
   if (SessionPtr idle = oldest(Phase::idle, true))
     return idle;
-  if (SessionPtr newest = longestInPhase({useless, unproven}))
+  if (SessionPtr newest = longestInPhase({useless, non_submitter}))
     return newest;
   return longestInPhase({oldest(Phase::waiting, false), oldest(Phase::waiting, true)});
 }
@@ -139,10 +142,10 @@
   return true;
 }
 
-// Closes the proven session that has been idle longest while there is still room for the next, so that
-// clients that submit never reach their limit.
-void RespListener::limitProven() {
-  if (countProven() < limits_.proven)
+// Of the sessions that have submitted, closes the one that has been idle longest while there is still room
+// for the next, so that clients that submit never reach their limit.
+void RespListener::limitSubmitters() {
+  if (countSubmitters() < limits_.submitters)
     return;
   const auto& idle = sessions_.members(groupOf(Phase::idle, true));
   const auto longest = std::find_if(idle.begin(), idle.end(),
--- a/src/listener/resp/resp_listener.h
+++ b/src/listener/resp/resp_listener.h
@@ -19,7 +19,7 @@
  public:
   // Connections altogether, and those among them that have submitted a message.
   struct Limits {
-    std::size_t all = 1, proven = 1;
+    std::size_t all = 1, submitters = 1;
   };
 
   // Binds `listen`; throws std::runtime_error when it can't.
@@ -49,11 +49,11 @@
 
  private:
   using SessionPtr = std::shared_ptr<RespSession>;
-  // One group for each phase of a session, apart for proven sessions and others.
+  // One group for each phase of a session, apart for those that have submitted and others.
   using Sessions = ConnectionTable<RespSession, 2 * RespSession::kPhaseCount>;
 
   SubmissionHandler& handler() override { return *handler_; }
-  RespFacts facts() const override;
+  ListenerStatus status() const override;
   bool isDraining() const override { return removed_ || paused_ || state_->isDraining(); }
   Micros drainingSince() const override { return draining_since_; }
   bool isCrowded() const override;
@@ -67,8 +67,8 @@
 
   SessionPtr leastUsed(bool include_closing) const;
   std::size_t countIn(RespSession::Phase phase) const;
-  std::size_t countProven() const;
-  void limitProven();
+  std::size_t countSubmitters() const;
+  void limitSubmitters();
   void closeIdle();
 
   boost::asio::io_context& io_;
--- a/src/listener/resp/session.cpp
+++ b/src/listener/resp/session.cpp
@@ -1,4 +1,4 @@
-// grademux: client connections of the RESP2 listener; see session.h.
+// See session.h.
 #include "session.h"
 
 #include <algorithm>
@@ -19,13 +19,13 @@
 
 namespace {
 
-// A connection is owed an error or its end within 3 s. Limits on: the first byte, a whole request from its
-// first byte on, and a reply's way out.
+// A client gets an error or the end of its connection within 3 s. Limits on the first byte, on a request from
+// its first byte on, and on the write of a reply.
 constexpr Micros kFirstByteLimit = 2'000'000, kRequestLimit = 2'000'000, kWriteLimit = 2'000'000;
-constexpr Micros kLastRequestLimit = 3'500'000;  // of a request, since clients are sent away
-constexpr Micros kKeepAlive = 300'000'000;  // while few are open, a connection that asks seldom is let be
-constexpr int kMostUseless = 12;            // useless requests in a row, answered ever more slowly
-constexpr Micros kThrottle = 10'000, kMostThrottle = 320'000;
+constexpr Micros kLastRequestLimit = 3'500'000;  // for a request that has begun, from the start of a drain on
+constexpr Micros kIdleLimit = 300'000'000;       // while the table is not crowded
+constexpr int kMaxErrors = 12;  // requests in a row that are answered with an error, then the connection ends
+constexpr Micros kThrottle = 10'000, kMaxThrottle = 320'000;
 
 }  // namespace
 
@@ -78,56 +78,58 @@
   std::vector<std::string> words;
   std::size_t used = 0;
   std::string error;
-  switch (parseRequest(in_, words, used, error, knowsCommand)) {
-    case Parsed::partial:
+  switch (parseRequest(in_, words, used, error, isCommandName)) {
+    case ParseStatus::partial:
       enter(in_.empty() ? Phase::idle : Phase::partial);
       return waitToRead();
-    case Parsed::malformed:
+    case ParseStatus::malformed:
       last_reply_ = true;
-      return answer("-ERR " + error + "\r\n");
-    case Parsed::whole:
+      return reply("-ERR " + error + "\r\n");
+    case ParseStatus::complete:
       break;
   }
   in_.erase(0, used);
   if (in_.empty())
     in_.shrink_to_fit();
-  run(words);
+  execute(words);
 }
 
-void RespSession::run(std::vector<std::string>& words) {
-  const RespCommand command = readCommand(words, client_, owner_.facts());
-  switch (command.does) {
-    case RespCommand::Does::put:
+void RespSession::execute(std::vector<std::string>& words) {
+  const RespCommand command = readCommand(words, client_, owner_.status());
+  switch (command.action) {
+    case RespCommand::Action::put:
       return put(words);
-    case RespCommand::Does::get:
-      return answer(statusReply(owner_.handler().status(words[1]), client_.protocol));
-    case RespCommand::Does::wait:
+    case RespCommand::Action::get:
+      return reply(statusReply(owner_.handler().status(words[1]), client_.protocol));
+    case RespCommand::Action::wait:
       return waitForOutcome(words);
-    case RespCommand::Does::quit:
+    case RespCommand::Action::quit:
       last_reply_ = true;
       break;
-    case RespCommand::Does::reply:
+    case RespCommand::Action::reply:
       break;
   }
-  answer(command.reply);
+  reply(command.reply);
 }
 
 void RespSession::put(std::vector<std::string>& words) {
-  PutRequest request = readPut(words);
-  if (request.error)
-    return answer("-ERR " + *request.error + "\r\n");
-  enter(Phase::asked);
-  owner_.handler().submit(std::move(request.submission),
-                          [self = shared_from_this()](const SubmissionResult& given) {
+  auto submission = readPut(words);
+  if (!submission.has_value())
+    return reply("-ERR " + submission.error().reason + "\r\n");
+  enter(Phase::submitted);
+  owner_.handler().submit(std::move(submission.value()),
+                          [self = shared_from_this()](const SubmissionResult& result) {
                             // The connection, and the listener with it, may be gone by now.
-                            if (self->open_ && self->phase_ == Phase::asked)
-                              self->answer(replyTo(given));
+                            if (self->open_ && self->phase_ == Phase::submitted)
+                              self->reply(putReply(result));
                           });
 }
 
 void RespSession::waitForOutcome(const std::vector<std::string>& words) {
-  if (!readWait(words[2], patience_))
-    return answer("-ERR a whole number of milliseconds is expected\r\n");
+  const auto wait = readWait(words[2]);
+  if (!wait)
+    return reply("-ERR a whole number of milliseconds is expected\r\n");
+  outcome_wait_ = *wait;
   awaited_id_ = words[1];
   enter(Phase::waiting);
   checkOutcome(monotonicNow());
@@ -137,54 +139,52 @@
   if (!open_ || phase_ != Phase::waiting)
     return;
   const MessageStatus status = owner_.handler().status(awaited_id_);
-  const bool may_wait = now - since_ < patience_ && !owner_.isDraining();
-  if (status.state == MessageStatus::State::open && may_wait)
+  const bool keeps_waiting = now - since_ < outcome_wait_ && !owner_.isDraining();
+  if (status.state == MessageStatus::State::open && keeps_waiting)
     return;
-  answer(statusReply(status, client_.protocol));
+  reply(statusReply(status, client_.protocol));
 }
 
-// Guards all others against one that asks for what can't be done as fast as it is turned away: it is heard
-// ever more slowly, and then no more.
-void RespSession::answer(const std::string& reply) {
-  const bool useless = reply.rfind("-ERR", 0) == 0;
-  useless_requests_ = useless ? useless_requests_ + 1 : 0;
-  useful_ = useful_ || !useless;
-  proven_ = proven_ || (!useless && phase_ == Phase::asked);
-  last_reply_ = last_reply_ || useless_requests_ >= kMostUseless;
-  out_ = reply;
+// A client whose requests keep failing is answered after growing delays, and disconnected after kMaxErrors.
+void RespSession::reply(const std::string& bytes) {
+  const bool is_error = bytes.rfind("-ERR", 0) == 0;
+  consecutive_errors_ = is_error ? consecutive_errors_ + 1 : 0;
+  has_succeeded_ = has_succeeded_ || !is_error;
+  has_submitted_ = has_submitted_ || (!is_error && phase_ == Phase::submitted);
+  last_reply_ = last_reply_ || consecutive_errors_ >= kMaxErrors;
+  out_ = bytes;
   enter(Phase::writing);
   asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](error_code error, std::size_t) {
     if (!self->open_)
       return;
-    error ? self->close() : self->answered();
+    error ? self->close() : self->onReplyWritten();
   });
 }
 
-void RespSession::answered() {
+void RespSession::onReplyWritten() {
   if (last_reply_)
     return closeGracefully();
   if (owner_.isDraining()) {
     if (in_.empty() && isInputEmpty())
       return closeGracefully();
-    // Guards against clients that ask on and on over one connection and are never sent away. What they have
-    // sent and was not read is theirs to send again.
+    // A client that never pauses is disconnected between requests; it sends those that were not read again.
     if (monotonicNow() - owner_.drainingSince() >= kDrainDeadline)
       return closeGracefully();
   }
-  useless_requests_ > 1 ? throttle() : goOn();
+  consecutive_errors_ > 1 ? throttle() : readNext();
 }
 
 void RespSession::throttle() {
   enter(Phase::throttled);
-  const Micros pause = std::min(kMostThrottle, kThrottle << (useless_requests_ - 2));
+  const Micros pause = std::min(kMaxThrottle, kThrottle << (consecutive_errors_ - 2));
   throttle_timer_.expires_after(std::chrono::microseconds(pause));
   throttle_timer_.async_wait([self = shared_from_this()](error_code stopped) {
     if (!stopped && self->open_ && self->phase_ == Phase::throttled)
-      self->goOn();
+      self->readNext();
   });
 }
 
-void RespSession::goOn() {
+void RespSession::readNext() {
   enter(Phase::idle);
   in_.empty() ? waitToRead() : parse();
 }
@@ -248,7 +248,7 @@
       return;
     case Phase::waiting:
       return checkOutcome(now);
-    case Phase::asked:
+    case Phase::submitted:
     case Phase::throttled:
       return;
   }
@@ -257,19 +257,19 @@
 void RespSession::checkIdle(Micros now) {
   if (owner_.isDraining() && now >= std::max(since_, owner_.drainingSince()) + drainDelay(client_.id))
     return closeIfIdle();
-  const bool has_asked = useful_ || useless_requests_ > 0;
-  const Micros limit = !has_asked ? kFirstByteLimit : owner_.isCrowded() ? kIdleCloseable : kKeepAlive;
+  const bool has_requested = has_succeeded_ || consecutive_errors_ > 0;
+  const Micros limit = !has_requested ? kFirstByteLimit : owner_.isCrowded() ? kIdleCloseable : kIdleLimit;
   if (now - since_ >= limit)
     closeIfIdle();
 }
 
 void RespSession::checkPartial(Micros now) {
-  const bool sent_away_long = owner_.isDraining() && now - owner_.drainingSince() >= kLastRequestLimit;
-  if (now - since_ < kRequestLimit && !sent_away_long)
+  const bool drain_overdue = owner_.isDraining() && now - owner_.drainingSince() >= kLastRequestLimit;
+  if (now - since_ < kRequestLimit && !drain_overdue)
     return;
   socket_.cancel();
   last_reply_ = true;
-  answer("-ERR the request did not come to its end\r\n");
+  reply("-ERR the request did not come to its end\r\n");
 }
 
 }  // namespace grademux
--- a/tests/listener/hiredis_test.cpp
+++ b/tests/listener/hiredis_test.cpp
@@ -1,5 +1,5 @@
-// hiredis, the C client that many others stand on, with its usual settings at the RESP2 door: connect, put,
-// get, wait, a pipeline of 100, and again after a kill.
+// hiredis, the C client that many others stand on, with its usual settings at the RESP2 listener: connect,
+// put, get, wait, a pipeline of 100, and again after a kill.
 #include <hiredis/hiredis.h>
 
 #include "../../harness/sender_process.h"
@@ -60,7 +60,7 @@
   harness::SenderProcess child;
 };
 
-TEST_F(Hiredis, PutsGetsWaitsPipelinesAndComesBackAfterAKill) {
+TEST_F(Hiredis, PutsGetsWaitsPipelinesAndReconnectsAfterAKill) {
   Context c = connect();
   const std::string body("a body\r\n\0with all bytes", 23);
   SubmissionCallback r =
@@ -92,7 +92,7 @@
 }
 
 // Typed by hand, among good requests of a program.
-TEST_F(Hiredis, InlineCommandsUnknownOnesAndWrongArgumentsArePipelinedAmongGoodOnes) {
+TEST_F(Hiredis, PipelinesInlineUnknownAndWrongCommandsAmongGoodOnes) {
   Client c(port);
   c.send("PING\r\n" + Client::request({"NO.SUCH"}) +
          "msg.put 0 typed c=order,d=20000,k=t,dest=shop \"a body\"\r\n" + Client::request({"MSG.GET"}) +
--- a/tests/listener/http_listener_test.cpp
+++ b/tests/listener/http_listener_test.cpp
@@ -1,4 +1,5 @@
-// The HTTP door of the real program over loopback sockets: what it answers, pipelines, batches, bad clients.
+// The HTTP listener of the real program over loopback sockets: what it answers, pipelines, batches, bad
+// clients.
 #include "../support/http_client.h"
 
 namespace grademux {
@@ -10,7 +11,7 @@
   return {answer("200 OK")};
 }
 
-TEST(HttpDoor, TakesAMessageOnDeliversItAndTellsItsEnd) {
+TEST(HttpListener, AcceptsAndDeliversAMessageAndReportsItsOutcome) {
   HttpFleet f(deliver);
   const HttpReply r = f.put("9b1f", messageDocument("order", 7, "hi", "k1"));
   EXPECT_EQ(202, r.status);
@@ -24,7 +25,7 @@
   EXPECT_EQ(404, f.get("unheard").status);
 }
 
-TEST(HttpDoor, AWaitEndsWithTheMessageOrItsTime) {
+TEST(HttpListener, AnswersAWaitWhenTheMessageFinishesOrTheWaitIsOver) {
   std::atomic<bool> silent{false};
   HttpFleet f([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; }, "max_wait_s = 1\n");
   HttpReply r = f.put("a", messageDocument("notice", 7), "Prefer: wait=600\r\n");
@@ -40,7 +41,7 @@
 
 // Risk: a request crosses the end of its connection; a close over it resets the connection and takes an
 // answer along that the client has not read. A connection that was closed so takes no second byte.
-TEST(HttpDoor, AnIdleConnectionIsEndedInOrderWhenTheProcessStops) {
+TEST(HttpListener, ClosesIdleConnectionsGracefullyWhenTheProcessStops) {
   HttpFleet f(deliver);
   HttpClient idle(f.http);
   EXPECT_EQ(202, idle.ask("PUT", "/v1/messages/a", "", messageDocument("notice", 7)).status);
@@ -50,7 +51,7 @@
   EXPECT_TRUE(idle.send("U"));
 }
 
-TEST(HttpDoor, WhatCantBeUsedIsAProblemAndTheConnectionLivesOn) {
+TEST(HttpListener, AnswersUnusableRequestsWithAProblemAndKeepsTheConnection) {
   HttpFleet f(deliver);
   HttpClient c(f.http);
   EXPECT_EQ(422, c.ask("PUT", "/v1/messages/a", "", messageDocument("nonsense", 7)).status);
@@ -66,7 +67,7 @@
   EXPECT_EQ(202, c.ask("PUT", "/v1/messages/a", "", messageDocument("notice", 7)).status);
 }
 
-TEST(HttpDoor, PipelinedRequestsAreAnsweredInOrderAndSeeWhatCameBefore) {
+TEST(HttpListener, AnswersPipelinedRequestsInOrderWithEarlierOnesApplied) {
   std::atomic<bool> silent{true};
   HttpFleet f([&](const Seen& s) { return silent && s.body == "stay" ? Act{} : Act{answer("200 OK")}; });
   HttpClient c(f.http);
@@ -88,7 +89,7 @@
   }
 }
 
-TEST(HttpDoor, AClientThatEndsItsSendingStillGetsItsAnswers) {
+TEST(HttpListener, AnswersClientsThatHaveEndedTheirSide) {
   HttpFleet f(deliver);
   HttpClient c(f.http);
   c.send(HttpClient::request("PUT", "/v1/messages/a", "Prefer: wait=5\r\n", messageDocument("notice", 7)) +
@@ -99,7 +100,7 @@
   EXPECT_TRUE(c.ended());
 }
 
-TEST(HttpDoor, AClientThatAsksFirstIsToldToGoOn) {
+TEST(HttpListener, SendsContinueWhenTheClientExpectsIt) {
   HttpFleet f(deliver);
   HttpClient c(f.http);
   const std::string body = messageDocument("notice", 7);
@@ -112,7 +113,7 @@
   EXPECT_EQ(202, c.ask("PUT", "/v1/messages/b", "", body).status);
 }
 
-TEST(HttpDoor, ABatchIsAnsweredLineByLineAndABadLineSpoilsItselfAlone) {
+TEST(HttpListener, AnswersEachBatchLineAndRejectsBadOnesAlone) {
   HttpFleet f(deliver, "max_request_bytes = 2000\nbatch_window = 8\n");
   std::string body;
   const int kLines = 60;  // under the endpoint's and the module's bounds, well over the window
@@ -153,7 +154,7 @@
   EXPECT_EQ(202, c.ask("PUT", "/v1/messages/after", "", messageDocument("notice", 7)).status);
 }
 
-TEST(HttpDoor, ABatchThatIsCutOffKeepsTheAnswersOfItsLines) {
+TEST(HttpListener, KeepsTheResultsOfLinesWhenABatchIsCutOff) {
   HttpFleet f(deliver);
   HttpClient c(f.http);
   const std::string line = R"({"id":"l1","class":"notice","destination":7,"deadline_ms":9000})";
@@ -169,7 +170,7 @@
 }
 
 // Risk: one whose lengths two readers take differently has a second request in its body.
-TEST(HttpDoor, RequestsWithMoreThanOneMeaningAreTurnedAway) {
+TEST(HttpListener, RejectsRequestsWithAmbiguousFraming) {
   HttpFleet f(deliver);
   const std::string hidden =
       HttpClient::request("PUT", "/v1/messages/hidden", "", messageDocument("notice", 7));
@@ -199,7 +200,7 @@
 
 // Risk: a client that is slow, or does not stop, holds its place or memory for good. Each is told so or
 // closed.
-TEST(HttpDoor, SlowAndEndlessClientsAreEnded) {
+TEST(HttpListener, DisconnectsSlowAndEndlessClients) {
   HttpFleet f(deliver);
   const std::string put = "PUT /v1/messages/a HTTP/1.1\r\nHost: x\r\n";
   HttpClient head(f.http), body(f.http), line(f.http);
@@ -242,7 +243,7 @@
 }
 
 // Risk: what a client claims or sends is held: 60 MB each.
-TEST(HttpDoor, ClaimsOf60MegabytesTakeNoMemory) {
+TEST(HttpListener, UsesNoMemoryForAnnouncedLengthsOf60Megabytes) {
   HttpFleet f(deliver);
   EXPECT_EQ(202, f.put("first", messageDocument("notice", 7)).status);
   const long before = peakKb(f.program.pid());
@@ -266,7 +267,7 @@
 }
 
 // Risk: answers pile up for a client that asks and never reads.
-TEST(HttpDoor, AClientThatNeverReadsIsEndedAndHeldToItsBounds) {
+TEST(HttpListener, DisconnectsAndBoundsClientsThatNeverRead) {
   HttpFleet f(deliver);
   HttpClient c(f.http);
   int small = 4096;
@@ -282,7 +283,7 @@
   EXPECT_EQ(202, f.put("good", messageDocument("notice", 7)).status);
 }
 
-TEST(HttpDoor, UselessRequestsWithoutEndAreHeardNoMore) {
+TEST(HttpListener, DisconnectsAfterManyClientErrorsInARow) {
   HttpFleet f(deliver);
   HttpClient c(f.http);
   std::string many;
@@ -296,7 +297,7 @@
   EXPECT_LT(told, 500);
 }
 
-TEST(HttpDoor, AFullTableLetsNewcomersInOnceOthersIdle) {
+TEST(HttpListener, MakesRoomInAFullTableOnceConnectionsAreIdle) {
   HttpFleet f(deliver, "max_connections = 4\n");
   std::vector<std::unique_ptr<HttpClient>> kept;
   for (int i = 0; i < 12; ++i) {
--- a/tests/listener/http_messages_test.cpp
+++ b/tests/listener/http_messages_test.cpp
@@ -1,4 +1,4 @@
-// What requests and answers of the HTTP door mean: every field, every mistake, no sockets.
+// What requests and answers of the HTTP listener mean: every field, every mistake, no sockets.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -24,7 +24,7 @@
   return p ? p->status : 0;
 }
 
-TEST(HttpMessages, ADocumentIsRead) {
+TEST(HttpMessages, ReadsAJsonDocument) {
   const auto v = readMessage("m", {{"content-type", "application/json; charset=utf-8"}},
                              R"({"id":"m","class":"payment","destination":7,"deadline_ms":1500,"key":"k",
                                  "order_key":"o","repeat":true,"body":"h\u00e9"})");
@@ -39,7 +39,7 @@
   EXPECT_EQ("h\xc3\xa9", s.message.body);
 }
 
-TEST(HttpMessages, BytesComeAsBase64OrRaw) {
+TEST(HttpMessages, ReadsBodiesAsBase64OrRaw) {
   const std::string bytes("\0\r\n\xff", 4);
   EXPECT_EQ(
       bytes,
@@ -55,7 +55,7 @@
   EXPECT_TRUE(good(raw).message.resubmitted);
 }
 
-TEST(HttpMessages, WhatCantBeUsedIsAProblem) {
+TEST(HttpMessages, ReportsUnusableMessagesAsProblems) {
   auto document = [](const char* name, const json& value) {
     json o{{"class", "c"}, {"destination", 7}, {"deadline_ms", 1}};
     value.is_null() ? (void)o.erase(name) : (void)(o[name] = value);
@@ -94,7 +94,7 @@
   EXPECT_EQ(400, wrong(readMessage("m", raw, "x")));
 }
 
-TEST(HttpMessages, LinesCarryTheirId) {
+TEST(HttpMessages, ReadsTheIdOfABatchLine) {
   std::string id;
   EXPECT_EQ("b1",
             good(readBatchLine(R"({"id":"b1","class":"c","destination":7,"deadline_ms":1})", id)).message.id);
@@ -104,7 +104,7 @@
   EXPECT_EQ(400, wrong(readBatchLine("rubbish", id)));
 }
 
-TEST(HttpMessages, TargetsAreReadStrictly) {
+TEST(HttpMessages, ReadsTargetsStrictly) {
   auto id = [](const char* target) {
     const auto t = readTarget(target);
     return std::holds_alternative<Target>(t) ? std::get<Target>(t).id : "";
@@ -118,7 +118,7 @@
   EXPECT_EQ(Resource::batch, std::get<Target>(readTarget("/v1/messages:batch")).resource);
 }
 
-TEST(HttpMessages, PreferencesAreReadAsRfc7240HasThem) {
+TEST(HttpMessages, ReadsPreferencesOfRfc7240) {
   EXPECT_EQ(10, preferredWaitSeconds("wait=10"));
   EXPECT_EQ(10, preferredWaitSeconds("respond-async, wait=10"));
   EXPECT_EQ(0, preferredWaitSeconds("wait=0"));
@@ -126,7 +126,7 @@
     EXPECT_FALSE(preferredWaitSeconds(p)) << p;
 }
 
-TEST(HttpMessages, ATimeToComeBackIsNeverTooEarly) {
+TEST(HttpMessages, RoundsRetryAfterUp) {
   const Response r = submissionResponse("m", SubmissionResult::rejected(1'200'001));
   EXPECT_EQ(429, r.status);
   EXPECT_EQ("application/problem+json", r.type);
@@ -136,7 +136,7 @@
   EXPECT_TRUE(submissionResponse("m", SubmissionResult::rejected(0)).fields.empty());
 }
 
-TEST(HttpMessages, EachAnswerHasItsStatusAndDocument) {
+TEST(HttpMessages, GivesEachResultItsStatusAndDocument) {
   EXPECT_EQ(202, submissionResponse("m", SubmissionResult::accepted()).status);
   EXPECT_EQ(422, submissionResponse("m", SubmissionResult::invalid("unknown-class", "x")).status);
   EXPECT_EQ(
--- a/tests/listener/http_openapi_test.cpp
+++ b/tests/listener/http_openapi_test.cpp
@@ -106,7 +106,7 @@
   }
 };
 
-TEST(OpenApi, EveryAnswerOfTheDoorIsAsDescribed) {
+TEST(OpenApi, DescribesEveryResponse) {
   std::atomic<bool> silent{true};
   HttpFleet f([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
   Checked c;
@@ -159,7 +159,7 @@
       EXPECT_TRUE(c.seen.count(method + (" " + item.key()))) << method << " " << item.key();
 }
 
-TEST(OpenApi, TheFieldsOfAMessageAreThoseThatAreRead) {
+TEST(OpenApi, NamesTheMessageFieldsThatAreRead) {
   const Description d;
   const json& schema = d.all["components"]["schemas"]["BatchMessage"];
   json full{{"id", "m"},  {"class", "c"},     {"destination", 7}, {"deadline_ms", 1},
--- a/tests/listener/resp_commands_test.cpp
+++ b/tests/listener/resp_commands_test.cpp
@@ -1,4 +1,4 @@
-// The commands of the RESP2 door: their replies as bytes, and over sockets those that need the core.
+// The commands of the RESP2 listener: their replies as bytes, and over sockets those that need the core.
 #include "../../src/listener/resp/commands.h"
 #include "../support/loopback.h"
 
@@ -11,7 +11,8 @@
 std::string said(const Words& words) {
   RespClient c{7, "me"};
   const RespCommand r = readCommand(words, c, {3, 12'000'000});
-  return r.does == RespCommand::Does::reply || r.does == RespCommand::Does::quit ? r.reply : "handed on";
+  return r.action == RespCommand::Action::reply || r.action == RespCommand::Action::quit ? r.reply
+                                                                                         : "handed on";
 }
 
 struct Row {
@@ -20,7 +21,7 @@
   friend void PrintTo(const Row& r, std::ostream* out) { *out << r.words[0]; }
 };
 class RespCommands : public ::testing::TestWithParam<Row> {};
-TEST_P(RespCommands, AreAnsweredAsClientsExpect) {
+TEST_P(RespCommands, GiveTheReplyThatClientsExpect) {
   const std::string reply = said(GetParam().words);
   EXPECT_EQ(reply.substr(0, GetParam().begins.size()), GetParam().begins);
 }
@@ -52,7 +53,7 @@
         Row{{"MSG.GET"}, "-ERR wrong number"}, Row{{"MSG.WAIT", "m"}, "-ERR wrong number"},
         Row{{"msg.get", "m"}, "handed on"}));
 
-TEST(RespCommands, WhatIsKnownOfAMessageIsFieldsAndValues) {
+TEST(RespCommands, ReportMessageStatusAsFieldsAndValues) {
   MessageStatus s;
   EXPECT_EQ(statusReply(s, 2), "*-1\r\n");
   EXPECT_EQ(statusReply(s, 3), "_\r\n");
@@ -63,11 +64,10 @@
   EXPECT_EQ(statusReply(s, 2),
             "*6\r\n$5\r\nstate\r\n$11\r\nhanded_back\r\n$8\r\nended_ms\r\n:5000\r\n$14\r\nretry_after_ms\r\n:"
             "2\r\n");
-  Micros wait = 0;
-  EXPECT_TRUE(readWait("250", wait) && wait == 250'000);
-  EXPECT_TRUE(readWait("999999999999", wait) && wait == kLongestRespWait);
+  EXPECT_TRUE(readWait("250") == 250'000);
+  EXPECT_TRUE(readWait("999999999999") == kMaxRespWait);
   for (const char* bad : {"", "-1", "1.5", "x", "9999999999999"})
-    EXPECT_FALSE(readWait(bad, wait)) << bad;
+    EXPECT_FALSE(readWait(bad)) << bad;
 }
 
 struct One {
@@ -86,7 +86,7 @@
   return all;
 }
 
-TEST(RespDoor, AnOpeningAndGoodRequestsPipelinedAmongBadOnesAreAnsweredInOrder) {
+TEST(RespListener, AnswersGoodAndBadPipelinedRequestsInOrder) {
   One w([](const Seen&) -> Act { return {answer("200 OK")}; });
   Client c(w.program.port());
   c.send(Client::request({"HELLO", "9"}) + Client::request({"CLIENT", "SETINFO", "LIB-NAME", "x"}) +
@@ -104,7 +104,7 @@
 }
 
 // Risk: a wait holds a place in the table, or the end of the process, for its whole length.
-TEST(RespDoor, AWaitEndsWithItsTimeAndWithTheProcess) {
+TEST(RespListener, AnswersAWaitWhenItIsOverOrTheProcessStops) {
   One w([](const Seen&) -> Act { return {"", false, false, true}; });
   Client c(w.program.port()), other(w.program.port());
   ASSERT_EQ("+OK", c.put("slow", "order", 7));
--- a/tests/listener/resp_listener_test.cpp
+++ b/tests/listener/resp_listener_test.cpp
@@ -24,7 +24,7 @@
 };
 
 // Risk: a connection that says nothing, or half a request, holds its place for good.
-TEST(BadClients, SilentAndHalfSentConnectionsAreEnded) {
+TEST(RespListener, ClosesSilentConnectionsAndThoseWithAPartialRequest) {
   Small f;
   Client silent(f.program.port()), half(f.program.port()), head(f.program.port());
   half.send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000");
@@ -37,7 +37,7 @@
 }
 
 // Risk: idle and silent connections fill the table, and good clients wait in the backlog for ever.
-TEST(BadClients, AFullTableMakesRoomForThoseThatAsk) {
+TEST(RespListener, MakesRoomInAFullTableForClientsWithRequests) {
   Small f;
   std::vector<std::unique_ptr<Client>> kept;
   for (int i = 0; i < 150; ++i) {
@@ -66,7 +66,7 @@
 }
 
 // Risk: clients that ask once and keep their connection use up what they may hold, and ask no more.
-TEST(BadClients, WhatIdlesInACrowdIsEnded) {
+TEST(RespListener, ClosesIdleConnectionsWhenCrowded) {
   Small f;
   std::vector<std::unique_ptr<Client>> kept;
   for (int i = 0; i < 40; ++i) {
@@ -85,7 +85,7 @@
 
 // Risk: a request crosses the end of its connection. A close over it resets the connection, and the last
 // answer, which the client has not read yet, is gone with it.
-TEST(BadClients, AConnectionIsEndedInOrderWhenTheProcessStops) {
+TEST(RespListener, ClosesConnectionsGracefullyWhenTheProcessStops) {
   Small f;
   Client resting(f.program.port()), idle(f.program.port());
   resting.send(Client::request({"PING"}));  // its answer stays unread
@@ -99,7 +99,7 @@
 }
 
 // The same for the one that makes room for others in a table that is nearly full.
-TEST(BadClients, AConnectionThatMakesRoomIsEndedInOrder) {
+TEST(RespListener, ClosesGracefullyToMakeRoom) {
   EXPECT_TRUE(endsInOrder([](Small& small, auto& clients) {
     for (int i = 0; i < 200 && (clients.empty() || !clients[0]->hasEnded()); ++i) {
       clients.push_back(std::make_unique<Client>(small.program.port()));
@@ -109,7 +109,7 @@
 }
 
 // Risk: the same useless request again and again, or hundreds at once, take the processor from all others.
-TEST(BadClients, OneThatIsTurnedAwayAgainAndAgainIsHeardNoMore) {
+TEST(RespListener, DisconnectsAfterManyErrorsInARow) {
   Small f;
   Client flood(f.program.port()), good(f.program.port());
   std::string many;
@@ -126,7 +126,7 @@
 }
 
 // Risk: what can't be read is answered by silence, or is taken on.
-TEST(BadClients, WhatCantBeReadIsAnErrorAndTheEnd) {
+TEST(RespListener, AnswersMalformedRequestsWithAnErrorAndCloses) {
   Small f;
   for (const std::string& bytes :
        {std::string("\x16\x03\x01\x02\x00\x01", 6), std::string(100'000, 'a'), std::string("*-1\r\n"),
@@ -142,7 +142,7 @@
 }
 
 // Risk: the id of a message that is over is taken on once more, and an unsafe one runs twice.
-TEST(BadClients, AnIdThatWasTakenOnRunsOnce) {
+TEST(RespListener, DeliversARepeatedIdOnce) {
   Small f;
   Client c(f.program.port());
   ASSERT_EQ("+OK", c.put("once", "payment", 7));
--- a/tests/listener/resp_parser_test.cpp
+++ b/tests/listener/resp_parser_test.cpp
@@ -6,28 +6,28 @@
 namespace grademux {
 namespace {
 
-Parsed parse(const std::string& in, std::vector<std::string>& words, std::size_t& used) {
+ParseStatus parse(const std::string& in, std::vector<std::string>& words, std::size_t& used) {
   std::string error;
-  const Parsed p = parseRequest(in, words, used, error);
-  EXPECT_EQ(p == Parsed::malformed, !error.empty());
+  const ParseStatus p = parseRequest(in, words, used, error);
+  EXPECT_EQ(p == ParseStatus::malformed, !error.empty());
   return p;
 }
 
-TEST(Resp, AWholeRequestIsReadAndEveryPrefixIsPartial) {
+TEST(RespParser, ReadsACompleteRequestAndReportsEveryPrefixAsPartial) {
   const std::string whole = std::string("*2\r\n$4\r\nPING\r\n$3\r\n\0\r\n", 21) + "\r\n";
   std::vector<std::string> words;
   std::size_t used = 0;
-  ASSERT_EQ(Parsed::whole, parse(whole + "*1", words, used));
+  ASSERT_EQ(ParseStatus::complete, parse(whole + "*1", words, used));
   EXPECT_EQ(whole.size(), used);
   ASSERT_EQ(2u, words.size());
   EXPECT_EQ("PING", words[0]);
   EXPECT_EQ(std::string("\0\r\n", 3), words[1]);
   for (std::size_t n = 0; n < whole.size(); ++n)
-    EXPECT_EQ(Parsed::partial, parse(whole.substr(0, n), words, used)) << n;
+    EXPECT_EQ(ParseStatus::partial, parse(whole.substr(0, n), words, used)) << n;
 }
 
-TEST(Resp, WhatIsMalformedOrTooLongIsRefusedEarly) {
-  const std::string long_word = std::to_string(kLongestWord + 1);
+TEST(RespParser, RejectsMalformedAndTooLongRequestsEarly) {
+  const std::string long_word = std::to_string(kMaxWordBytes + 1);
   std::vector<std::string> words;
   std::size_t used = 0;
   for (const std::string& in :
@@ -35,16 +35,16 @@
         std::string("*x\r\n"), std::string("*1\r\n+PING\r\n"), std::string("*1\r\n$-1\r\n"),
         std::string("*99\r\n"), std::string("*999999999999999999999"), std::string("*1\r\n$4\r\nPINGxx"),
         "*1\r\n$" + long_word + "\r\n", std::string("*1\n"), std::string("*1\rx")})
-    EXPECT_EQ(Parsed::malformed, parse(in, words, used)) << in;
+    EXPECT_EQ(ParseStatus::malformed, parse(in, words, used)) << in;
 }
 
-TEST(Resp, ABodyOfTheLongestSizeIsTaken) {
+TEST(RespParser, AcceptsABodyOfTheMaximumSize) {
   const std::string in =
-      "*1\r\n$" + std::to_string(kLongestWord) + "\r\n" + std::string(kLongestWord, 'x') + "\r\n";
+      "*1\r\n$" + std::to_string(kMaxWordBytes) + "\r\n" + std::string(kMaxWordBytes, 'x') + "\r\n";
   std::vector<std::string> words;
   std::size_t used = 0;
-  EXPECT_EQ(Parsed::whole, parse(in, words, used));
-  EXPECT_LE(in.size(), kLongestRequest);
+  EXPECT_EQ(ParseStatus::complete, parse(in, words, used));
+  EXPECT_LE(in.size(), kMaxRequestBytes);
 }
 
 bool knows(std::string_view word, bool whole) {
@@ -57,28 +57,28 @@
   std::vector<std::string> words;  // none: an error
   friend void PrintTo(const InlineCase& c, std::ostream* out) { *out << c.name; }
 };
-class Inline : public ::testing::TestWithParam<InlineCase> {};
+class InlineCommand : public ::testing::TestWithParam<InlineCase> {};
 
 // Whole, and byte by byte: a beginning is never taken for a whole request, nor for a mistake.
-TEST_P(Inline, IsReadAsPeopleTypeIt) {
+TEST_P(InlineCommand, IsReadAsTyped) {
   const std::string line = GetParam().line;
   std::vector<std::string> words;
   std::size_t used = 0;
   std::string error;
-  const Parsed whole = parseRequest(line, words, used, error, knows);
+  const ParseStatus whole = parseRequest(line, words, used, error, knows);
   if (GetParam().words.empty()) {
-    EXPECT_EQ(whole, Parsed::malformed);
+    EXPECT_EQ(whole, ParseStatus::malformed);
     EXPECT_EQ(error.rfind("Protocol error", 0), 0u);
     return;
   }
-  ASSERT_EQ(whole, Parsed::whole) << error;
+  ASSERT_EQ(whole, ParseStatus::complete) << error;
   EXPECT_EQ(words, GetParam().words);
   EXPECT_EQ(line.substr(used), line.substr(line.find('\n') + 1));
   for (std::size_t cut = 0; cut <= line.find('\n'); ++cut)
-    EXPECT_EQ(parseRequest(line.substr(0, cut), words, used, error, knows), Parsed::partial) << cut;
+    EXPECT_EQ(parseRequest(line.substr(0, cut), words, used, error, knows), ParseStatus::partial) << cut;
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, Inline,
+    Table, InlineCommand,
     ::testing::Values(
         InlineCase{"plain", "MSG.PUT 0 id c=x body\r\n*1\r\n", {"MSG.PUT", "0", "id", "c=x", "body"}},
         InlineCase{"bare end", "MSG.PUT\ta  b \n", {"MSG.PUT", "a", "b"}},
@@ -92,17 +92,17 @@
         InlineCase{"many", "MSG.PUT 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17\r\n", {}}));
 
 // Risk: a client that speaks another protocol holds its place until its time is over.
-TEST(Inline, WhatBeginsNoCommandIsToldAtOnceAndALongLineIsNotWaitedFor) {
+TEST(InlineCommand, IsRejectedAtOnceWhenUnknownOrTooLong) {
   std::vector<std::string> words;
   std::size_t used = 0;
   std::string error;
   for (const char* text : {"G", "\x16\x03\x01", "MSG.PUX", "MSG.PU ", "$3", " "})
-    EXPECT_EQ(parseRequest(text, words, used, error, knows), Parsed::malformed) << text;
+    EXPECT_EQ(parseRequest(text, words, used, error, knows), ParseStatus::malformed) << text;
   const std::string start = "MSG.PUT ";
-  EXPECT_EQ(parseRequest(start + std::string(kLongestLine - start.size(), 'x'), words, used, error, knows),
-            Parsed::partial);
-  EXPECT_EQ(parseRequest(start + std::string(kLongestLine, 'x'), words, used, error, knows),
-            Parsed::malformed);
+  EXPECT_EQ(parseRequest(start + std::string(kMaxInlineBytes - start.size(), 'x'), words, used, error, knows),
+            ParseStatus::partial);
+  EXPECT_EQ(parseRequest(start + std::string(kMaxInlineBytes, 'x'), words, used, error, knows),
+            ParseStatus::malformed);
 }
 
 }  // namespace
