--- a/src/listener/listening_socket.cpp
+++ b/src/listener/listening_socket.cpp
@@ -1,4 +1,4 @@
-// grademux: doors' addresses; see listener.h.
+// See listening_socket.h.
 #include "listening_socket.h"
 
 #include <fcntl.h>
@@ -12,60 +12,75 @@
 
 namespace grademux {
 
+using boost::asio::ip::tcp;
+
 namespace {
+
 constexpr int kReceiveBufferBytes = 32768;
+constexpr int kFirstDuplicate = 16;  // lowest number of a duplicated descriptor
+
+// A descriptor that the process was started with, for the address that it should listen at.
+struct PassedSocket {
+  int descriptor;
+  const tcp::endpoint& address;
+
+  [[noreturn]] void fail(const std::string& reason) const {
+    std::ostringstream what;
+    what << "door at " << address << ": descriptor " << descriptor << " was passed and " << reason;
+    throw std::runtime_error(what.str());
+  }
+
+  int option(int name) const {
+    int value = 0;
+    socklen_t size = sizeof value;
+    if (::getsockopt(descriptor, SOL_SOCKET, name, &value, &size) != 0)
+      fail(errno == EBADF ? "is not open" : errno == ENOTSOCK ? "is no socket" : std::strerror(errno));
+    return value;
+  }
+
+  tcp::endpoint boundAddress() const {
+    sockaddr_in bound{};
+    socklen_t size = sizeof bound;
+    const int result = ::getsockname(descriptor, reinterpret_cast<sockaddr*>(&bound), &size);
+    if (result != 0 || bound.sin_family != AF_INET)
+      fail("has no IPv4 address");
+    return {boost::asio::ip::address_v4(ntohl(bound.sin_addr.s_addr)), ntohs(bound.sin_port)};
+  }
+};
+
 }  // namespace
 
-void bindListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address) {
+void bindListener(tcp::acceptor& acceptor, const tcp::endpoint& address) {
   using boost::asio::socket_base;
   try {
     acceptor.open(address.protocol());
     acceptor.set_option(socket_base::reuse_address(true));
-    // A client that sends 60 MB must not fill it.
     acceptor.set_option(socket_base::receive_buffer_size(kReceiveBufferBytes));
     acceptor.bind(address);
-  } catch (const boost::system::system_error& e) {
+  } catch (const boost::system::system_error& error) {
     std::ostringstream what;
-    what << "door at " << address << ": " << e.what();
+    what << "door at " << address << ": " << error.what();
     throw std::runtime_error(what.str());
   }
 }
 
-void adoptListeningSocket(boost::asio::ip::tcp::acceptor& acceptor, int passed,
-                          const boost::asio::ip::tcp::endpoint& address) {
-  std::ostringstream what;
-  what << "door at " << address << ": descriptor " << passed << " was passed and ";
-  const auto wrong = [&](const std::string& why) { throw std::runtime_error(what.str() + why); };
-  const auto option = [&](int name) {
-    int value = 0;
-    socklen_t size = sizeof value;
-    if (::getsockopt(passed, SOL_SOCKET, name, &value, &size) != 0)
-      wrong(errno == EBADF ? "is not open" : errno == ENOTSOCK ? "is no socket" : std::strerror(errno));
-    return value;
-  };
-  const bool tcp = option(SO_TYPE) == SOCK_STREAM && option(SO_PROTOCOL) == IPPROTO_TCP;
-  if (!tcp)
-    wrong("is no TCP socket");
-  if (option(SO_ACCEPTCONN) == 0)
-    wrong("does not listen");
-  sockaddr_in own{};
-  socklen_t size = sizeof own;
-  if (::getsockname(passed, reinterpret_cast<sockaddr*>(&own), &size) != 0 || own.sin_family != AF_INET)
-    wrong("has no IPv4 address");
-  const boost::asio::ip::tcp::endpoint there(boost::asio::ip::address_v4(ntohl(own.sin_addr.s_addr)),
-                                             ntohs(own.sin_port));
-  const bool same = there.port() == address.port() &&
-                    (there.address() == address.address() || there.address().is_unspecified());
-  if (!same) {
-    std::ostringstream other;
-    other << "listens at " << there;
-    wrong(other.str());
+void adoptListeningSocket(tcp::acceptor& acceptor, int descriptor, const tcp::endpoint& address) {
+  const PassedSocket passed{descriptor, address};
+  if (passed.option(SO_TYPE) != SOCK_STREAM || passed.option(SO_PROTOCOL) != IPPROTO_TCP)
+    passed.fail("is no TCP socket");
+  if (passed.option(SO_ACCEPTCONN) == 0)
+    passed.fail("does not listen");
+  const tcp::endpoint bound = passed.boundAddress();
+  const bool same_host = bound.address() == address.address() || bound.address().is_unspecified();
+  if (bound.port() != address.port() || !same_host) {
+    std::ostringstream reason;
+    reason << "listens at " << bound;
+    passed.fail(reason.str());
   }
-  // A number of its own: whoever closes it by mistake closes no other's.
-  const int fd = ::fcntl(passed, F_DUPFD_CLOEXEC, 16);
-  if (fd < 0)
-    wrong(std::strerror(errno));
-  acceptor.assign(address.protocol(), fd);
+  const int duplicate = ::fcntl(descriptor, F_DUPFD_CLOEXEC, kFirstDuplicate);
+  if (duplicate < 0)
+    passed.fail(std::strerror(errno));
+  acceptor.assign(address.protocol(), duplicate);
   boost::system::error_code ignored;
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ignored);
 }
--- a/src/listener/listening_socket.h
+++ b/src/listener/listening_socket.h
@@ -1,19 +1,19 @@
-// grademux: what all doors do to have their address.
+// Opens the listening socket of a listener or of the admin server: binds an address, or adopts a socket that
+// the process was started with. Loop thread only; the acceptor owns the descriptor afterwards.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 
 namespace grademux {
 
-// Opens and binds; nothing is accepted before it is told to listen. What the kernel buffers for each
-// connection counts as this sender's memory, so it is bounded here (bytes). Throws std::runtime_error naming
-// the address.
+// Opens and binds; the caller calls listen(). The kernel's receive buffer of each connection is bounded,
+// since it counts as memory of this process. Throws std::runtime_error naming the address.
 void bindListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& address);
 
-// Takes a listening socket that the process was started with, in place of binding. It is another's, too: it
-// is never shut down here, and closing it ends only this process's part in it. Throws std::runtime_error
-// saying what is wrong if the descriptor is not open, no TCP socket, not listening, or of another address.
-void adoptListeningSocket(boost::asio::ip::tcp::acceptor& acceptor, int passed,
+// Takes a duplicate of a listening socket that the process was started with, in place of binding. The socket
+// is shared with another process: it is never shut down here. Throws std::runtime_error with the reason if
+// the descriptor is not open, no TCP socket, not listening, or of another address.
+void adoptListeningSocket(boost::asio::ip::tcp::acceptor& acceptor, int descriptor,
                           const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace grademux
