--- a/src/daemon/outgoing_handover.cpp
+++ b/src/daemon/outgoing_handover.cpp
@@ -52,7 +52,7 @@
 
 bool OutgoingHandover::isQuiescent() const {
   const RespListener* listener = components_.platform_listener.get();
-  return components_.openRequests() == 0 && (!listener || listener->halfRead() == 0);
+  return components_.openRequests() == 0 && (!listener || listener->partialRequests() == 0);
 }
 
 handover::OwnershipReleased OutgoingHandover::releaseOwnership() {
--- a/tests/listener/http_openapi_test.cpp
+++ b/tests/listener/http_openapi_test.cpp
@@ -3,7 +3,7 @@
 
 #include <regex>
 
-#include "../../src/listener/http/messages.h"
+#include "../../src/listener/http/request_messages.h"
 #include "../support/http_client.h"
 #include "../support/program_paths.h"
 
@@ -106,7 +106,7 @@
   }
 };
 
-TEST(OpenApi, EveryAnswerOfTheDoorIsAsDescribed) {
+TEST(OpenApi, DescribesEveryResponse) {
   std::atomic<bool> silent{true};
   HttpFleet f([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
   Checked c;
@@ -159,14 +159,14 @@
       EXPECT_TRUE(c.seen.count(method + (" " + item.key()))) << method << " " << item.key();
 }
 
-TEST(OpenApi, TheFieldsOfAMessageAreThoseThatAreRead) {
+TEST(OpenApi, NamesTheMessageFieldsThatAreRead) {
   const Description d;
   const json& schema = d.all["components"]["schemas"]["BatchMessage"];
   json full{{"id", "m"},  {"class", "c"},     {"destination", 7}, {"deadline_ms", 1},
             {"key", "k"}, {"order_key", "o"}, {"repeat", true},   {"body", "b"}};
   auto reads = [](const json& o) {
     std::string id;
-    return std::holds_alternative<Submission>(http_listener::readLine(o.dump(), id));
+    return std::holds_alternative<Submission>(http_listener::readBatchLine(o.dump(), id));
   };
   EXPECT_EQ("", d.wrong(schema, full));
   EXPECT_TRUE(reads(full));
