--- a/src/daemon/outgoing_handover.cpp
+++ b/src/daemon/outgoing_handover.cpp
@@ -19,7 +19,7 @@
   if (components_.isDelivering())
     return components_.engine->onAttemptFinished(std::move(outcome));
   components_.handover_source->onAttemptFinished(outcome);
-  if (components_.handover_source->steps().step() != handover::HandoverStep::departed)
+  if (components_.handover_source->state().step() != handover::HandoverStep::departed)
     unrecorded_.push_back(std::move(outcome));
 }
 
@@ -67,14 +67,14 @@
   const handover::OwnershipReleased released{components_.state.isStandby(),
                                              components_.transport->outCalls()};
   log::write(log::Event::handover_released, {{"calls", released.in_flight.size()}});
-  components_.folder_lock.release();
+  components_.folder_lock.unlock();
   return released;
 }
 
 bool OutgoingHandover::reacquireOwnership() {
-  if (components_.folder_lock.take() && components_.journal->reacquire())
+  if (components_.folder_lock.tryLock() && components_.journal->reacquire())
     return true;
-  components_.folder_lock.release();
+  components_.folder_lock.unlock();
   return false;
 }
 
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -103,9 +103,9 @@
 bool Service::lockFolder() {
   handover::FolderLock& lock = components_.folder_lock;
   const bool replaces_process = components_.config.passed >= 0;
-  if (lock.take() || replaces_process)
-    return lock.held();
-  for (const Micros deadline = monotonicNow() + kFolderLockTimeout; !lock.take();) {
+  if (lock.tryLock() || replaces_process)
+    return lock.isLocked();
+  for (const Micros deadline = monotonicNow() + kFolderLockTimeout; !lock.tryLock();) {
     if (monotonicNow() >= deadline)
       throw std::runtime_error(components_.config.state + ": another process of a sender has this folder");
     std::this_thread::sleep_for(kFolderLockRetryInterval);
@@ -114,15 +114,18 @@
 }
 
 void Service::startHandoverTarget() {
+  handover::HandoverTarget::Callbacks callbacks;
+  callbacks.on_acquired = [this](const handover::OwnershipReleased* released) { onFolderAcquired(released); };
+  callbacks.on_attempt_finished = [this](const AttemptOutcome& outcome) {
+    components_.attempts->onAttemptFinished(outcome);
+  };
+  callbacks.on_peer_gone = [this] { components_.attempts->onPeerGone(); };
+  callbacks.on_failed = [this](const std::string& reason) {
+    throw std::runtime_error(components_.config.state +
+                             ": another process has this folder and does not hand it over: " + reason);
+  };
   components_.handover_target = std::make_unique<handover::HandoverTarget>(
-      components_.io, components_.folder_lock,
-      [this](const handover::OwnershipReleased* released) { onFolderAcquired(released); },
-      [this](const AttemptOutcome& outcome) { components_.attempts->ended(outcome); },
-      [this] { components_.attempts->gone(); },
-      [this](const std::string& reason) {
-        throw std::runtime_error(components_.config.state +
-                                 ": another process has this folder and does not hand it over: " + reason);
-      });
+      components_.io, components_.folder_lock, std::move(callbacks));
   components_.handover_target->start(kHandoverTimeout);
 }
 
@@ -199,7 +202,7 @@
   const operate::CommandResult result = state.handleCommand(command, has_endpoints);
   const operate::Phase after = state.phase();
   if (after != before) {
-    log::write(log::Event::operate_changed, {{"phase", operate::nameOf(after)}});
+    log::write(log::Event::operate_changed, {{"phase", operate::toString(after)}});
     if (after == operate::Phase::standby)
       components_.drainListeners(DrainReason::standby);
   }
--- a/src/handover/folder_lock.cpp
+++ b/src/handover/folder_lock.cpp
@@ -1,4 +1,4 @@
-// grademux: who owns the folder that lasts; see folder_lock.h.
+// Ownership of the state folder; see folder_lock.h.
 #include "folder_lock.h"
 
 #include <fcntl.h>
@@ -6,23 +6,23 @@
 #include <unistd.h>
 
 #include <cerrno>
-#include <cstring>
 #include <stdexcept>
+#include <system_error>
 
 namespace grademux::handover {
 
 FolderLock::FolderLock(const std::string& folder)
     : fd_(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)) {
   if (fd_ < 0)
-    throw std::runtime_error("folder " + folder + ": " + std::strerror(errno));
+    throw std::runtime_error("folder " + folder + ": " + std::generic_category().message(errno));
 }
 
 FolderLock::~FolderLock() {
   ::close(fd_);
 }
 
-bool FolderLock::take() {
-  while (!held_) {
+bool FolderLock::tryLock() {
+  while (!locked_) {
     if (::flock(fd_, LOCK_EX | LOCK_NB) == 0)
       break;
     if (errno == EWOULDBLOCK)
@@ -30,13 +30,14 @@
     if (errno != EINTR)
       break;
   }
-  return held_ = true;
+  locked_ = true;
+  return true;
 }
 
-void FolderLock::release() {
-  if (held_)
+void FolderLock::unlock() {
+  if (locked_)
     ::flock(fd_, LOCK_UN);
-  held_ = false;
+  locked_ = false;
 }
 
 }  // namespace grademux::handover
--- a/src/handover/folder_lock.h
+++ b/src/handover/folder_lock.h
@@ -1,5 +1,5 @@
-// grademux: who owns the folder that lasts. A kernel lock on the folder itself (flock(2)): any death frees
-// it, it needs no file, and another process that opens the folder has none of it.
+// Exclusive ownership of the state folder: a kernel lock on the folder itself (flock(2)). The kernel frees it
+// when the process dies in any way, and no file is needed.
 #pragma once
 
 #include <string>
@@ -8,22 +8,23 @@
 
 class FolderLock {
  public:
-  // Throws std::runtime_error when the folder can't be opened.
+  /// Opens the folder without locking it. Throws std::runtime_error when it can't be opened.
   explicit FolderLock(const std::string& folder);
   ~FolderLock();
   FolderLock(const FolderLock&) = delete;
   FolderLock& operator=(const FolderLock&) = delete;
 
-  // True: this process owns the folder, from now or before. A file system that knows no locks counts as one
-  // where nobody else is.
-  bool take();
-  void release();
-  bool held() const { return held_; }
-  int fd() const { return fd_; }  // of the folder
+  /// True if this process has the lock, from now or from before; false if another process has it. On a file
+  /// system without locks no other process is assumed.
+  bool tryLock();
+  void unlock();
+  bool isLocked() const { return locked_; }
+  /// The descriptor of the folder, which is open as long as this object.
+  int fd() const { return fd_; }
 
  private:
   int fd_ = -1;
-  bool held_ = false;
+  bool locked_ = false;
 };
 
 }  // namespace grademux::handover
--- a/src/handover/handover_source.cpp
+++ b/src/handover/handover_source.cpp
@@ -1,9 +1,10 @@
-// grademux: the process that is replaced; see giver.h.
+// The process that is replaced; see handover_source.h.
 #include "handover_source.h"
 
 #include <unistd.h>
 
 #include <boost/asio/post.hpp>
+#include <utility>
 
 #include "../core/clock.h"
 
@@ -11,91 +12,104 @@
 
 namespace {
 
-// Clients wait 400 ms for an answer, and what they send meanwhile waits for the other process: so long at
-// most for requests that are open, and how often it is looked.
-constexpr Micros kQuiet = 150'000, kLook = 2'000;
+// Open requests may take so long: clients wait 400 ms for an answer, and their next requests wait for the
+// other process meanwhile.
+constexpr Micros kQuiescenceTimeout = 150'000;
+constexpr Micros kQuiescencePollInterval = 2'000;
 
 }  // namespace
 
-HandoverSource::HandoverSource(boost::asio::io_context& io, int folder_fd, Callbacks owner)
-    : io_(io), folder_fd_(folder_fd), owner_(std::move(owner)), acceptor_(io), timer_(io) {
-  const auto at = channelIn(folder_fd_);
-  ::unlink(at.path().c_str());  // of an earlier process: the folder is this one's
+HandoverSource::HandoverSource(boost::asio::io_context& io, int folder_fd, Callbacks callbacks)
+    : io_(io), folder_fd_(folder_fd), callbacks_(std::move(callbacks)), acceptor_(io), timer_(io) {
+  const auto address = socketAddress(folder_fd_);
+  ::unlink(address.path().c_str());  // left by an earlier process; this one owns the folder
   acceptor_.open();
-  acceptor_.bind(at);
+  acceptor_.bind(address);
   acceptor_.listen();
   accept();
 }
 
 HandoverSource::~HandoverSource() {
-  if (steps_.mayDecide())
-    ::unlink(channelIn(folder_fd_).path().c_str());
+  if (state_.ownsFolder())
+    ::unlink(socketAddress(folder_fd_).path().c_str());
 }
 
 void HandoverSource::accept() {
-  acceptor_.async_accept([this](boost::system::error_code e, LineSocket::Socket s) {
-    if (e)
+  acceptor_.async_accept([this](boost::system::error_code error, LineSocket::Socket socket) {
+    if (error)
       return;
-    if (other_) {
-      LineSocket busy(
-          std::move(s), [](const Message&) {}, nullptr);
-      busy.send(HandoverRejected{"another process takes over already"});
-    } else {
-      other_ = std::make_unique<LineSocket>(
-          std::move(s), [this](const Message& m) { onMessage(m); },
-          [this] { boost::asio::post(io_, [this] { onPeerClosed(); }); });
-    }
+    onConnected(std::move(socket));
     accept();
   });
 }
 
-void HandoverSource::onMessage(const Message& m) {
-  if (const auto* take = std::get_if<HandoverRequest>(&m)) {
-    std::string why = owner_.rejection_reason();
-    if (take->version != kProtocolVersion)
-      why = "version " + std::to_string(kProtocolVersion) + " of this channel is known";
-    if (!why.empty() || !steps_.onRequested())
-      return other_->send(HandoverRejected{why.empty() ? "asked already" : why});
-    owner_.close();
-    awaitQuiet(monotonicNow());
-  } else if (std::get_if<OwnershipAcquired>(&m)) {
-    if (steps_.onAcquired())
-      owner_.on_complete();
-  } else if (const auto* cancel = std::get_if<CancelInherited>(&m)) {
-    if (!steps_.mayDecide())
-      owner_.cancel(cancel->attempt);
+void HandoverSource::onConnected(LineSocket::Socket socket) {
+  if (peer_) {
+    LineSocket second_peer(
+        std::move(socket), [](const Message&) {}, nullptr);
+    second_peer.send(HandoverRejected{"another process takes over already"});
+    return;
   }
+  peer_ = std::make_unique<LineSocket>(
+      std::move(socket), [this](const Message& message) { onMessage(message); },
+      [this] { boost::asio::post(io_, [this] { onPeerClosed(); }); });
 }
 
-void HandoverSource::awaitQuiet(Micros since) {
-  if (steps_.step() != HandoverStep::closing)
-    return;
-  if (!owner_.is_quiescent() && monotonicNow() - since < kQuiet) {
-    timer_.expires_after(std::chrono::microseconds(kLook));
-    timer_.async_wait([this, since](boost::system::error_code e) {
-      if (!e)
-        awaitQuiet(since);
-    });
-    return;
+void HandoverSource::onMessage(const Message& message) {
+  if (const auto* request = std::get_if<HandoverRequest>(&message)) {
+    onRequest(*request);
+  } else if (std::get_if<OwnershipAcquired>(&message)) {
+    if (state_.onAcquired())
+      callbacks_.on_complete();
+  } else if (const auto* cancel = std::get_if<CancelInherited>(&message)) {
+    if (!state_.ownsFolder())
+      callbacks_.cancel(cancel->attempt);
   }
-  const OwnershipReleased given = owner_.release();
-  steps_.onReleased();
-  other_->send(given);
 }
 
-void HandoverSource::onAttemptFinished(const AttemptOutcome& o) {
-  if (other_)
-    other_->send(AttemptFinished{o});
+void HandoverSource::onRequest(const HandoverRequest& request) {
+  std::string reason = callbacks_.rejection_reason();
+  if (request.version != kProtocolVersion)
+    reason = "version " + std::to_string(kProtocolVersion) + " of this channel is known";
+  if (!reason.empty())
+    return peer_->send(HandoverRejected{reason});
+  if (!state_.onRequested())
+    return peer_->send(HandoverRejected{"asked already"});
+  callbacks_.close();
+  awaitQuiescence(monotonicNow());
+}
+
+void HandoverSource::awaitQuiescence(Micros since) {
+  if (state_.step() != HandoverStep::closing)
+    return;
+  if (callbacks_.is_quiescent() || monotonicNow() - since >= kQuiescenceTimeout)
+    return release();
+  timer_.expires_after(std::chrono::microseconds(kQuiescencePollInterval));
+  timer_.async_wait([this, since](boost::system::error_code error) {
+    if (!error)
+      awaitQuiescence(since);
+  });
+}
+
+void HandoverSource::release() {
+  const OwnershipReleased released = callbacks_.release();
+  state_.onReleased();
+  peer_->send(released);
+}
+
+void HandoverSource::onAttemptFinished(const AttemptOutcome& outcome) {
+  if (peer_)
+    peer_->send(AttemptFinished{outcome});
 }
 
 void HandoverSource::onPeerClosed() {
-  other_.reset();
-  if (steps_.onPeerClosed(owner_.reacquire)) {
-    if (steps_.mayDecide())
-      owner_.resume();
-    else
-      owner_.on_complete();
-  }
+  peer_.reset();
+  if (!state_.onPeerClosed(callbacks_.reacquire))
+    return;
+  if (state_.ownsFolder())
+    callbacks_.resume();
+  else
+    callbacks_.on_complete();
 }
 
 }  // namespace grademux::handover
--- a/src/handover/handover_source.h
+++ b/src/handover/handover_source.h
@@ -1,5 +1,6 @@
-// grademux: the process that is replaced: it listens in its folder, gives folder and journal to the process
-// that asks, and reports the end of each call that it keeps. One caller at a time.
+// The process that is replaced: it listens on a socket in the state folder, releases folder and journal to
+// the process that asks, and reports the outcome of each attempt that is still in flight. One peer at a time.
+// Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,6 +8,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
+#include <string>
 
 #include "handover_state.h"
 #include "line_socket.h"
@@ -15,41 +17,46 @@
 
 class HandoverSource {
  public:
-  // What the process does at each step; all on the loop thread.
+  /// What the owning process does in each step.
   struct Callbacks {
-    std::function<std::string()> rejection_reason;  // why not now; empty: nothing stands against it
-    std::function<void()> close;                    // accept nobody, end connections between requests
-    std::function<bool()> is_quiescent;             // no request is open
-    std::function<OwnershipReleased()> release;    // decide for the last time, write, free folder and journal
-    std::function<bool()> reacquire;               // false: the folder is another's, or was written to
-    std::function<void()> resume;                  // after close(), and after own_again() where it was given
-    std::function<void(const AttemptId&)> cancel;  // of a call that stayed here
-    std::function<void()> on_complete;             // the other owns it for good
+    std::function<std::string()> rejection_reason;  // empty: a handover may begin now
+    std::function<void()> close;                    // stop accepting, close connections between requests
+    std::function<bool()> is_quiescent;             // no request of a client is open
+    std::function<OwnershipReleased()> release;     // write the last decisions, free folder and journal
+    std::function<bool()> reacquire;                // false: another process owns or has changed the folder
+    std::function<void()> resume;                   // serve again, after close() or reacquire()
+    std::function<void(const AttemptId&)> cancel;   // an attempt that is in flight here
+    std::function<void()> on_complete;              // the other process owns the folder for good
   };
 
-  // Listens at the folder's channel, in place of whoever did before; throws std::exception when it can't.
-  HandoverSource(boost::asio::io_context& io, int folder_fd, Callbacks owner);
+  /// Listens on the folder's socket, in place of an earlier process. Throws std::exception when that fails.
+  HandoverSource(boost::asio::io_context& io, int folder_fd, Callbacks callbacks);
   ~HandoverSource();
   HandoverSource(const HandoverSource&) = delete;
   HandoverSource& operator=(const HandoverSource&) = delete;
 
-  const HandoverState& steps() const { return steps_; }
-  void onAttemptFinished(const AttemptOutcome& o);  // of a call that stayed here, from when it was given
-  bool hasUnsent() const { return other_ && other_->hasUnsent(); }
+  const HandoverState& state() const { return state_; }
+  /// Reports the outcome of an attempt that was in flight when the folder was released.
+  void onAttemptFinished(const AttemptOutcome& outcome);
+  /// True while a message to the other process is not fully written.
+  bool hasUnsent() const { return peer_ && peer_->hasUnsent(); }
 
  private:
   void accept();
-  void onMessage(const Message& m);
-  void awaitQuiet(Micros since);
+  void onConnected(LineSocket::Socket socket);
+  void onMessage(const Message& message);
+  void onRequest(const HandoverRequest& request);
+  void awaitQuiescence(Micros since);
+  void release();
   void onPeerClosed();
 
   boost::asio::io_context& io_;
   int folder_fd_;
-  Callbacks owner_;
+  Callbacks callbacks_;
   boost::asio::local::stream_protocol::acceptor acceptor_;
   boost::asio::steady_timer timer_;
-  std::unique_ptr<LineSocket> other_;
-  HandoverState steps_;
+  std::unique_ptr<LineSocket> peer_;
+  HandoverState state_;
 };
 
 }  // namespace grademux::handover
--- a/src/handover/handover_target.cpp
+++ b/src/handover/handover_target.cpp
@@ -1,7 +1,8 @@
-// grademux: the process that comes; see taker.h.
+// The process that replaces another; see handover_target.h.
 #include "handover_target.h"
 
 #include <boost/asio/post.hpp>
+#include <utility>
 
 #include "../core/clock.h"
 
@@ -9,101 +10,119 @@
 
 namespace {
 
-constexpr Micros kAgain = 50'000;      // between questions
-constexpr Micros kFreed = 1'000;       // given, the lock is free in a moment
-constexpr Micros kAnswer = 1'000'000;  // for an answer to a question
+constexpr Micros kRetryInterval = 50'000;
+// The lock is free a moment after the folder was released.
+constexpr Micros kReleasedRetryInterval = 1'000;
+constexpr Micros kAnswerTimeout = 1'000'000;
 
 }  // namespace
 
-HandoverTarget::HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Owned owned, Ended ended,
-                               Gone gone, Failed failed)
-    : io_(io),
-      lock_(lock),
-      owned_(std::move(owned)),
-      ended_(std::move(ended)),
-      gone_(std::move(gone)),
-      failed_(std::move(failed)),
-      timer_(io) {}
-
-void HandoverTarget::start(Micros patience) {
-  until_ = monotonicNow() + patience;
+HandoverTarget::HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Callbacks callbacks)
+    : io_(io), lock_(lock), callbacks_(std::move(callbacks)), timer_(io) {}
+
+void HandoverTarget::start(Micros timeout) {
+  deadline_ = monotonicNow() + timeout;
   attempt();
 }
 
+void HandoverTarget::send(const Message& message) {
+  if (peer_)
+    peer_->send(message);
+}
+
 void HandoverTarget::scheduleRetry(Micros pause) {
   timer_.expires_after(std::chrono::microseconds(pause));
-  timer_.async_wait([this](boost::system::error_code e) {
-    if (!e)
+  timer_.async_wait([this](boost::system::error_code error) {
+    if (!error)
       attempt();
   });
 }
 
 void HandoverTarget::attempt() {
-  if (owns_)
+  if (owns_folder_)
     return;
-  if (lock_.take())
-    return onOwned(given_ ? &*given_ : nullptr);
+  if (lock_.tryLock())
+    return onLocked();
   const Micros now = monotonicNow();
-  if (now >= until_)
-    return failed_(why_);
-  if (given_)
-    return scheduleRetry(kFreed);
-  if (asked_ && now >= answer_by_) {  // it hangs, or is of a version that knows nothing of this
-    other_.reset();
-    asked_ = false;
-  }
-  if (!other_) {
-    LineSocket::Socket socket(io_);
-    boost::system::error_code e;
-    socket.connect(channelIn(lock_.fd()), e);
-    if (!e) {
-      other_ = std::make_unique<LineSocket>(
-          std::move(socket), [this](const Message& m) { onMessage(m); },
-          [this] {
-            boost::asio::post(io_, [this] {
-              other_.reset();
-              asked_ = false;
-              if (owns_)
-                gone_();
-            });
-          });
-      asked_ = false;
-    }
-  }
-  if (other_ && !asked_) {
-    asked_ = true;
-    answer_by_ = now + kAnswer;
-    other_->send(HandoverRequest{});
-  }
-  scheduleRetry(kAgain);
+  if (now >= deadline_)
+    return callbacks_.on_failed(failure_reason_);
+  if (released_)
+    return scheduleRetry(kReleasedRetryInterval);
+  dropUnresponsivePeer(now);
+  if (!peer_)
+    connect();
+  if (peer_ && !request_pending_)
+    sendRequest(now);
+  scheduleRetry(kRetryInterval);
 }
 
-void HandoverTarget::onMessage(const Message& m) {
-  if (const auto* refused = std::get_if<HandoverRejected>(&m)) {
-    why_ = refused->reason;
-    asked_ = false;
-  } else if (const auto* given = std::get_if<OwnershipReleased>(&m)) {
-    if (owns_ || given_)
-      return;
-    given_ = *given;
-    boost::asio::post(io_, [this] { attempt(); });
-  } else if (const auto* ended = std::get_if<handover::AttemptFinished>(&m)) {
-    if (owns_)
-      ended_(ended->outcome);
-    else
-      early_.push_back(ended->outcome);
+// The peer hangs, or its version does not know this protocol.
+void HandoverTarget::dropUnresponsivePeer(Micros now) {
+  if (!request_pending_ || now < answer_deadline_)
+    return;
+  peer_.reset();
+  request_pending_ = false;
+}
+
+void HandoverTarget::connect() {
+  LineSocket::Socket socket(io_);
+  boost::system::error_code error;
+  socket.connect(socketAddress(lock_.fd()), error);
+  if (error)
+    return;
+  peer_ = std::make_unique<LineSocket>(
+      std::move(socket), [this](const Message& message) { onMessage(message); },
+      [this] { boost::asio::post(io_, [this] { onPeerClosed(); }); });
+  request_pending_ = false;
+}
+
+void HandoverTarget::sendRequest(Micros now) {
+  request_pending_ = true;
+  answer_deadline_ = now + kAnswerTimeout;
+  peer_->send(HandoverRequest{});
+}
+
+void HandoverTarget::onMessage(const Message& message) {
+  if (const auto* rejected = std::get_if<HandoverRejected>(&message)) {
+    failure_reason_ = rejected->reason;
+    request_pending_ = false;
+  } else if (const auto* released = std::get_if<OwnershipReleased>(&message)) {
+    onReleased(*released);
+  } else if (const auto* finished = std::get_if<AttemptFinished>(&message)) {
+    onOutcome(finished->outcome);
   }
 }
 
-void HandoverTarget::onOwned(const OwnershipReleased* given) {
-  owns_ = true;
+void HandoverTarget::onReleased(const OwnershipReleased& released) {
+  if (owns_folder_ || released_)
+    return;
+  released_ = released;
+  boost::asio::post(io_, [this] { attempt(); });
+}
+
+void HandoverTarget::onOutcome(const AttemptOutcome& outcome) {
+  if (owns_folder_)
+    callbacks_.on_attempt_finished(outcome);
+  else
+    early_outcomes_.push_back(outcome);
+}
+
+void HandoverTarget::onPeerClosed() {
+  peer_.reset();
+  request_pending_ = false;
+  if (owns_folder_)
+    callbacks_.on_peer_gone();
+}
+
+void HandoverTarget::onLocked() {
+  owns_folder_ = true;
   timer_.cancel();
-  owned_(given);
-  for (const AttemptOutcome& o : early_)
-    ended_(o);
-  early_.clear();
-  if (given && !other_)
-    gone_();
+  callbacks_.on_acquired(released_ ? &*released_ : nullptr);
+  for (const AttemptOutcome& outcome : early_outcomes_)
+    callbacks_.on_attempt_finished(outcome);
+  early_outcomes_.clear();
+  if (released_ && !peer_)
+    callbacks_.on_peer_gone();
 }
 
 }  // namespace grademux::handover
--- a/src/handover/handover_target.h
+++ b/src/handover/handover_target.h
@@ -1,5 +1,6 @@
-// grademux: the process that comes: it waits for the folder, or asks the one that has it. Bounded in time;
-// what does not answer, or speaks another version, is waited for until it is gone.
+// The process that replaces another: it waits for the lock of the state folder, or asks the process that
+// holds it. A process that does not answer, or speaks another version, is waited for until it ends, within a
+// time limit. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,45 +18,49 @@
 
 class HandoverTarget {
  public:
-  // Called once, with the lock held. Null: nobody had the folder, or it died.
-  using Owned = std::function<void(const OwnershipReleased* given)>;
-  // The end of a call that stayed with the earlier process; then, once, that it is gone.
-  using Ended = std::function<void(const AttemptOutcome&)>;
-  using Gone = std::function<void()>;
-  // Called once when the folder could not be had in time, with what to tell people.
-  using Failed = std::function<void(const std::string& why)>;
-
-  HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Owned owned, Ended ended, Gone gone,
-                 Failed failed);
-
-  // Asks, and goes on asking for so long (microseconds).
-  void start(Micros patience);
-  void send(const Message& m) {
-    if (other_)
-      other_->send(m);
-  }
-  // It is on record that this process owns the folder.
+  struct Callbacks {
+    /// Called once, with the lock held. Null: no process released the folder, or that process died.
+    std::function<void(const OwnershipReleased* released)> on_acquired;
+    /// The outcome of an attempt that stayed with the earlier process; after on_acquired().
+    std::function<void(const AttemptOutcome&)> on_attempt_finished;
+    /// The earlier process is gone; called once, after all of its outcomes.
+    std::function<void()> on_peer_gone;
+    /// Called once when the folder could not be locked in time, with a reason for people.
+    std::function<void(const std::string& reason)> on_failed;
+  };
+
+  /// `lock` outlives this object.
+  HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Callbacks callbacks);
+
+  /// Begins, and goes on for `timeout` microseconds.
+  void start(Micros timeout);
+  /// Sends to the earlier process, if there is one.
+  void send(const Message& message);
+  /// Tells the earlier process that the journal records this process as owner.
   void confirmOwnership() { send(OwnershipAcquired{}); }
 
  private:
   void attempt();
   void scheduleRetry(Micros pause);
-  void onMessage(const Message& m);
-  void onOwned(const OwnershipReleased* given);
+  void dropUnresponsivePeer(Micros now);
+  void connect();
+  void sendRequest(Micros now);
+  void onMessage(const Message& message);
+  void onReleased(const OwnershipReleased& released);
+  void onOutcome(const AttemptOutcome& outcome);
+  void onPeerClosed();
+  void onLocked();
 
   boost::asio::io_context& io_;
   FolderLock& lock_;
-  Owned owned_;
-  Ended ended_;
-  Gone gone_;
-  Failed failed_;
+  Callbacks callbacks_;
   boost::asio::steady_timer timer_;
-  std::unique_ptr<LineSocket> other_;
-  std::optional<OwnershipReleased> given_;
-  Micros until_ = 0, answer_by_ = 0;
-  std::string why_ = "it does not answer";
-  std::vector<AttemptOutcome> early_;  // heard before the folder was owned
-  bool asked_ = false, owns_ = false;
+  std::unique_ptr<LineSocket> peer_;
+  std::optional<OwnershipReleased> released_;
+  Micros deadline_ = 0, answer_deadline_ = 0;  // monotonic
+  std::string failure_reason_ = "it does not answer";
+  std::vector<AttemptOutcome> early_outcomes_;  // reported before the folder was locked
+  bool request_pending_ = false, owns_folder_ = false;
 };
 
 }  // namespace grademux::handover
--- a/src/handover/inherited_attempts.h
+++ b/src/handover/inherited_attempts.h
@@ -1,9 +1,12 @@
-// grademux: calls that an earlier process of this sender has out still, beside those of the transport: each
-// ends by what that process reports, or by its end, which says nothing of whether the call ran.
+// A transport that adds the attempts that an earlier process of this sender still has in flight to those of
+// this process. Each finishes when that process reports its outcome, or when that process ends, which leaves
+// open whether the endpoint executed the attempt. Used on the loop thread alone.
 #pragma once
 
 #include <functional>
 #include <set>
+#include <string>
+#include <vector>
 
 #include "../core/transport.h"
 #include "messages.h"
@@ -12,55 +15,34 @@
 
 class InheritedAttempts : public Transport {
  public:
-  using Say = std::function<void(const Message&)>;  // to the earlier process
-  InheritedAttempts(Transport& transport, OnOutcome on_outcome, Say say)
-      : transport_(transport), on_outcome_(std::move(on_outcome)), say_(std::move(say)) {}
-
-  void inherit(const std::vector<AttemptId>& calls) { out_.insert(calls.begin(), calls.end()); }
-  const std::set<AttemptId>& inherited() const { return out_; }
-
-  // One is over. What is not among them is no business of this process any more.
-  void ended(const AttemptOutcome& o) {
-    if (out_.erase({o.id, o.attempt}) > 0)
-      on_outcome_(o);
-  }
-  // The earlier process is gone: what it had out may have run.
-  void gone() {
-    const std::set<AttemptId> lost = std::move(out_);
-    out_.clear();
-    for (const AttemptId& c : lost) {
-      AttemptOutcome o;
-      o.id = c.message_id;
-      o.attempt = c.attempt;
-      o.result = AttemptResult::cancelled;
-      o.round_trip = 1;
-      on_outcome_(std::move(o));
-    }
-  }
-
-  void setAddress(const std::string& endpoint, const std::string& address) override {
-    transport_.setAddress(endpoint, address);
-  }
-  void removeEndpoint(const std::string& endpoint) override { transport_.removeEndpoint(endpoint); }
-  // Not those of the earlier process: it alone knows which of them are written.
-  void cancelUnwritten(const std::string& endpoint) override { transport_.cancelUnwritten(endpoint); }
-  void startAttempt(const AttemptRequest& request) override { transport_.startAttempt(request); }
-  void cancelAttempt(const std::string& id, int attempt) override {
-    if (out_.count({id, attempt}))
-      say_(CancelInherited{{id, attempt}});
-    else
-      transport_.cancelAttempt(id, attempt);
-  }
-  void closeIdleConnections(const std::string& endpoint) override {
-    transport_.closeIdleConnections(endpoint);
-  }
-  std::size_t attemptsInFlight() const override { return transport_.attemptsInFlight() + out_.size(); }
+  /// Sends a message to the earlier process.
+  using SendMessage = std::function<void(const Message&)>;
+  /// `transport` outlives this object.
+  InheritedAttempts(Transport& transport, OnOutcome on_outcome, SendMessage send_message);
+
+  /// Adds attempts that the earlier process has in flight.
+  void inherit(const std::vector<AttemptId>& attempts);
+  /// Attempts of the earlier process that have no outcome yet.
+  const std::set<AttemptId>& inherited() const { return inherited_; }
+  /// The earlier process reports an outcome. Other attempts than the inherited ones are ignored.
+  void onAttemptFinished(const AttemptOutcome& outcome);
+  /// The earlier process is gone: its attempts may have been executed.
+  void onPeerGone();
+
+  void setAddress(const std::string& endpoint, const std::string& address) override;
+  void removeEndpoint(const std::string& endpoint) override;
+  /// Leaves inherited attempts alone: only the earlier process knows which of them are written.
+  void cancelUnwritten(const std::string& endpoint) override;
+  void startAttempt(const AttemptRequest& request) override;
+  void cancelAttempt(const std::string& message_id, int attempt) override;
+  void closeIdleConnections(const std::string& endpoint) override;
+  std::size_t attemptsInFlight() const override;
 
  private:
   Transport& transport_;
   OnOutcome on_outcome_;
-  Say say_;
-  std::set<AttemptId> out_;
+  SendMessage send_message_;
+  std::set<AttemptId> inherited_;
 };
 
 }  // namespace grademux::handover
--- a/src/handover/line_socket.cpp
+++ b/src/handover/line_socket.cpp
@@ -1,9 +1,10 @@
-// grademux: one end of the channel between two processes; see line_socket.h.
+// One end of the Unix socket between two processes; see line_socket.h.
 #include "line_socket.h"
 
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <string>
+#include <utility>
 
 #include "../core/json_fields.h"
 
@@ -12,101 +13,138 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-struct LineSocket::State : std::enable_shared_from_this<State> {
-  State(Socket s, OnMessage h, OnClosed o) : socket(std::move(s)), heard(std::move(h)), over(std::move(o)) {}
+namespace {
 
-  Socket socket;
-  OnMessage heard;
-  OnClosed over;
-  std::array<char, 16384> piece{};
-  std::string in, out, next;  // next: said while a write is out
-  bool open = true, writing = false;
+constexpr std::size_t kReadBufferBytes = 16384;
+constexpr const char* kSocketName = "handover";
+
+}  // namespace
+
+// Asynchronous operations share ownership, so that the buffers outlive the LineSocket.
+class LineSocket::Connection : public std::enable_shared_from_this<Connection> {
+ public:
+  Connection(Socket socket, OnMessage on_message, OnClosed on_closed)
+      : socket_(std::move(socket)), on_message_(std::move(on_message)), on_closed_(std::move(on_closed)) {}
 
   void read() {
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open)
-        return;
-      if (e)
-        return self->end();
-      self->in.append(self->piece.data(), n);
-      self->take();
-    });
+    socket_.async_read_some(asio::buffer(chunk_),
+                            [self = shared_from_this()](error_code error, std::size_t size) {
+                              if (self->open_)
+                                self->onRead(error, size);
+                            });
   }
 
-  void take() {
-    std::size_t from = 0;
-    for (auto at = in.find('\n', from); at != std::string::npos && open; at = in.find('\n', from)) {
-      const std::string line = in.substr(from, at - from);
-      from = at + 1;
-      try {
-        const Message m = parseMessage(line);
-        heard(m);
-      } catch (const BadInput&) {
-        return end();
-      }
-    }
-    if (!open)
+  void send(const Message& message) {
+    if (!open_)
+      return;
+    queued_ += serialize(message);
+    write();
+  }
+
+  bool hasUnsent() const { return open_ && !(writing_buffer_.empty() && queued_.empty()); }
+
+  // Closes without a callback.
+  void close() {
+    open_ = false;
+    error_code ignored;
+    socket_.close(ignored);
+  }
+
+ private:
+  void onRead(error_code error, std::size_t size) {
+    if (error)
+      return closeAndReport();
+    input_.append(chunk_.data(), size);
+    if (!dispatchLines())
       return;
-    in.erase(0, from);
-    if (in.size() > kMaxLineBytes)
-      return end();
+    if (input_.size() > kMaxLineBytes)
+      return closeAndReport();
     read();
   }
 
+  // False when the connection was closed by a line.
+  bool dispatchLines() {
+    std::size_t begin = 0;
+    for (auto end = input_.find('\n'); end != std::string::npos; end = input_.find('\n', begin)) {
+      dispatch(input_.substr(begin, end - begin));
+      if (!open_)
+        return false;
+      begin = end + 1;
+    }
+    input_.erase(0, begin);
+    return true;
+  }
+
+  void dispatch(const std::string& line) {
+    try {
+      const Message message = parseMessage(line);
+      on_message_(message);
+    } catch (const BadInput&) {
+      closeAndReport();
+    }
+  }
+
   void write() {
-    if (writing)
+    if (writing_)
       return;
-    if (out.empty())
-      out.swap(next);
-    if (out.empty())
+    if (writing_buffer_.empty())
+      writing_buffer_.swap(queued_);
+    if (writing_buffer_.empty())
       return;
-    writing = true;
-    socket.async_write_some(asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t n) {
-      self->writing = false;
-      if (!self->open)
-        return;
-      if (e)
-        return self->end();
-      self->out.erase(0, n);
-      self->write();
-    });
+    writing_ = true;
+    socket_.async_write_some(asio::buffer(writing_buffer_),
+                             [self = shared_from_this()](error_code error, std::size_t size) {
+                               self->writing_ = false;
+                               if (self->open_)
+                                 self->onWritten(error, size);
+                             });
+  }
+
+  void onWritten(error_code error, std::size_t size) {
+    if (error)
+      return closeAndReport();
+    writing_buffer_.erase(0, size);
+    write();
   }
 
-  void end() {
-    if (!open)
+  void closeAndReport() {
+    if (!open_)
       return;
-    open = false;
-    error_code ignored;
-    socket.close(ignored);
-    if (over)
-      over();
+    close();
+    if (on_closed_)
+      on_closed_();
   }
+
+  Socket socket_;
+  OnMessage on_message_;
+  OnClosed on_closed_;
+  std::array<char, kReadBufferBytes> chunk_{};
+  std::string input_;
+  std::string writing_buffer_;  // unchanged while a write is pending
+  std::string queued_;          // messages that were sent meanwhile
+  bool open_ = true, writing_ = false;
 };
 
-LineSocket::LineSocket(Socket socket, OnMessage heard, OnClosed over)
-    : state_(std::make_shared<State>(std::move(socket), std::move(heard), std::move(over))) {
-  state_->read();
+LineSocket::LineSocket(Socket socket, OnMessage on_message, OnClosed on_closed)
+    : connection_(
+          std::make_shared<Connection>(std::move(socket), std::move(on_message), std::move(on_closed))) {
+  connection_->read();
 }
 
 LineSocket::~LineSocket() {
-  state_->open = false;
-  error_code ignored;
-  state_->socket.close(ignored);
+  connection_->close();
 }
 
-void LineSocket::send(const Message& m) {
-  if (!state_->open)
-    return;
-  state_->next += serialize(m);
-  state_->write();
+void LineSocket::send(const Message& message) {
+  connection_->send(message);
 }
 
 bool LineSocket::hasUnsent() const {
-  return state_->open && !(state_->out.empty() && state_->next.empty());
+  return connection_->hasUnsent();
 }
 
-asio::local::stream_protocol::endpoint channelIn(int folder_fd) {
-  return {"/proc/self/fd/" + std::to_string(folder_fd) + "/handover"};
+asio::local::stream_protocol::endpoint socketAddress(int folder_fd) {
+  return {"/proc/self/fd/" + std::to_string(folder_fd) + "/" + kSocketName};
 }
 
 }  // namespace grademux::handover
--- a/src/handover/line_socket.h
+++ b/src/handover/line_socket.h
@@ -1,4 +1,5 @@
-// grademux: one end of the channel between two processes of one sender.
+// One end of the Unix socket between two processes of one sender: sends and receives messages, one a line.
+// Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,24 +15,26 @@
  public:
   using Socket = boost::asio::local::stream_protocol::socket;
   using OnMessage = std::function<void(const Message&)>;
-  using OnClosed = std::function<void()>;  // once; not if this is destroyed first
+  /// Called once when the peer closes the connection, or sends what can't be parsed; not after destruction.
+  using OnClosed = std::function<void()>;
 
-  // What can't be read ends the channel.
-  LineSocket(Socket socket, OnMessage heard, OnClosed over);
-  ~LineSocket();  // closes it; what was said goes out first as far as the kernel takes it
+  LineSocket(Socket socket, OnMessage on_message, OnClosed on_closed);
+  /// Closes the connection. Messages that the kernel has not accepted by then are lost.
+  ~LineSocket();
   LineSocket(const LineSocket&) = delete;
   LineSocket& operator=(const LineSocket&) = delete;
 
-  void send(const Message& m);
-  bool hasUnsent() const;  // something waits to go out
+  void send(const Message& message);
+  /// True while the kernel has not accepted all messages.
+  bool hasUnsent() const;
 
  private:
-  struct State;
-  std::shared_ptr<State> state_;
+  class Connection;
+  std::shared_ptr<Connection> connection_;
 };
 
-// The address of the channel of this folder. Paths of Unix sockets are short, so it goes through the folder's
-// descriptor, which has to stay open meanwhile.
-boost::asio::local::stream_protocol::endpoint channelIn(int folder_fd);
+/// The socket's address in a folder. Addresses of Unix sockets are short, so the path leads through the
+/// folder's descriptor, which must stay open while the address is used.
+boost::asio::local::stream_protocol::endpoint socketAddress(int folder_fd);
 
 }  // namespace grademux::handover
--- a/src/handover/messages.cpp
+++ b/src/handover/messages.cpp
@@ -1,4 +1,4 @@
-// grademux: what two processes of one sender say to each other; see messages.h.
+// Codec of the handover messages; see messages.h.
 #include "messages.h"
 
 #include "../core/json_fields.h"
@@ -7,90 +7,135 @@
 
 namespace {
 
-json idOf(const AttemptId& c) {
-  return json::array({c.message_id, c.attempt});
+// Names on the wire, which processes of other versions use as well.
+namespace wire {
+constexpr const char* kHandoverRequest = "take";
+constexpr const char* kOwnershipAcquired = "taken";
+constexpr const char* kCancelInherited = "cancel";
+constexpr const char* kHandoverRejected = "refused";
+constexpr const char* kOwnershipReleased = "given";
+constexpr const char* kAttemptFinished = "ended";
+
+constexpr const char* kVersion = "version";
+constexpr const char* kAttempt = "call";
+constexpr const char* kReason = "why";
+constexpr const char* kStandby = "standby";
+constexpr const char* kInFlight = "out";
+constexpr const char* kResult = "result";
+constexpr const char* kAlreadyFinished = "finished";
+constexpr const char* kRetryAfter = "wait";
+constexpr const char* kRoundTrip = "rtt";
+constexpr const char* kStaleConnection = "stale";
+constexpr const char* kLimitReport = "report";
+constexpr const char* kRemainingFraction = "left";
+constexpr const char* kRateLimit = "limit";
+}  // namespace wire
+
+json toJson(const AttemptId& id) {
+  return json::array({id.message_id, id.attempt});
 }
 
-AttemptId readId(const json& j) {
-  if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer())
+AttemptId parseAttemptId(const json& value) {
+  if (!value.is_array() || value.size() != 2 || !value[0].is_string() || !value[1].is_number_integer())
     bad("a call is its message's id and a number");
-  return {j[0].get<std::string>(), j[1].get<int>()};
+  return {value[0].get<std::string>(), value[1].get<int>()};
 }
 
-struct Writer {
-  json operator()(const HandoverRequest& m) const { return {{"take", {{"version", m.version}}}}; }
-  json operator()(const OwnershipAcquired&) const { return {{"taken", json::object()}}; }
-  json operator()(const CancelInherited& m) const { return {{"cancel", {{"call", idOf(m.attempt)}}}}; }
-  json operator()(const HandoverRejected& m) const { return {{"refused", {{"why", m.reason}}}}; }
-  json operator()(const OwnershipReleased& m) const {
-    json out = json::array();
-    for (const AttemptId& c : m.in_flight)
-      out.push_back(idOf(c));
-    return {{"given", {{"standby", m.standby}, {"out", std::move(out)}}}};
-  }
-  json operator()(const AttemptFinished& m) const {
-    const AttemptOutcome& o = m.outcome;
-    json j{{"call", idOf({o.id, o.attempt})},
-           {"result", static_cast<int>(o.result)},
-           {"finished", o.already_finished},
-           {"wait", o.retry_after},
-           {"rtt", o.round_trip},
-           {"stale", o.stale_connection}};
-    if (o.limit_report)
-      j["report"] = {{"left", o.limit_report->remaining_fraction}, {"limit", o.limit_report->rate_limit}};
-    return {{"ended", std::move(j)}};
-  }
-};
+json toJson(const AttemptOutcome& outcome) {
+  json object{{wire::kAttempt, toJson(AttemptId{outcome.id, outcome.attempt})},
+              {wire::kResult, static_cast<int>(outcome.result)},
+              {wire::kAlreadyFinished, outcome.already_finished},
+              {wire::kRetryAfter, outcome.retry_after},
+              {wire::kRoundTrip, outcome.round_trip},
+              {wire::kStaleConnection, outcome.stale_connection}};
+  if (outcome.limit_report)
+    object[wire::kLimitReport] = {{wire::kRemainingFraction, outcome.limit_report->remaining_fraction},
+                                  {wire::kRateLimit, outcome.limit_report->rate_limit}};
+  return object;
+}
 
-AttemptOutcome readOutcome(const json& j) {
-  AttemptOutcome o;
-  AttemptId id = readId(field(j, "call"));
-  o.id = std::move(id.message_id);
-  o.attempt = id.attempt;
-  const std::int64_t result = integer(j, "result");
+AttemptResult parseResult(const json& value) {
+  const std::int64_t result = integer(value, wire::kResult);
   if (result < 0 || result > static_cast<std::int64_t>(AttemptResult::not_sent))
     bad("unknown result");
-  o.result = static_cast<AttemptResult>(result);
-  o.already_finished = truth(j, "finished");
-  o.retry_after = integer(j, "wait");
-  o.round_trip = integer(j, "rtt");
-  o.stale_connection = truth(j, "stale");
-  if (!absent(j, "report")) {
-    const json& r = object(j, "report");
-    o.limit_report = LimitReport{number(r, "left"), number(r, "limit")};
+  return static_cast<AttemptResult>(result);
+}
+
+AttemptOutcome parseOutcome(const json& value) {
+  AttemptOutcome outcome;
+  AttemptId id = parseAttemptId(field(value, wire::kAttempt));
+  outcome.id = std::move(id.message_id);
+  outcome.attempt = id.attempt;
+  outcome.result = parseResult(value);
+  outcome.already_finished = truth(value, wire::kAlreadyFinished);
+  outcome.retry_after = integer(value, wire::kRetryAfter);
+  outcome.round_trip = integer(value, wire::kRoundTrip);
+  outcome.stale_connection = truth(value, wire::kStaleConnection);
+  if (!absent(value, wire::kLimitReport)) {
+    const json& report = object(value, wire::kLimitReport);
+    outcome.limit_report =
+        LimitReport{number(report, wire::kRemainingFraction), number(report, wire::kRateLimit)};
   }
-  return o;
+  return outcome;
 }
 
+OwnershipReleased parseReleased(const json& value) {
+  OwnershipReleased released;
+  released.standby = truth(value, wire::kStandby);
+  for (const json& attempt : array(value, wire::kInFlight))
+    released.in_flight.push_back(parseAttemptId(attempt));
+  return released;
+}
+
+// Each gives an object with the message's name as its one key.
+struct Serializer {
+  json operator()(const HandoverRequest& request) const {
+    return {{wire::kHandoverRequest, {{wire::kVersion, request.version}}}};
+  }
+  json operator()(const OwnershipAcquired&) const { return {{wire::kOwnershipAcquired, json::object()}}; }
+  json operator()(const CancelInherited& cancel) const {
+    return {{wire::kCancelInherited, {{wire::kAttempt, toJson(cancel.attempt)}}}};
+  }
+  json operator()(const HandoverRejected& rejected) const {
+    return {{wire::kHandoverRejected, {{wire::kReason, rejected.reason}}}};
+  }
+  json operator()(const OwnershipReleased& released) const {
+    json in_flight = json::array();
+    for (const AttemptId& id : released.in_flight)
+      in_flight.push_back(toJson(id));
+    return {{wire::kOwnershipReleased,
+             {{wire::kStandby, released.standby}, {wire::kInFlight, std::move(in_flight)}}}};
+  }
+  json operator()(const AttemptFinished& finished) const {
+    return {{wire::kAttemptFinished, toJson(finished.outcome)}};
+  }
+};
+
 }  // namespace
 
-std::string serialize(const Message& m) {
-  return std::visit(Writer{}, m).dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
+std::string serialize(const Message& message) {
+  return std::visit(Serializer{}, message).dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
 Message parseMessage(const std::string& line) {
-  const json j = json::parse(line, nullptr, false);
-  if (!j.is_object() || j.size() != 1)
+  const json parsed = json::parse(line, nullptr, false);
+  if (!parsed.is_object() || parsed.size() != 1)
     bad("one message is expected");
-  const std::string kind = j.begin().key();
-  const json& m = object(j, kind.c_str());
-  if (kind == "take")
-    return HandoverRequest{integer(m, "version")};
-  if (kind == "taken")
+  const std::string kind = parsed.begin().key();
+  const json& body = object(parsed, kind.c_str());
+  if (kind == wire::kHandoverRequest)
+    return HandoverRequest{integer(body, wire::kVersion)};
+  if (kind == wire::kOwnershipAcquired)
     return OwnershipAcquired{};
-  if (kind == "cancel")
-    return CancelInherited{readId(field(m, "call"))};
-  if (kind == "refused")
-    return HandoverRejected{text(m, "why")};
-  if (kind == "ended")
-    return AttemptFinished{readOutcome(m)};
-  if (kind != "given")
-    bad("unknown message: " + kind);
-  OwnershipReleased g;
-  g.standby = truth(m, "standby");
-  for (const json& c : array(m, "out"))
-    g.in_flight.push_back(readId(c));
-  return g;
+  if (kind == wire::kCancelInherited)
+    return CancelInherited{parseAttemptId(field(body, wire::kAttempt))};
+  if (kind == wire::kHandoverRejected)
+    return HandoverRejected{text(body, wire::kReason)};
+  if (kind == wire::kAttemptFinished)
+    return AttemptFinished{parseOutcome(body)};
+  if (kind == wire::kOwnershipReleased)
+    return parseReleased(body);
+  bad("unknown message: " + kind);
 }
 
 }  // namespace grademux::handover
--- a/src/handover/messages.h
+++ b/src/handover/messages.h
@@ -1,5 +1,6 @@
-// grademux: what two processes of one sender say to each other while one replaces the other: one JSON object
-// a line over a Unix socket in the folder that lasts. No I/O here. docs/design/handover.md has the order.
+// The messages that two processes of one sender exchange while one replaces the other: one JSON object a line
+// over a Unix socket in the state folder. No I/O. messages.cpp alone knows the names on the wire;
+// docs/design/handover.md has the order of the messages.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +12,41 @@
 
 namespace grademux::handover {
 
-constexpr std::int64_t kProtocolVersion = 1;    // of this channel; another one is refused
-constexpr std::size_t kMaxLineBytes = 4 << 20;  // bytes of a line
+/// A process that asks with another version is rejected.
+constexpr std::int64_t kProtocolVersion = 1;
+constexpr std::size_t kMaxLineBytes = 4 << 20;
 
-// From the process that comes:
-struct HandoverRequest {  // it is prepared, and asks for folder and journal
+/// From the new process: it is prepared, and asks for folder and journal.
+struct HandoverRequest {
   std::int64_t version = kProtocolVersion;
 };
-struct OwnershipAcquired {};  // it owns both, which is on record: there is no way back
-struct CancelInherited {      // of a call that is out still
+/// From the new process: the journal records it as owner; there is no way back.
+struct OwnershipAcquired {};
+/// From the new process: cancels an attempt that is still in flight in the old one.
+struct CancelInherited {
   AttemptId attempt;
 };
 
-// From the one that goes:
-struct HandoverRejected {  // not now; the caller may ask again
+/// From the old process: no handover now. The new process may ask again.
+struct HandoverRejected {
   std::string reason;
 };
-struct OwnershipReleased {  // folder and journal are free, and nothing is written there any more
-  bool standby = false;
-  std::vector<AttemptId> in_flight;  // calls that stay with it to their end
+/// From the old process: folder and journal are free, and it writes nothing there any more.
+struct OwnershipReleased {
+  bool standby = false;              // operators have sent its clients away
+  std::vector<AttemptId> in_flight;  // attempts that it finishes
 };
-struct AttemptFinished {  // one of these calls is over
+/// From the old process: the outcome of one of the attempts in flight.
+struct AttemptFinished {
   AttemptOutcome outcome;
 };
 
 using Message = std::variant<HandoverRequest, OwnershipAcquired, CancelInherited, HandoverRejected,
                              OwnershipReleased, AttemptFinished>;
 
-std::string serialize(const Message& m);        // with its end
-Message parseMessage(const std::string& line);  // without its end; throws BadInput saying what is wrong
+/// The line of a message, with its LF.
+std::string serialize(const Message& message);
+/// Parses a line without its LF. Throws BadInput with a reason.
+Message parseMessage(const std::string& line);
 
 }  // namespace grademux::handover
--- a/src/operate/admin_server.cpp
+++ b/src/operate/admin_server.cpp
@@ -1,12 +1,12 @@
-// grademux: the operators' door; see door.h.
+// The TCP server for operators; see admin_server.h.
 #include "admin_server.h"
 
-#include <algorithm>
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
+#include <string>
+#include <utility>
 
-#include "../core/clock.h"
 #include "../listener/listening_socket.h"
 
 namespace grademux::operate {
@@ -17,147 +17,169 @@
 
 namespace {
 
-constexpr std::size_t kLine = 128;  // bytes; calls are words
-// Callers may hold a connection for 4 s with no whole call; then each is told, and ended.
-constexpr Micros kPatience = 5'000'000;
-constexpr Micros kGrace = 50'000;    // a newcomer's line is on its way: none younger makes room
-constexpr Micros kLinger = 500'000;  // for the caller to end the connection itself
-constexpr Micros kSweep = 250'000;
+constexpr std::size_t kMaxLineBytes = 128;
+// The platform's clients may take 4 s to send their line.
+constexpr Micros kReadTimeout = 5'000'000;
+// A younger connection is not closed to make room: its line may be on the way.
+constexpr Micros kMinConnectionAge = 50'000;
+// After the answer, for the client to close the connection.
+constexpr Micros kCloseTimeout = 500'000;
+constexpr Micros kTimeoutCheckInterval = 250'000;
+constexpr Micros kAcceptErrorPause = 20'000;
 
 }  // namespace
 
-struct AdminServer::Caller : std::enable_shared_from_this<Caller> {
-  Caller(AdminServer& d, tcp::socket s) : door(d), socket(std::move(s)) {}
+class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
+ public:
+  Connection(AdminServer& server, tcp::socket socket) : server_(server), socket_(std::move(socket)) {}
 
-  AdminServer& door;
-  tcp::socket socket;
-  std::array<char, kLine> piece{};
-  std::string in, out;
-  Micros since = monotonicNow();
-  bool answered = false, open = true;
+  bool isOpen() const { return open_; }
+  Micros age() const { return monotonicNow() - since_; }
 
   void read() {
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open)
-        return;
-      if (self->answered)
-        return e ? self->close() : self->read();  // the rest is thrown away
-      self->in.append(self->piece.data(), n);
-      const auto end = self->in.find('\n');
-      if (end != std::string::npos)
-        return self->call(self->in.substr(0, end));
-      if (self->in.size() >= kLine)
-        return self->answer({false, "a line of 128 bytes at most is expected"});
-      if (e == asio::error::eof && !self->in.empty())
-        return self->call(self->in);  // without its end
-      e ? self->close() : self->read();
-    });
-  }
-
-  void call(const std::string& line) {
-    AdminCommand asked;
-    if (line.size() >= kLine || !parseAdminCommand(line, asked))
-      return answer({false, "one of status, standby, active is expected"});
-    answer(door.handle_(asked));
-  }
-
-  void answer(const CommandResult& v) {
-    answered = true;
-    since = monotonicNow();
-    out = (v.ok ? "ACK " : "NAK ") + v.reason + "\n";
-    asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open)
-        return;
-      if (e)
-        return self->close();
-      error_code ignored;  // a close with input unread would take the answer with it
-      self->socket.shutdown(tcp::socket::shutdown_send, ignored);
-      self->read();
-    });
+    socket_.async_read_some(asio::buffer(chunk_),
+                            [self = shared_from_this()](error_code error, std::size_t size) {
+                              if (self->open_)
+                                self->onRead(error, size);
+                            });
   }
 
   void close() {
-    if (!open)
+    if (!open_)
       return;
-    open = false;
+    open_ = false;
     error_code ignored;
-    socket.close(ignored);
-    door.callers_.remove(shared_from_this());
+    socket_.close(ignored);
+    server_.connections_.remove(shared_from_this());
   }
 
-  void checkLimit(Micros now) {
-    if (answered && now - since >= kLinger)
+  void checkTimeout() {
+    if (answered_ && age() >= kCloseTimeout)
       return close();
-    if (!answered && now - since >= kPatience) {
-      socket.cancel();
+    if (!answered_ && age() >= kReadTimeout) {
+      socket_.cancel();
       answer({false, "no whole line came in 5 s"});
     }
   }
+
+ private:
+  void onRead(error_code error, std::size_t size) {
+    if (answered_)  // further input is discarded
+      return error ? close() : read();
+    input_.append(chunk_.data(), size);
+    const auto end = input_.find('\n');
+    if (end != std::string::npos)
+      return onLine(input_.substr(0, end));
+    if (input_.size() >= kMaxLineBytes)
+      return answer({false, "a line of 128 bytes at most is expected"});
+    if (error == asio::error::eof && !input_.empty())
+      return onLine(input_);
+    error ? close() : read();
+  }
+
+  void onLine(const std::string& line) {
+    const auto command = line.size() < kMaxLineBytes ? parseAdminCommand(line) : std::nullopt;
+    if (!command)
+      return answer({false, "one of status, standby, active is expected"});
+    answer(server_.handler_(*command));
+  }
+
+  void answer(const CommandResult& result) {
+    answered_ = true;
+    since_ = monotonicNow();
+    output_ = (result.ok ? "ACK " : "NAK ") + result.reason + "\n";
+    asio::async_write(socket_, asio::buffer(output_),
+                      [self = shared_from_this()](error_code error, std::size_t) {
+                        if (self->open_)
+                          self->onAnswerWritten(error);
+                      });
+  }
+
+  void onAnswerWritten(error_code error) {
+    if (error)
+      return close();
+    // Closing with unread input would reset the connection and lose the answer.
+    error_code ignored;
+    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    read();
+  }
+
+  AdminServer& server_;
+  tcp::socket socket_;
+  std::array<char, kMaxLineBytes> chunk_{};
+  std::string input_, output_;
+  Micros since_ = monotonicNow();  // when it was accepted or, later, answered
+  bool answered_ = false, open_ = true;
 };
 
-AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listen, Handle handle)
-    : io_(io), acceptor_(io), pause_(io), sweeper_(io), handle_(std::move(handle)) {
-  bindListener(acceptor_, listen);
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& address, CommandHandler handler)
+    : io_(io), acceptor_(io), accept_timer_(io), timeout_timer_(io), handler_(std::move(handler)) {
+  bindListener(acceptor_, address);
   acceptor_.listen();
   accept();
 }
 
 AdminServer::~AdminServer() {
-  const auto all = callers_;
-  for (const auto& c : all)
-    c->close();
+  const auto connections = connections_;
+  for (const auto& connection : connections)
+    connection->close();
 }
 
 void AdminServer::accept() {
-  acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted)
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted)
+      return;
+    if (error)
+      return pauseAccepting(kAcceptErrorPause);
+    const bool is_full = connections_.size() >= kMaxAdminConnections;
+    if (is_full && connections_.front()->age() >= kMinConnectionAge)
+      connections_.front()->close();
+    addConnection(std::move(socket));
+    // With one connection above the limit, the next client waits in the backlog until one may be closed.
+    if (connections_.size() > kMaxAdminConnections)
+      return pauseAccepting(kMinConnectionAge);
+    accept();
+  });
+}
+
+void AdminServer::pauseAccepting(Micros pause) {
+  accept_timer_.expires_after(std::chrono::microseconds(pause));
+  accept_timer_.async_wait([this](error_code error) {
+    if (error)
       return;
-    const Micros now = monotonicNow();
-    const bool full = callers_.size() >= kMaxAdminConnections;
-    if (!e && full && now - callers_.front()->since >= kGrace)
-      callers_.front()->close();
-    if (!e)
-      admit(std::move(s));
-    // With one over the bound, who comes next waits in the backlog until somebody may make room.
-    const Micros rest = e ? 20'000 : callers_.size() > kMaxAdminConnections ? kGrace : 0;
-    if (rest == 0)
-      return accept();
-    pause_.expires_after(std::chrono::microseconds(rest));
-    pause_.async_wait([this](error_code stopped) {
-      if (stopped)
-        return;
-      if (callers_.size() > kMaxAdminConnections)
-        callers_.front()->close();
-      accept();
-    });
+    if (connections_.size() > kMaxAdminConnections)
+      connections_.front()->close();
+    accept();
   });
 }
 
-void AdminServer::admit(tcp::socket s) {
+void AdminServer::addConnection(tcp::socket socket) {
   error_code ignored;
-  s.set_option(tcp::no_delay(true), ignored);
-  const auto caller = std::make_shared<Caller>(*this, std::move(s));
-  callers_.push_back(caller);
-  caller->read();
-  sweep();
+  socket.set_option(tcp::no_delay(true), ignored);
+  const auto connection = std::make_shared<Connection>(*this, std::move(socket));
+  connections_.push_back(connection);
+  connection->read();
+  scheduleTimeoutCheck();
 }
 
-void AdminServer::sweep() {
-  if (sweeping_ || callers_.empty())
+void AdminServer::scheduleTimeoutCheck() {
+  if (timeout_check_scheduled_ || connections_.empty())
     return;
-  sweeping_ = true;
-  sweeper_.expires_after(std::chrono::microseconds(kSweep));
-  sweeper_.async_wait([this](error_code stopped) {
-    if (stopped)
-      return;
-    sweeping_ = false;
-    const Micros now = monotonicNow();
-    const auto all = callers_;
-    for (const auto& c : all)
-      if (c->open)
-        c->checkLimit(now);
-    sweep();
+  timeout_check_scheduled_ = true;
+  timeout_timer_.expires_after(std::chrono::microseconds(kTimeoutCheckInterval));
+  timeout_timer_.async_wait([this](error_code error) {
+    if (!error)
+      checkTimeouts();
   });
 }
 
+void AdminServer::checkTimeouts() {
+  timeout_check_scheduled_ = false;
+  const auto connections = connections_;
+  for (const auto& connection : connections)
+    if (connection->isOpen())
+      connection->checkTimeout();
+  scheduleTimeoutCheck();
+}
+
 }  // namespace grademux::operate
--- a/src/operate/admin_server.h
+++ b/src/operate/admin_server.h
@@ -1,6 +1,6 @@
-// grademux: the operators' door: one line to a connection, answered by one line that begins with ACK or NAK.
-// Answers are owed in 1 s whatever else goes on, so its connections have descriptors of their own, and
-// callers without a whole line hold up nobody: they are bounded in number and time.
+// The TCP server for operators: a client sends one line, and gets one line that begins with ACK or NAK.
+// Answers are due within 1 s under any load, so its connections have descriptors of their own, and clients
+// that send no whole line are limited in number and time. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,35 +11,40 @@
 #include <list>
 #include <memory>
 
-#include "service_state.h"
+#include "../core/clock.h"
+#include "admin_command.h"
 
 namespace grademux::operate {
 
-constexpr std::size_t kMaxAdminConnections =
-    48;  // connections at once, and the descriptors that are set aside for them
+/// Connections at once, and the file descriptors that are reserved for them.
+constexpr std::size_t kMaxAdminConnections = 48;
 
 class AdminServer {
  public:
-  using Handle = std::function<CommandResult(AdminCommand)>;  // on the loop thread
+  /// Carries a command out, on the loop thread.
+  using CommandHandler = std::function<CommandResult(AdminCommand)>;
 
-  // Binds and listens; throws std::runtime_error naming the address when it can't.
-  AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Handle handle);
+  /// Binds and listens. Throws std::runtime_error with the address when that fails.
+  AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
+              CommandHandler handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
  private:
-  struct Caller;
+  class Connection;
   void accept();
-  void admit(boost::asio::ip::tcp::socket socket);
-  void sweep();
+  void pauseAccepting(Micros pause);
+  void addConnection(boost::asio::ip::tcp::socket socket);
+  void scheduleTimeoutCheck();
+  void checkTimeouts();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, sweeper_;
-  Handle handle_;
-  std::list<std::shared_ptr<Caller>> callers_;  // oldest first
-  bool sweeping_ = false;
+  boost::asio::steady_timer accept_timer_, timeout_timer_;
+  CommandHandler handler_;
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
+  bool timeout_check_scheduled_ = false;
 };
 
 }  // namespace grademux::operate
--- a/tests/handover/messages_test.cpp
+++ b/tests/handover/messages_test.cpp
@@ -1,4 +1,4 @@
-// What two processes of one sender say to each other, and the steps of the one that goes: as tables.
+// The messages between two processes of one sender, and the steps of the process that is replaced.
 #include "../../src/handover/messages.h"
 
 #include <gtest/gtest.h>
@@ -9,41 +9,64 @@
 namespace grademux::handover {
 namespace {
 
-std::string again(const Message& m) {
-  const std::string line = serialize(m);
+std::string roundTrip(const Message& message) {
+  const std::string line = serialize(message);
   EXPECT_EQ('\n', line.back());
   return serialize(parseMessage(line.substr(0, line.size() - 1)));
 }
 
-TEST(HandoverMessages, EachReadsBackAsItWas) {
-  AttemptOutcome o;
-  o.id = "m\"1";
-  o.attempt = 3;
-  o.result = AttemptResult::rejected;
-  o.already_finished = true;
-  o.retry_after = 500'000;
-  o.round_trip = 7;
-  o.limit_report = LimitReport{0.1, 25};
-  o.stale_connection = true;
+TEST(HandoverMessages, RoundTripUnchanged) {
+  AttemptOutcome outcome;
+  outcome.id = "m\"1";
+  outcome.attempt = 3;
+  outcome.result = AttemptResult::rejected;
+  outcome.already_finished = true;
+  outcome.retry_after = 500'000;
+  outcome.round_trip = 7;
+  outcome.limit_report = LimitReport{0.1, 25};
+  outcome.stale_connection = true;
   const std::vector<Message> all{HandoverRequest{9},
                                  OwnershipAcquired{},
                                  CancelInherited{{"m", 2}},
                                  HandoverRejected{"not now"},
                                  OwnershipReleased{true, {{"a", 0}, {"b", 4}}},
-                                 AttemptFinished{o}};
-  for (const Message& m : all)
-    EXPECT_EQ(serialize(m), again(m));
-  const Message read = parseMessage(serialize(AttemptFinished{o}));
+                                 AttemptFinished{outcome}};
+  for (const Message& message : all)
+    EXPECT_EQ(serialize(message), roundTrip(message));
+  const Message read = parseMessage(serialize(AttemptFinished{outcome}));
   const AttemptOutcome& back = std::get<AttemptFinished>(read).outcome;
-  EXPECT_EQ(o.id, back.id);
-  EXPECT_EQ(o.attempt, back.attempt);
-  EXPECT_EQ(o.result, back.result);
-  EXPECT_EQ(o.retry_after, back.retry_after);
+  EXPECT_EQ(outcome.id, back.id);
+  EXPECT_EQ(outcome.attempt, back.attempt);
+  EXPECT_EQ(outcome.result, back.result);
+  EXPECT_EQ(outcome.retry_after, back.retry_after);
   EXPECT_EQ(25, back.limit_report->rate_limit);
   EXPECT_TRUE(back.already_finished && back.stale_connection);
 }
 
-TEST(HandoverMessages, WhatCantBeReadSaysSo) {
+// Lines as processes of earlier versions write them.
+TEST(HandoverMessages, KeepsTheNamesOnTheWire) {
+  AttemptOutcome outcome;
+  outcome.id = "m";
+  outcome.attempt = 2;
+  outcome.result = AttemptResult::rejected;
+  outcome.retry_after = 500'000;
+  outcome.round_trip = 7;
+  outcome.limit_report = LimitReport{0.5, 25};
+  const int result = static_cast<int>(AttemptResult::rejected);
+  EXPECT_EQ("{\"take\":{\"version\":1}}\n", serialize(HandoverRequest{}));
+  EXPECT_EQ("{\"taken\":{}}\n", serialize(OwnershipAcquired{}));
+  EXPECT_EQ("{\"cancel\":{\"call\":[\"m\",2]}}\n", serialize(CancelInherited{{"m", 2}}));
+  EXPECT_EQ("{\"refused\":{\"why\":\"not now\"}}\n", serialize(HandoverRejected{"not now"}));
+  EXPECT_EQ("{\"given\":{\"out\":[[\"a\",0]],\"standby\":true}}\n",
+            serialize(OwnershipReleased{true, {{"a", 0}}}));
+  EXPECT_EQ(
+      "{\"ended\":{\"call\":[\"m\",2],\"finished\":false,\"report\":{\"left\":0.5,\"limit\":25.0},"
+      "\"result\":" +
+          std::to_string(result) + ",\"rtt\":7,\"stale\":false,\"wait\":500000}}\n",
+      serialize(AttemptFinished{outcome}));
+}
+
+TEST(HandoverMessages, RejectsMalformedLines) {
   for (const char* bad :
        {"", "[]", "{}", "{", "{\"take\":1}", "{\"take\":{}}", "{\"other\":{}}", "{\"given\":{\"out\":[]}}",
         "{\"given\":{\"standby\":false,\"out\":[[1,2]]}}", "{\"cancel\":{\"call\":[\"m\"]}}",
@@ -53,36 +76,36 @@
     EXPECT_THROW(parseMessage(bad), BadInput) << bad;
 }
 
-TEST(HandoverSteps, EachEventInEachStep) {
+TEST(HandoverState, FollowsTheTransitionTable) {
   const auto at = [](HandoverStep step) {
-    HandoverState s;
+    HandoverState state;
     if (step != HandoverStep::owning)
-      s.onRequested();
+      state.onRequested();
     if (step == HandoverStep::released || step == HandoverStep::departed)
-      s.onReleased();
+      state.onReleased();
     if (step == HandoverStep::departed)
-      s.onAcquired();
-    EXPECT_EQ(step, s.step());
-    return s;
+      state.onAcquired();
+    EXPECT_EQ(step, state.step());
+    return state;
   };
   for (const HandoverStep from :
        {HandoverStep::owning, HandoverStep::closing, HandoverStep::released, HandoverStep::departed}) {
-    HandoverState s = at(from);
-    EXPECT_EQ(from == HandoverStep::owning, s.onRequested());
-    s = at(from);
-    EXPECT_EQ(from == HandoverStep::closing, s.onReleased());
-    s = at(from);
-    EXPECT_EQ(from == HandoverStep::released, s.onAcquired());
-    EXPECT_EQ(from == HandoverStep::owning || from == HandoverStep::closing, at(from).mayDecide());
+    HandoverState state = at(from);
+    EXPECT_EQ(from == HandoverStep::owning, state.onRequested());
+    state = at(from);
+    EXPECT_EQ(from == HandoverStep::closing, state.onReleased());
+    state = at(from);
+    EXPECT_EQ(from == HandoverStep::released, state.onAcquired());
+    EXPECT_EQ(from == HandoverStep::owning || from == HandoverStep::closing, at(from).ownsFolder());
   }
-  // The other dies. Before the folder was given nobody asks whether it changed.
-  const auto must_not_ask = []() -> bool { throw std::runtime_error("asked"); };
+  // The other process dies. Before the folder was released, reacquire() is not called.
+  const auto must_not_reacquire = []() -> bool { throw std::runtime_error("asked"); };
   HandoverState owns = at(HandoverStep::owning), closing = at(HandoverStep::closing),
                 left = at(HandoverStep::departed);
-  EXPECT_FALSE(owns.onPeerClosed(must_not_ask));
-  EXPECT_TRUE(closing.onPeerClosed(must_not_ask));
+  EXPECT_FALSE(owns.onPeerClosed(must_not_reacquire));
+  EXPECT_TRUE(closing.onPeerClosed(must_not_reacquire));
   EXPECT_EQ(HandoverStep::owning, closing.step());
-  EXPECT_FALSE(left.onPeerClosed(must_not_ask));
+  EXPECT_FALSE(left.onPeerClosed(must_not_reacquire));
   HandoverState unchanged = at(HandoverStep::released), changed = at(HandoverStep::released);
   EXPECT_TRUE(unchanged.onPeerClosed([] { return true; }));
   EXPECT_EQ(HandoverStep::owning, unchanged.step());
