--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -200,7 +200,7 @@
 max_attempts = 12              # of one message
 
 [[door]]
-kind = "http"                  # curl and any HTTP client: docs/operate/doors.md
+kind = "http"                  # curl and any HTTP client: docs/operate/listeners.md
 listen = "127.0.0.1:8080"
 
 [[door]]
--- a/src/listener/http/batch.cpp
+++ b/src/listener/http/batch.cpp
@@ -39,10 +39,10 @@
 }
 
 void Batch::endLine(const OnLine& on_line) {
-  Line line{std::exchange(line_, {}), std::exchange(too_long_, false)};
+  const Line line{std::exchange(line_, {}), std::exchange(too_long_, false)};
   const bool blank = line.text.find_first_not_of(" \t\r") == std::string::npos;
   if (line.too_long || !blank)
-    on_line(std::move(line));
+    on_line(line);
 }
 
 void Batch::finishInput(const OnLine& on_line) {
--- a/src/listener/http/batch.h
+++ b/src/listener/http/batch.h
@@ -25,7 +25,7 @@
     std::string text;
     bool too_long = false;
   };
-  using OnLine = std::function<void(Line)>;
+  using OnLine = std::function<void(const Line&)>;
 
   // `response`: where results go, in chunks (RFC 9112, section 7.1). `now`: monotonic, microseconds.
   Batch(ResponseQueue::Pointer response, Micros now) : response_(std::move(response)), line_since_(now) {}
--- a/src/listener/http/http_session.h
+++ b/src/listener/http/http_session.h
@@ -99,7 +99,8 @@
   // Batches.
   void startBatch();
   void finishBatch();
-  void onBatchLine(const std::shared_ptr<http_listener::Batch>& batch, http_listener::Batch::Line line);
+  void onBatchLine(const std::shared_ptr<http_listener::Batch>& batch,
+                   const http_listener::Batch::Line& line);
   void releaseBatchResults(http_listener::Batch& batch);
   void abortBatch(const http_listener::Problem& problem);
 
--- a/src/listener/http/http_session_requests.cpp
+++ b/src/listener/http/http_session_requests.cpp
@@ -52,7 +52,7 @@
     const auto batch = batch_;
     batch->take(
         bytes, owner_.limits().request_bytes, monotonicNow(),
-        [this, &batch](Batch::Line line) { onBatchLine(batch, std::move(line)); }, [this] { return open_; });
+        [this, &batch](const Batch::Line& line) { onBatchLine(batch, line); }, [this] { return open_; });
     if (open_)
       releaseBatchResults(*batch);
     return open_;
@@ -193,11 +193,11 @@
 void HttpSession::finishBatch() {
   const auto batch = std::exchange(batch_, nullptr);
   parser_.reset();
-  batch->finishInput([this, &batch](Batch::Line line) { onBatchLine(batch, std::move(line)); });
+  batch->finishInput([this, &batch](const Batch::Line& line) { onBatchLine(batch, line); });
   releaseBatchResults(*batch);
 }
 
-void HttpSession::onBatchLine(const std::shared_ptr<Batch>& batch, Batch::Line line) {
+void HttpSession::onBatchLine(const std::shared_ptr<Batch>& batch, const Batch::Line& line) {
   const auto result = batch->appendResult();
   if (line.too_long)
     return complete(*result, {}, problemResponse(bodyTooLong()));
--- a/src/listener/http/response_messages.cpp
+++ b/src/listener/http/response_messages.cpp
@@ -154,7 +154,7 @@
   out += "Content-Type: " + response.type + "\r\nContent-Length: " + std::to_string(response.body.size()) +
          "\r\n";
   for (const auto& [name, value] : response.fields)
-    out += name + ": " + value + "\r\n";
+    out.append(name).append(": ").append(value).append("\r\n");
   if (close)
     out += "Connection: close\r\n";
   return out + "\r\n" + response.body;
