--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -223,7 +223,7 @@
           [this](bool may, const std::string& why) { mayAct(may, why); },
           [this](const std::vector<std::string>& endpoints) { host_->refreshEndpoints(endpoints); });
       host_->setActionGuard(&fleet_->actionGuard());
-      transport_->setGuard(
+      transport_->setSendGuard(
           [this](const std::string& endpoint) { return fleet_->actionGuard().isSendAllowed(endpoint); });
     }
     if (given)
@@ -315,7 +315,7 @@
       keeper_->finish(host_->learnedState());
     host_->suspend();
     transport_->closeAllIdle();
-    const handover::OwnershipReleased given{state_.isStandby(), transport_->outCalls()};
+    const handover::OwnershipReleased given{state_.isStandby(), transport_->unreportedAttempts()};
     log::write(log::Event::handover_released, {{"calls", given.in_flight.size()}});
     lock_.release();
     return given;
--- a/src/transport/http/answer_outcome.h
+++ b/src/transport/http/answer_outcome.h
@@ -1,5 +1,5 @@
-// grademux: what an endpoint's answer says, by the platform protocol's table of outcomes. No I/O and no
-// clock.
+// What an endpoint's response means, by the platform protocol's table of outcomes: the only place that knows
+// its status codes and header fields. No I/O and no clock.
 #pragma once
 
 #include <optional>
@@ -8,12 +8,11 @@
 
 namespace grademux {
 
-// What is not in the table was at least answered: an error.
-AttemptResult resultOf(const HttpAnswer& answer);
-// The time to wait that a refusal tells, in microseconds; 0: none. It counts also if the body broke off,
-// since the other side has said it.
-Micros waitOf(const HttpAnswer& answer);
-// The report of load of the head, if there is one that can be read throughout.
-std::optional<LimitReport> reportOf(const HttpAnswer& answer);
+// The result of an attempt; a status that is not in the table is an error.
+AttemptResult attemptResult(const HttpAnswer& answer);
+// The Retry-After of a rejection, in microseconds; 0: none. It counts also if the body broke off.
+Micros retryAfterOf(const HttpAnswer& answer);
+// The load report in the head; none if it is absent or any part of it is malformed.
+std::optional<LimitReport> limitReportOf(const HttpAnswer& answer);
 
 }  // namespace grademux
--- a/src/transport/http/http_transport.cpp
+++ b/src/transport/http/http_transport.cpp
@@ -1,4 +1,4 @@
-// grademux: calls to endpoints; see http_transport.h.
+// See http_transport.h.
 #include "http_transport.h"
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr std::size_t kBodyLimit = 65536;
+constexpr std::size_t kMaxResponseBodyBytes = 65536;
 
-void logEnd(const AttemptId& id, const std::string& endpoint, AttemptResult result) {
+void logAttemptFinished(const AttemptId& id, const std::string& endpoint, AttemptResult result) {
   if (!log::on(log::Event::attempt_finished))
     return;
   log::write(log::Event::attempt_finished, {{"message", id.message_id},
@@ -46,13 +46,13 @@
 }
 
 void HttpTransport::cancelUnwritten(const std::string& endpoint) {
-  withholdUnwritten([&](const Call& call) { return call.endpoint == endpoint; });
+  cancelUnwrittenIf([&](const Attempt& attempt) { return attempt.endpoint == endpoint; });
 }
 
-// The freshest that is still good; null: there is none.
-std::unique_ptr<HttpConnection> HttpTransport::takeIdle(const std::string& endpoint) {
-  const auto pool = idle_.find(endpoint);
-  if (pool == idle_.end())
+// The most recently used idle connection that is still usable; null: there is none.
+std::unique_ptr<HttpConnection> HttpTransport::takeIdleConnection(const std::string& endpoint) {
+  const auto pool = idle_connections_.find(endpoint);
+  if (pool == idle_connections_.end())
     return nullptr;
   auto& idle = pool->second;
   while (!idle.empty()) {
@@ -65,7 +65,7 @@
   return nullptr;
 }
 
-HttpRequest HttpTransport::requestOf(const AttemptRequest& request) {
+HttpRequest HttpTransport::buildRequest(const AttemptRequest& request) {
   const AcceptedMessage& message = request.message;
   HttpRequest http;
   http.method = "POST";
@@ -78,181 +78,183 @@
     http.fields.emplace_back("X-Fleet-Version", request.version_stamp);
   http.body = message.body;
   http.write_within = request.write_within;
-  if (may_)
-    http.may_begin = [this, endpoint = request.endpoint] { return may_(endpoint); };
+  if (is_send_allowed_)
+    http.may_begin = [this, endpoint = request.endpoint] { return is_send_allowed_(endpoint); };
   return http;
 }
 
 void HttpTransport::startAttempt(const AttemptRequest& request) {
   const AttemptId id{request.message.id, request.attempt};
-  Call call;
-  call.endpoint = request.endpoint;
+  Attempt attempt;
+  attempt.endpoint = request.endpoint;
   const auto listed = addresses_.find(request.endpoint);
   if (listed != addresses_.end())
-    call.address = listed->second;
-  call.began = monotonicNow();
+    attempt.address = listed->second;
+  attempt.started_at = monotonicNow();
   if (request.write_within != kNoWriteLimit)
-    call.write_by = call.began + request.write_within;
-  call.connection = takeIdle(request.endpoint);
+    attempt.write_deadline = attempt.started_at + request.write_within;
+  attempt.connection = takeIdleConnection(request.endpoint);
   try {
-    if (!call.connection)
-      call.connection =
-          std::make_unique<HttpConnection>(io_, parseAddress(call.address), call.address, kBodyLimit);
+    if (!attempt.connection)
+      attempt.connection = std::make_unique<HttpConnection>(io_, parseAddress(attempt.address),
+                                                            attempt.address, kMaxResponseBodyBytes);
   } catch (const std::invalid_argument&) {
     HttpAnswer none;
-    return reportLater(outcomeOf(id, call, none));
+    return postOutcome(outcomeOf(id, attempt, none));
   }
-  HttpConnection& connection = *call.connection;
-  calls_[id] = std::move(call);
-  connection.exchange(requestOf(request), limits_.dial_timeout, request.timeout,
-                      [this, id](const HttpAnswer& answer) { over(id, answer); });
+  HttpConnection& connection = *attempt.connection;
+  attempts_[id] = std::move(attempt);
+  connection.exchange(buildRequest(request), limits_.dial_timeout, request.timeout,
+                      [this, id](const HttpAnswer& answer) { onAttemptFinished(id, answer); });
 }
 
-// Guards against a connection that comes up late, or a slow receiver, by which a call goes out after what it
-// was decided by has changed. What is written can't be taken back and runs on.
-void HttpTransport::withholdUnwritten(const std::function<bool(const Call&)>& concerned) {
+// Cancels attempts whose request has not been fully written, for example because the connect was slow.
+// Attempts that were fully written continue: the endpoint may already be executing them.
+void HttpTransport::cancelUnwrittenIf(const std::function<bool(const Attempt&)>& matches) {
   std::vector<AttemptId> unwritten;
-  for (const auto& [id, call] : calls_)
-    if (!call.connection->written() && concerned(call))
+  for (const auto& [id, attempt] : attempts_)
+    if (!attempt.connection->written() && matches(attempt))
       unwritten.push_back(id);
   for (const AttemptId& id : unwritten) {
-    const auto call = calls_.find(id);
-    AttemptOutcome outcome = outcomeOf(id, call->second, {});
+    const auto attempt = attempts_.find(id);
+    AttemptOutcome outcome = outcomeOf(id, attempt->second, {});
     outcome.result = AttemptResult::not_sent;
-    logEnd(id, call->second.endpoint, outcome.result);
-    calls_.erase(call);  // closes the connection
-    reportLater(std::move(outcome));
+    logAttemptFinished(id, attempt->second.endpoint, outcome.result);
+    attempts_.erase(attempt);  // closes the connection
+    postOutcome(std::move(outcome));
   }
 }
 
-AttemptOutcome HttpTransport::outcomeOf(const AttemptId& id, const Call& call,
+AttemptOutcome HttpTransport::outcomeOf(const AttemptId& id, const Attempt& attempt,
                                         const HttpAnswer& answer) const {
-  constexpr int kDelivered = 200, kOver = 410;
+  constexpr int kDelivered = 200, kFinishedEarlier = 410;
   const Micros now = monotonicNow();
   AttemptOutcome outcome;
   outcome.id = id.message_id;
   outcome.attempt = id.attempt;
-  outcome.result = resultOf(answer);
-  // It is no sign of the endpoint that there was no time left to write it.
-  if (answer.how == Exchanged::not_written && now >= call.write_by)
+  outcome.result = attemptResult(answer);
+  // Missing the write deadline is not evidence against the endpoint.
+  if (answer.how == Exchanged::not_written && now >= attempt.write_deadline)
     outcome.result = AttemptResult::not_sent;
   outcome.already_finished =
-      answer.how == Exchanged::answered && (answer.status == kDelivered || answer.status == kOver);
-  outcome.retry_after = waitOf(answer);
-  outcome.round_trip = std::max<Micros>(1, now - call.began);
-  outcome.limit_report = reportOf(answer);
+      answer.how == Exchanged::answered && (answer.status == kDelivered || answer.status == kFinishedEarlier);
+  outcome.retry_after = retryAfterOf(answer);
+  outcome.round_trip = std::max<Micros>(1, now - attempt.started_at);
+  outcome.limit_report = limitReportOf(answer);
   outcome.stale_connection = outcome.result == AttemptResult::reset && answer.reused && !answer.begun;
   return outcome;
 }
 
-// `endpoint` has told to wait for so long, or not (0).
-void HttpTransport::heedWait(const std::string& endpoint, Micros wait) {
-  if (wait == 0 || !scope_of_)
+// An endpoint has asked to wait for `retry_after` (0: it has not): attempts in its scope that are not written
+// yet are cancelled.
+void HttpTransport::applyRetryAfter(const std::string& endpoint, Micros retry_after) {
+  if (retry_after == 0 || !scope_of_)
     return;
   const std::string scope = scope_of_(endpoint);
-  withholdUnwritten([&](const Call& other) { return scope_of_(other.endpoint) == scope; });
+  cancelUnwrittenIf([&](const Attempt& other) { return scope_of_(other.endpoint) == scope; });
 }
 
-AttemptOutcome HttpTransport::settle(const AttemptId& id, Call& call, const HttpAnswer& answer) {
-  AttemptOutcome outcome = outcomeOf(id, call, answer);
-  // The module keeps its own count of idle connections: one is kept after the same outcomes as there.
-  const bool kept = outcome.result == AttemptResult::ok || outcome.result == AttemptResult::error ||
-                    outcome.result == AttemptResult::rejected;
-  if (kept)
-    keep(call);
+AttemptOutcome HttpTransport::finishAttempt(const AttemptId& id, Attempt& attempt, const HttpAnswer& answer) {
+  AttemptOutcome outcome = outcomeOf(id, attempt, answer);
+  // The decision module counts idle connections itself: the condition here must match it.
+  const bool reusable = outcome.result == AttemptResult::ok || outcome.result == AttemptResult::error ||
+                        outcome.result == AttemptResult::rejected;
+  if (reusable)
+    returnToPool(attempt);
   return outcome;
 }
 
-void HttpTransport::over(const AttemptId& id, const HttpAnswer& answer) {
-  const auto known = calls_.find(id);
-  if (known == calls_.end())
+void HttpTransport::onAttemptFinished(const AttemptId& id, const HttpAnswer& answer) {
+  const auto known = attempts_.find(id);
+  if (known == attempts_.end())
     return;
-  Call call = std::move(known->second);
-  calls_.erase(known);
-  AttemptOutcome outcome = settle(id, call, answer);
-  logEnd(id, call.endpoint, outcome.result);
-  heedWait(call.endpoint, outcome.retry_after);
+  Attempt attempt = std::move(known->second);
+  attempts_.erase(known);
+  AttemptOutcome outcome = finishAttempt(id, attempt, answer);
+  logAttemptFinished(id, attempt.endpoint, outcome.result);
+  applyRetryAfter(attempt.endpoint, outcome.retry_after);
   on_outcome_(std::move(outcome));
 }
 
-void HttpTransport::reportLater(AttemptOutcome outcome) {
-  reporting_.insert({outcome.id, outcome.attempt});
+void HttpTransport::postOutcome(AttemptOutcome outcome) {
+  unreported_outcomes_.insert({outcome.id, outcome.attempt});
   asio::post(io_, [this, outcome = std::move(outcome)]() mutable {
-    reporting_.erase({outcome.id, outcome.attempt});
+    unreported_outcomes_.erase({outcome.id, outcome.attempt});
     on_outcome_(std::move(outcome));
   });
 }
 
-// An answer that has come and was not read yet goes before: it may have been delivered, or tell to wait.
-void HttpTransport::cancelAttempt(const std::string& id, int attempt) {
-  const AttemptId call_id{id, attempt};
-  const auto known = calls_.find(call_id);
-  if (known == calls_.end())
+// A response that has arrived but was not read yet takes precedence: it may report delivery, or a time to
+// wait.
+void HttpTransport::cancelAttempt(const std::string& id, int attempt_number) {
+  const AttemptId attempt_id{id, attempt_number};
+  const auto known = attempts_.find(attempt_id);
+  if (known == attempts_.end())
     return;
-  Call call = std::move(known->second);
-  calls_.erase(known);
-  const HttpAnswer last = call.connection->abandon();
-  AttemptOutcome outcome = settle(call_id, call, last);
+  Attempt attempt = std::move(known->second);
+  attempts_.erase(known);
+  const HttpAnswer last = attempt.connection->abandon();
+  AttemptOutcome outcome = finishAttempt(attempt_id, attempt, last);
   if (last.how != Exchanged::answered)
     outcome.result = AttemptResult::cancelled;
-  logEnd(call_id, call.endpoint, outcome.result);
-  const Micros wait = outcome.retry_after;
-  reportLater(std::move(outcome));  // ahead of those that the wait ends
-  heedWait(call.endpoint, wait);
+  logAttemptFinished(attempt_id, attempt.endpoint, outcome.result);
+  const Micros retry_after = outcome.retry_after;
+  postOutcome(std::move(outcome));  // before those of the attempts that applyRetryAfter() cancels
+  applyRetryAfter(attempt.endpoint, retry_after);
 }
 
-std::vector<AttemptId> HttpTransport::outCalls() const {
-  std::vector<AttemptId> all(reporting_.begin(), reporting_.end());
-  for (const auto& [id, call] : calls_)
+std::vector<AttemptId> HttpTransport::unreportedAttempts() const {
+  std::vector<AttemptId> all(unreported_outcomes_.begin(), unreported_outcomes_.end());
+  for (const auto& [id, attempt] : attempts_)
     all.push_back(id);
   return all;
 }
 
 void HttpTransport::closeAllIdle() {
-  idle_.clear();
+  idle_connections_.clear();
   idle_count_ = 0;
 }
 
 void HttpTransport::closeIdleConnections(const std::string& endpoint) {
-  auto it = idle_.find(endpoint);
-  if (it == idle_.end())
+  auto it = idle_connections_.find(endpoint);
+  if (it == idle_connections_.end())
     return;
   idle_count_ -= it->second.size();
-  idle_.erase(it);
+  idle_connections_.erase(it);
 }
 
-void HttpTransport::keep(Call& call) {
-  const auto listed = addresses_.find(call.endpoint);
-  if (listed == addresses_.end() || call.address != listed->second || !call.connection->reusable())
+void HttpTransport::returnToPool(Attempt& attempt) {
+  const auto listed = addresses_.find(attempt.endpoint);
+  if (listed == addresses_.end() || attempt.address != listed->second || !attempt.connection->reusable())
     return;
   if (idle_count_ >= limits_.max_idle)
     return;
-  idle_[call.endpoint].push_back({std::move(call.connection), monotonicNow()});
+  idle_connections_[attempt.endpoint].push_back({std::move(attempt.connection), monotonicNow()});
   ++idle_count_;
   sweep();
 }
 
-// Closes what has idled almost as long as an endpoint allows. Guards against a call that crosses the close.
+// Closes connections shortly before the endpoint would: a request that crosses the close would be reset.
 void HttpTransport::sweep() {
   if (sweeping_ || limits_.conn_idle <= 0)
     return;
-  const Micros most = limits_.conn_idle - limits_.conn_idle / 20;
+  const Micros max_idle_time = limits_.conn_idle - limits_.conn_idle / 20;
   Micros next = 0;
   const Micros now = monotonicNow();
-  for (auto& [endpoint, idle] : idle_) {
-    while (!idle.empty() && now - idle.front().since >= most) {
+  for (auto& [endpoint, idle] : idle_connections_) {
+    while (!idle.empty() && now - idle.front().since >= max_idle_time) {
       idle.pop_front();
       --idle_count_;
     }
-    if (!idle.empty() && (next == 0 || idle.front().since + most < next))
-      next = idle.front().since + most;
+    if (!idle.empty() && (next == 0 || idle.front().since + max_idle_time < next))
+      next = idle.front().since + max_idle_time;
   }
   if (next == 0)
     return;
   sweeping_ = true;
   sweeper_.expires_after(std::chrono::microseconds(next - now));
-  sweeper_.async_wait([this](const boost::system::error_code& e) {
-    if (e)
+  sweeper_.async_wait([this](const boost::system::error_code& error) {
+    if (error)
       return;
     sweeping_ = false;
     sweep();
--- a/src/transport/http/http_transport.h
+++ b/src/transport/http/http_transport.h
@@ -1,5 +1,6 @@
-// grademux: calls to endpoints over HTTP/1.1: the connection pool, and the outcome of each call. No policy:
-// when a call is made, how long it may take and which connections are kept is told from outside.
+// Sends attempts to endpoints over HTTP/1.1: the connection pool, and the outcome of each attempt. No policy:
+// when an attempt starts, how long it may take and which connections are closed is decided elsewhere. Loop
+// thread only.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -28,55 +29,56 @@
   void removeEndpoint(const std::string& endpoint) override;
   void cancelUnwritten(const std::string& endpoint) override;
   void startAttempt(const AttemptRequest& request) override;
-  void cancelAttempt(const std::string& id, int attempt) override;
+  void cancelAttempt(const std::string& id, int attempt_number) override;
   void closeIdleConnections(const std::string& endpoint) override;
-  std::size_t attemptsInFlight() const override { return calls_.size() + reporting_.size(); }
-  std::vector<AttemptId> outCalls() const;  // those that have not been reported
+  std::size_t attemptsInFlight() const override { return attempts_.size() + unreported_outcomes_.size(); }
+  // Attempts whose outcome has not been reported.
+  std::vector<AttemptId> unreportedAttempts() const;
   void closeAllIdle();
-  std::size_t idle() const { return idle_count_; }
-  // Asked before the first byte of each call to an endpoint; false: the call is not made.
-  using Guard = std::function<bool(const std::string& endpoint)>;
-  void setGuard(Guard may) { may_ = std::move(may); }
-  // Which waits bind an endpoint: all endpoints of one scope wait when one of them tells to. With it, a call
-  // whose last byte is not written when its scope is told to wait is not made: it ends as not sent, and may
-  // be decided anew.
+  std::size_t idleConnections() const { return idle_count_; }
+  // Called before the first byte of each attempt is written; false: the attempt is not made.
+  using SendGuard = std::function<bool(const std::string& endpoint)>;
+  void setSendGuard(SendGuard guard) { is_send_allowed_ = std::move(guard); }
+  // The scope of an endpoint's Retry-After: all endpoints of one scope wait when one of them asks to.
+  // Attempts in the scope whose last byte is not written by then end as not sent, and may be decided again.
   using ScopeOf = std::function<std::string(const std::string& endpoint)>;
   void setScopes(ScopeOf scope_of) { scope_of_ = std::move(scope_of); }
-  // Idle connections over them end as they are used or age.
+  // Idle connections over the new limits are closed as they are used or expire.
   void setLimits(Limits limits) { limits_ = limits; }
 
  private:
-  struct Idle {
+  struct IdleConnection {
     std::unique_ptr<HttpConnection> connection;
     Micros since = 0;
   };
-  struct Call {
+  struct Attempt {
     std::unique_ptr<HttpConnection> connection;
     std::string endpoint, address;
-    Micros began = 0;
-    Micros write_by = kNoWriteLimit;  // on the monotonic clock
+    Micros started_at = 0;
+    Micros write_deadline = kNoWriteLimit;  // on the monotonic clock
   };
-  std::unique_ptr<HttpConnection> takeIdle(const std::string& endpoint);
-  HttpRequest requestOf(const AttemptRequest& request);
-  void withholdUnwritten(const std::function<bool(const Call&)>& concerned);
-  void over(const AttemptId& id, const HttpAnswer& answer);
-  AttemptOutcome outcomeOf(const AttemptId& id, const Call& call, const HttpAnswer& answer) const;
-  AttemptOutcome settle(const AttemptId& id, Call& call, const HttpAnswer& answer);
-  void heedWait(const std::string& endpoint, Micros wait);
-  void reportLater(AttemptOutcome outcome);
-  void keep(Call& call);
+  std::unique_ptr<HttpConnection> takeIdleConnection(const std::string& endpoint);
+  HttpRequest buildRequest(const AttemptRequest& request);
+  void cancelUnwrittenIf(const std::function<bool(const Attempt&)>& matches);
+  void onAttemptFinished(const AttemptId& id, const HttpAnswer& answer);
+  AttemptOutcome outcomeOf(const AttemptId& id, const Attempt& attempt, const HttpAnswer& answer) const;
+  AttemptOutcome finishAttempt(const AttemptId& id, Attempt& attempt, const HttpAnswer& answer);
+  void applyRetryAfter(const std::string& endpoint, Micros wait);
+  void postOutcome(AttemptOutcome outcome);
+  void returnToPool(Attempt& attempt);
   void sweep();
 
   boost::asio::io_context& io_;
-  Guard may_;
+  SendGuard is_send_allowed_;
   ScopeOf scope_of_;
   Limits limits_;
   OnOutcome on_outcome_;
   std::map<std::string, std::string> addresses_;
-  std::map<std::string, std::deque<Idle>> idle_;  // by endpoint, the freshest last
+  std::map<std::string, std::deque<IdleConnection>>
+      idle_connections_;  // by endpoint, the most recently used last
   std::size_t idle_count_ = 0;
-  std::map<AttemptId, Call> calls_;
-  std::set<AttemptId> reporting_;  // over, and reported from the loop in a moment
+  std::map<AttemptId, Attempt> attempts_;
+  std::set<AttemptId> unreported_outcomes_;  // finished; their outcome is posted to the loop
   boost::asio::steady_timer sweeper_;
   bool sweeping_ = false;
 };
--- a/tests/transport/http_transport_test.cpp
+++ b/tests/transport/http_transport_test.cpp
@@ -211,7 +211,7 @@
   const AttemptOutcome o = p.call("m", 200'000);
   EXPECT_EQ(AttemptResult::timeout, o.result);
   EXPECT_FALSE(o.already_finished);
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleConnections());
 }
 
 // Risk: the loop was held up past a call's limit. The answer has come meanwhile, but the limit's end is first
@@ -305,9 +305,9 @@
   Pool p;
   p.endpoints.setAddress("e", s.address());
   p.call("a");
-  EXPECT_EQ(1u, p.endpoints.idle());
+  EXPECT_EQ(1u, p.endpoints.idleConnections());
   p.endpoints.removeEndpoint("e");
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleConnections());
   EXPECT_EQ(AttemptResult::connect_failed, p.call("b").result);
 }
 
@@ -319,7 +319,7 @@
   p.call("b");
   EXPECT_EQ(s.seen()[0].connection, s.seen()[1].connection);
   p.endpoints.closeIdleConnections("e");
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleConnections());
   p.call("c");
   EXPECT_NE(s.seen()[1].connection, s.seen()[2].connection);
 }
@@ -365,13 +365,13 @@
   Pool p(100'000);
   p.endpoints.setAddress("e", s.address());
   p.call("a");
-  EXPECT_EQ(1u, p.endpoints.idle());
+  EXPECT_EQ(1u, p.endpoints.idleConnections());
   const auto until = std::chrono::steady_clock::now() + loopback::kLong;
-  while (p.endpoints.idle() > 0 && std::chrono::steady_clock::now() < until) {
+  while (p.endpoints.idleConnections() > 0 && std::chrono::steady_clock::now() < until) {
     p.io.restart();
     p.io.run_one_for(std::chrono::seconds(1));
   }
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleConnections());
 }
 
 TEST(HttpTransport, ACallIsCalledOffByClosingAndHasOneOutcome) {
@@ -401,7 +401,7 @@
   p.endpoints.setAddress("e", s.address());
   bool may = true;
   int asked = 0;
-  p.endpoints.setGuard([&](const std::string& endpoint) {
+  p.endpoints.setSendGuard([&](const std::string& endpoint) {
     EXPECT_EQ("e", endpoint);
     ++asked;
     return may;
@@ -600,7 +600,7 @@
     const int first = server.takeFirstCall(p, "a");
     ByHand::send(first, answer("200 OK"));
     EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
-    ASSERT_EQ(1u, p.endpoints.idle());
+    ASSERT_EQ(1u, p.endpoints.idleConnections());
     p.endpoints.startAttempt(
         {p.message("b"), 0, "e", 60'000'000});  // on it; nothing is written before the loop runs
     if (half_a_line)
