--- a/src/daemon/commands/fleet_plan_command.cpp
+++ b/src/daemon/commands/fleet_plan_command.cpp
@@ -42,7 +42,7 @@
     propose_->add_option("--settings", change_.settings, "a digest; '' for any");
     propose_->add_option("--daemon-file", change_.daemon, "a digest; '' for any");
     propose_->add_option("--program", change_.program, "the least version; '' for any");
-    propose_->add_option("--list", change_.listPrefix, "the least version of the list of endpoints");
+    propose_->add_option("--list", change_.list_version, "the least version of the list of endpoints");
   }
 
   void addPolicyOptions() {
--- a/src/daemon/outgoing_handover.cpp
+++ b/src/daemon/outgoing_handover.cpp
@@ -65,7 +65,7 @@
   components_.engine->suspend();
   components_.transport->closeAllIdle();
   const handover::OwnershipReleased released{components_.state.isStandby(),
-                                             components_.transport->outCalls()};
+                                             components_.transport->unreportedAttempts()};
   log::write(log::Event::handover_released, {{"calls", released.in_flight.size()}});
   components_.folder_lock.unlock();
   return released;
--- a/src/daemon/sender_components.cpp
+++ b/src/daemon/sender_components.cpp
@@ -106,7 +106,7 @@
         components.engine->refreshEndpoints(endpoints);
       });
   components.engine->setActionGuard(&components.fleet->actionGuard());
-  components.transport->setGuard([&components](const std::string& endpoint) {
+  components.transport->setSendGuard([&components](const std::string& endpoint) {
     return components.fleet->actionGuard().isSendAllowed(endpoint);
   });
 }
