--- a/model/tuned.cpp
+++ b/model/tuned.cpp
@@ -32,16 +32,21 @@
 #include "tuned.h"
 #define constexpr inline thread_local
 #include "../src/decision/admission_control.cpp"
-#include "../src/decision/decision_state.cpp"
+#include "../src/decision/attempt_tracker.cpp"
+#include "../src/decision/connection_policy.cpp"
+#include "../src/decision/decision_context.cpp"
+#include "../src/decision/dispatcher.cpp"
 #include "../src/decision/endpoint_table.cpp"
 #include "../src/decision/fair_queue.cpp"
+#include "../src/decision/latency_statistics.cpp"
 #include "../src/decision/learned_state.cpp"
+#include "../src/decision/message_table.cpp"
+#include "../src/decision/outcome_handler.cpp"
 #include "../src/decision/outlier_detector.cpp"
 #include "../src/decision/rate_limiter.cpp"
 #include "../src/decision/retry_policy.cpp"
 #include "../src/decision/sender.cpp"
 #include "../src/decision/settings_update.cpp"
-#include "../src/decision/state_retention.cpp"
 #undef constexpr
 #undef decision
 #undef Sender
--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -1,31 +1,68 @@
-// grademux, decision 5, admission: what is taken on, resumed, turned away, given up.
+// Admission control: which messages are accepted, rejected while they wait, and failed at their deadline.
 #pragma once
 
+#include "attempt_tracker.h"
+#include "dispatcher.h"
+#include "endpoint_table.h"
+#include "fair_queue.h"
+#include "message_table.h"
+#include "rate_limiter.h"
 #include "retry_policy.h"
 
 namespace grademux::decision {
 
-constexpr double kMaxQueueTimeFraction = 0.5;  // of the shortest aim may the wait for a slot be ...
-constexpr double kMinRetainedPriority =
-    0.9;  // ... for messages that lose more than the rest of their worth by it
-constexpr double kOpenMessageReserve = 0.06;  // of MaxOpen is kept free for better messages
+constexpr double kMaxQueueTimeFraction = 0.5;  // of the shortest latency objective; longer waits shed load
+constexpr double kMinRetainedPriority = 0.9;   // a message that retains less of its priority by then is shed
+constexpr double kOpenMessageReserve = 0.06;   // of Settings::max_open_messages is left free
 
-struct AdmissionControl : RetryPolicy {
-  using RetryPolicy::RetryPolicy;
-  void onMessageArrival(const MessageArrival& arrival, ClassVersion class_version = nullptr);
+class AdmissionControl {
+ public:
+  // The modules that admission consults and changes.
+  struct Modules {
+    DecisionContext& context;
+    const LatencyStatistics& latency;
+    FairQueue& fair_queue;
+    RateLimiter& rate_limiter;
+    AttemptTracker& attempts;
+    EndpointTable& endpoint_table;
+    MessageTable& messages;
+    const RetryPolicy& retry_policy;
+    const Dispatcher& dispatcher;
+  };
 
-  // What an earlier process of this sender took on. Its attempts count as made; one whose end was not heard
-  // may have run, or is out still. Guards against a second effect after a restart.
+  explicit AdmissionControl(const Modules& modules);
+
+  // Accepts and queues the message; rejects it if too many are open. A known id changes nothing; a message of
+  // an unknown class fails. `class_version` null: the class as the settings have it.
+  void onMessageArrival(const MessageArrival& arrival, const ClassVersion& class_version = nullptr);
+  // A message that an earlier process of this sender accepted, with its attempts, which count as made.
   void onRecoveredMessage(const RecoveredMessage& recovered);
+  void onMessageWithdrawn(const MessageWithdrawn& withdrawn);
 
-  // Near MaxOpen the least worth is refused, so that better messages are not turned away at the door. Worth
-  // is what is left when the destination's backlog has drained: the queues of dead destinations go first.
-  // With all slots busy so are those that would come late, down to a short queue. Only for one of many: of
-  // few senders all are busy in an outage only. Harm: refused in a short burst.
+  // Rejects the queued messages of least priority while too many are open, and in a large fleet with all
+  // calls in use those that would be late.
   void shedLoad();
-
-  // Everything is answered before its time is up, whatever is full, silent or not listed.
+  // Fails the messages whose deadline has passed.
   void failExpired();
+  // Decides the final outcome: rejected if `may_reject` and it is safe to submit the message again, else
+  // failed.
+  void finishMessage(Message& message, bool may_reject);
+
+ private:
+  ClassVersion findClass(const std::string& name) const;
+  int findTenant(const std::string& name) const;
+  void recoverAttempt(Message& message, const PastAttempt& past_attempt);
+  void finishAndErase(Message& message, bool may_reject);
+
+  DecisionContext& context_;
+  const LatencyStatistics& latency_;
+  FairQueue& fair_queue_;
+  RateLimiter& rate_limiter_;
+  AttemptTracker& attempts_;
+  EndpointTable& endpoint_table_;
+  MessageTable& messages_;
+  const RetryPolicy& retry_policy_;
+  const Dispatcher& dispatcher_;
 };
 
 }  // namespace grademux::decision
--- /dev/null
+++ b/src/decision/decision_context.h
@@ -0,0 +1,51 @@
+// What all modules of a Sender share during one call of decide(): settings, time, the actions decided so far,
+// and the time scales that derive from the settings. Owned by the Sender; the modules hold references to it.
+#pragma once
+
+#include <random>
+#include <vector>
+
+#include "class_versions.h"
+#include "target_state.h"
+
+namespace grademux::decision {
+
+constexpr double kRareSenderFraction = 0.05;  // of a limit: a sender with less traffic is one of many
+constexpr double kTimeoutRatio = 8;           // longest attempt, in expected latencies
+constexpr double kRetentionSpans = 3;         // shortest retention of unused state, in slow start times
+
+struct DecisionContext {
+  DecisionContext(Settings initial_settings, std::uint64_t seed);
+
+  // Cold: down, or in slow start after an outage.
+  bool isCold(const TargetState& target) const {
+    return target.outlier.is_down || now - target.outlier.warming_since < settings.slow_start_time;
+  }
+  // Whether so many senders share the destinations that one sees only a small part of their traffic.
+  bool isLargeFleet() const { return kRareSenderFraction * settings.sender_count > 1; }
+  // Shortest time that state of removed endpoints and destinations is retained.
+  Micros retentionTime() const;
+  // Settings::overload_collapse_time, 1 microsecond at least.
+  double collapseTime() const;
+  // Span over which rates are averaged: Settings::slow_start_time in seconds.
+  double rateSpanSeconds() const {
+    return static_cast<double>(std::max<Micros>(1, settings.slow_start_time)) / kSecond;
+  }
+  double perSecond(const Rate& rate) const { return rate.perSecond(now, rateSpanSeconds()); }
+  void countEvent(Rate& rate) const { rate.count(now, rateSpanSeconds()); }
+  // Requests that decide() is called again at `when` at the latest.
+  void requestTimer(Micros when) { next_timer_at = std::min(next_timer_at, when); }
+
+  Settings settings;
+  std::vector<ClassVersion> class_versions;  // of the settings
+  double shortest_objective = 0;             // shortest latency objective of all classes, microseconds
+  std::mt19937_64 random;
+  Micros now = 0;
+  std::uint64_t iteration = 0;  // number of the current dispatch
+  std::vector<Action> actions;  // decided in this call
+  Micros next_timer_at = kNever;
+  Micros shutdown_at = kNever;   // outcomes that arrive later are lost
+  DestinationKind default_kind;  // of endpoints whose kind is not in the settings
+};
+
+}  // namespace grademux::decision
--- a/src/decision/fair_queue.cpp
+++ b/src/decision/fair_queue.cpp
@@ -1,15 +1,27 @@
 #include "fair_queue.h"
 
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
 namespace grademux::decision {
 
+FairQueue::FairQueue(DecisionContext& context) : context_(context) {
+  tenant_rates_.resize(context.settings.tenants.size());
+}
+
+// Tag adjustment (RePAIR): on each arrival all global tags move so that the smallest is now. Otherwise new
+// destinations starve or dominate.
 void FairQueue::adjustGlobalTags() {
-  if (!backlog.empty())
-    global_tag_shift += static_cast<double>(now) - (backlog.bySecond().begin()->first + global_tag_shift);
+  if (!backlog_.empty())
+    global_tag_shift_ +=
+        static_cast<double>(context_.now) - (backlog_.bySecond().begin()->first + global_tag_shift_);
 }
 
+// The paper's w: calls a second from the endpoint list; 1 if it has none.
 double FairQueue::destinationWeight(const Destination& destination) const {
   for (const EndpointEntry* endpoint : destination.endpoints)
-    if (endpoint->state == EndpointState::ready && settings.weight_kind != WeightKind::none &&
+    if (endpoint->state == EndpointState::ready && context_.settings.weight_kind != WeightKind::none &&
         endpoint->weight > 0)
       return endpoint->weight;
   return 1;
@@ -17,9 +29,9 @@
 
 void FairQueue::updateIndex(Destination& destination) {
   if (destination.tags.empty())
-    return backlog.drop(destination.id);
-  backlog.put(destination.id, &destination, destination.tags.front().local,
-              destination.tags.front().global + destination.global_tag_raise);
+    return backlog_.drop(destination.id);
+  backlog_.put(destination.id, &destination, destination.tags.front().local,
+               destination.tags.front().global + destination.global_tag_raise);
 }
 
 void FairQueue::enqueue(Message& message, Micros not_before) {
@@ -27,21 +39,23 @@
   adjustGlobalTags();
   message.is_queued = true;
   message.not_before = not_before;
-  message.queue_sequence = ++next_queue_sequence;
+  message.queue_sequence = ++last_queue_sequence_;
   destination.queue.add(&message);
   destination.queued_objectives.insert(static_cast<double>(message.class_version->latency_objective));
-  ++queued_messages;
-  destination.local_tag_interval =
-      *destination.queued_objectives.begin();  // M: one start for each aim of the most urgent held class
-  const double step = kSecond / destinationWeight(destination), now_tag = static_cast<double>(now);
-  // Idle credit, sigma/w at most; none after an outage: with its backlog that would push it over.
+  ++queued_messages_;
+  // 1/M: one start in each latency objective of the most urgent queued class.
+  destination.local_tag_interval = *destination.queued_objectives.begin();
+  const double step = kSecond / destinationWeight(destination);
+  const double now_tag = static_cast<double>(context_.now);
+  // Idle credit of sigma/w at most. None while cold: together with the backlog it would overload the
+  // destination.
   const double credit =
-      destination.tags.empty() && destination.last_global_tag > -1e17 && !isCold(destination.target)
+      destination.tags.empty() && destination.last_global_tag > -1e17 && !context_.isCold(destination.target)
           ? kIdleCredit * step
           : 0;
   destination.last_local_tag = std::max(destination.last_local_tag + destination.local_tag_interval, now_tag);
   destination.last_global_tag =
-      std::max(destination.last_global_tag + step, now_tag - global_tag_shift - credit);
+      std::max(destination.last_global_tag + step, now_tag - global_tag_shift_ - credit);
   destination.tags.push_back(
       {destination.last_local_tag, destination.last_global_tag - destination.global_tag_raise});
   updateIndex(destination);
@@ -52,7 +66,7 @@
   destination.queue.remove(&message);
   destination.queued_objectives.erase(
       destination.queued_objectives.find(static_cast<double>(message.class_version->latency_objective)));
-  --queued_messages;
+  --queued_messages_;
   message.is_queued = false;
   if (started) {
     destination.tags.pop_front();
@@ -65,7 +79,7 @@
 }
 
 void FairQueue::raiseGlobalTags(Destination& destination, double served) {
-  const double credit = isCold(destination.target) ? 0 : kSecond / destinationWeight(destination);
+  const double credit = context_.isCold(destination.target) ? 0 : kSecond / destinationWeight(destination);
   const double increase = served - credit - (destination.tags.front().global + destination.global_tag_raise);
   if (increase <= 0)
     return;
@@ -81,51 +95,73 @@
   updateIndex(destination);
 }
 
-FairQueue::QueuePosition FairQueue::positionOf(const Destination& destination) const {
+FairQueue::Position FairQueue::positionOf(const Destination& destination) const {
   const FairQueueTag& tag = destination.tags.front();
-  const bool due = tag.local <= static_cast<double>(now);
+  const bool due = tag.local <= static_cast<double>(context_.now);
   return {!due, due ? tag.local : tag.global + destination.global_tag_raise, destination.id};
 }
 
-Destination* FairQueue::nextDestination(const QueuePosition& from) const {
-  for (const bool global : {false, true}) {
-    if (global < std::get<0>(from))
-      continue;
-    const auto& order = global ? backlog.bySecond() : backlog.byFirst();
-    auto it = global == std::get<0>(from) ? order.lower_bound({std::get<1>(from), std::get<2>(from)})
-                                          : order.begin();
-    for (; it != order.end() && (global || it->first <= static_cast<double>(now)); ++it) {
-      Destination* destination = backlog.at(it->second);
-      if (destination->blocked_in_iteration != iteration && std::get<0>(positionOf(*destination)) == global)
-        return destination;
-    }
-  }
-  return nullptr;
-}
-
+// Priority factor of a tenant: the part of its rate inside the quota counts in full.
 double FairQueue::tenantWeight(int tenant) const {
   if (tenant < 0)
     return 1;
-  const double quota = settings.tenants[static_cast<std::size_t>(tenant)].quota / settings.sender_count;
-  const double rate = perSecond(tenant_rates[static_cast<std::size_t>(tenant)]);
+  const double quota =
+      context_.settings.tenants[static_cast<std::size_t>(tenant)].quota / context_.settings.sender_count;
+  const double rate = context_.perSecond(tenant_rates_[static_cast<std::size_t>(tenant)]);
   if (quota <= 0 || rate <= quota)
     return 1;
-  return quota / rate + (1 - quota / rate) * settings.over_quota_weight;
+  return quota / rate + (1 - quota / rate) * context_.settings.over_quota_weight;
 }
 
 double FairQueue::priorityAt(const Message& message, Micros when) const {
   const MessageClass& message_class = *message.class_version;
-  const double age = static_cast<double>(when - message.submitted_at),
-               aim = static_cast<double>(message.latency_objective);
-  const double deadline = std::max(aim, static_cast<double>(message_class.deadline));
-  double share = 1;
+  const double age = static_cast<double>(when - message.submitted_at);
+  const double objective = static_cast<double>(message.latency_objective);
+  const double deadline = std::max(objective, static_cast<double>(message_class.deadline));
+  double weight = 1;
   if (age >= deadline)
     return 0;
-  if (age > aim && settings.lateness_penalty == LatenessPenalty::linear)
-    share = 1 - (1 - message_class.late_weight_fraction) * (age - aim) / (deadline - aim);
-  else if (age > aim)
-    share = std::max(message_class.late_weight_fraction, std::exp2(-(age - aim) / aim));
-  return message_class.priority_weight * share * tenantWeight(message.tenant);
+  if (age > objective && context_.settings.lateness_penalty == LatenessPenalty::linear)
+    weight = 1 - (1 - message_class.late_weight_fraction) * (age - objective) / (deadline - objective);
+  else if (age > objective)
+    weight = std::max(message_class.late_weight_fraction, std::exp2(-(age - objective) / objective));
+  return message_class.priority_weight * weight * tenantWeight(message.tenant);
+}
+
+Destination* FairQueue::nextDestination(const Position& from) const {
+  for (const bool by_global_tag : {false, true}) {
+    if (by_global_tag < from.by_global_tag)
+      continue;
+    const auto& order = by_global_tag ? backlog_.bySecond() : backlog_.byFirst();
+    auto next =
+        by_global_tag == from.by_global_tag ? order.lower_bound({from.tag, from.destination}) : order.begin();
+    for (; next != order.end() && (by_global_tag || next->first <= static_cast<double>(context_.now));
+         ++next) {
+      Destination* destination = backlog_.at(next->second);
+      if (destination->blocked_in_iteration != context_.iteration &&
+          positionOf(*destination).by_global_tag == by_global_tag)
+        return destination;
+    }
+  }
+  return nullptr;
+}
+
+void FairQueue::countTenantMessage(int tenant) {
+  context_.countEvent(tenant_rates_[static_cast<std::size_t>(tenant)]);
+}
+
+std::vector<int> FairQueue::moveTenants(const std::vector<Tenant>& old_tenants) {
+  const std::vector<Tenant>& tenants = context_.settings.tenants;
+  std::vector<int> positions(old_tenants.size(), -1);
+  std::vector<Rate> rates(tenants.size());
+  for (std::size_t index = 0; index < tenants.size(); ++index)
+    for (std::size_t old_index = 0; old_index < old_tenants.size(); ++old_index)
+      if (old_tenants[old_index].name == tenants[index].name) {
+        positions[old_index] = static_cast<int>(index);
+        rates[index] = tenant_rates_[old_index];
+      }
+  tenant_rates_ = std::move(rates);
+  return positions;
 }
 
 }  // namespace grademux::decision
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -1,49 +1,77 @@
-// grademux, decision 1, tags: which destination may use a free slot, and which of its messages loses most by
-// waiting. RBFQ of "RePAIR" (dual real-time tags); docs/design.md lists what was kept of it.
+// Order of service: which destination uses a free call, and which of its queued messages. The order of
+// destinations is RBFQ of the paper "RePAIR" (dual real-time tags); docs/design.md lists the differences.
 #pragma once
 
 #include <tuple>
+#include <vector>
 
-#include "decision_state.h"
+#include "decision_context.h"
 
 namespace grademux::decision {
 
-constexpr double kIdleCredit = 2;  // sigma: starts that an idle destination may catch up, globally
-
-struct FairQueue : DecisionState {
-  using DecisionState::DecisionState;
-  // On arrival all global tags move so that the smallest is now: else new ones starve or rule.
-  void adjustGlobalTags();
-
-  double destinationWeight(const Destination& destination) const;
-
-  void updateIndex(Destination& destination);
-
+constexpr double kIdleCredit = 2;  // the paper's sigma: starts that a destination may catch up after idling
+
+class FairQueue {
+ public:
+  // A place in the order of destinations: those with a due local tag first, by it, then all by their global
+  // tag; equal tags by destination.
+  struct Position {
+    bool by_global_tag = false;
+    double tag = -1e300;
+    std::int64_t destination = 0;
+    bool operator<(const Position& other) const {
+      return std::tie(by_global_tag, tag, destination) <
+             std::tie(other.by_global_tag, other.tag, other.destination);
+    }
+  };
+  using Backlog =
+      TwoKeyIndex<Destination>;  // destinations with queued messages, by first local and global tag
+
+  explicit FairQueue(DecisionContext& context);
+
+  // Queues the message at its destination; it may start from `not_before` on. Adds a tag pair: local
+  // l = max(l_prev + 1/M, now), global g = max(g_prev + 1/w, now - idle credit).
   void enqueue(Message& message, Micros not_before);
-
-  // Takes a message out of the held ones. A start takes the first tag; one that leaves unserved the last.
+  // Removes the message from the queue. A started message takes the first tag pair of its destination, any
+  // other the last.
   void dequeue(Message& message, bool started);
-
-  // A destination that could not send while others did gains no claim by it but one start: with the old tags
-  // of a long wait it would take all slots for as long, once it may send again, from those that were served
-  // meanwhile.
-  void raiseGlobalTags(Destination& destination, double served);
-
+  // Lowers the local tags of the destination by 1/M, after a start by its global tag.
   void lowerLocalTags(Destination& destination);
+  // Raises the global tags of a destination that could not start while others were served up to global tag
+  // `served`: it keeps a lag of one start, or none while cold, so that it does not take all calls once it may
+  // send again.
+  void raiseGlobalTags(Destination& destination, double served);
 
-  // The order in which destinations may use a free slot: due local tags first, then global ones; ties by
-  // destination. A place: by its global tag?, the tag, the destination.
-  using QueuePosition = std::tuple<bool, double, std::int64_t>;
-  QueuePosition positionOf(const Destination& destination) const;
-
-  // The first from a place on where something may still leave in this turn.
-  Destination* nextDestination(const QueuePosition& from) const;
+  Position positionOf(const Destination& destination) const;
+  // The first destination from `from` on that is not blocked in this iteration; null: none.
+  Destination* nextDestination(const Position& from) const;
 
-  // What a message of a tenant is worth, as far as this sender can tell: the part inside its share in full.
+  // Priority of the message if it is delivered at `when`: its class's priority weight, lowered past the
+  // latency objective and for tenants over quota.
+  double priorityAt(const Message& message, Micros when) const;
+  // Counts a message of the tenant at this position of Settings::tenants.
+  void countTenantMessage(int tenant);
+  // Carries the tenants' rates over to the current settings, by name. Returns the new position of each old
+  // one, or -1.
+  std::vector<int> moveTenants(const std::vector<Tenant>& old_tenants);
+
+  const Backlog& backlog() const { return backlog_; }
+  std::size_t queuedMessages() const { return queued_messages_; }
+  // Added to every stored global tag.
+  double globalTagShift() const { return global_tag_shift_; }
+
+ private:
+  void adjustGlobalTags();
+  double destinationWeight(const Destination& destination) const;
+  void updateIndex(Destination& destination);
   double tenantWeight(int tenant) const;
 
-  // Which held message of a destination takes its tag: the one that loses most by waiting for the backlog.
-  double priorityAt(const Message& message, Micros when) const;
+  DecisionContext& context_;
+  Backlog backlog_;
+  double global_tag_shift_ = 0;
+  std::uint64_t last_queue_sequence_ = 0;
+  std::size_t queued_messages_ = 0;
+  std::vector<Rate> tenant_rates_;
 };
 
 }  // namespace grademux::decision
--- /dev/null
+++ b/src/decision/latency_statistics.h
@@ -0,0 +1,38 @@
+// Latency over all destinations: the mean, and the slowdown that all endpoints show together.
+#pragma once
+
+#include "decision_context.h"
+
+namespace grademux::decision {
+
+class LatencyStatistics {
+ public:
+  explicit LatencyStatistics(DecisionContext& context) : context_(context) {}
+
+  // Adds a successful answer to the mean, microseconds.
+  void addAnswer(Micros round_trip);
+  // Sets the latest ratio of an endpoint's recent latency to its typical one.
+  void setRatio(EndpointEntry& endpoint, double ratio) { ratios_.set(&endpoint, ratio, context_.now); }
+  // Recomputes commonSlowdown() from the ratios of late; once in each call of decide().
+  void updateCommonSlowdown();
+  // Takes over the mean of an earlier process, unless this one has measured already.
+  void restoreMean(double mean, int samples);
+
+  // Expected latency of a call to the endpoint, microseconds: from the endpoint, else its destination, else
+  // the mean of all, else the shortest latency objective.
+  double expectedLatency(const EndpointEntry& endpoint) const;
+  // Median ratio of recent to typical latency over all endpoints, 1 at least: a slowdown that all share is no
+  // fault of one of them.
+  double commonSlowdown() const { return common_slowdown_; }
+  double mean() const { return mean_; }  // microseconds
+  int samples() const { return samples_; }
+
+ private:
+  DecisionContext& context_;
+  RecentMedian<EndpointEntry*> ratios_;
+  double mean_ = 0;
+  int samples_ = 0;
+  double common_slowdown_ = 1;
+};
+
+}  // namespace grademux::decision
--- a/src/decision/learned_state.h
+++ b/src/decision/learned_state.h
@@ -1,22 +1,38 @@
-// grademux, decision: recall. Gives out what was learned and takes it back in. Like retention.h it decides
-// nothing, and so is not among the policy files: how far old knowledge is trusted is decided in
-// src/knowledge/ageing.h, what follows from it in the sections.
+// What this process has learned of destinations, for the next process of this sender, and what the one before
+// learned. The age of restored state is judged in src/knowledge.
 #pragma once
 
+#include <string>
+
+#include "connection_policy.h"
 #include "endpoint_table.h"
+#include "latency_statistics.h"
 
 namespace grademux::decision {
 
-struct LearnedState : EndpointTable {
-  using EndpointTable::EndpointTable;
-  void exportLearned(const TargetState& target, const std::string& endpoint, const Destination& destination);
+class LearnedState {
+ public:
+  LearnedState(DecisionContext& context, LatencyStatistics& latency, EndpointTable& endpoint_table,
+               ConnectionPolicy& connections)
+      : context_(context), latency_(latency), endpoint_table_(endpoint_table), connections_(connections) {}
 
+  // Answers with a LearnedEndpoint for each destination and endpoint of the requested range, then
+  // LearnedExported.
   void onExportLearned(const ExportLearned& request);
-
-  // What this process has learned already counts more.
+  // Restores a destination or endpoint, unless this process has had an outcome there. An endpoint that is not
+  // listed changes nothing.
   void onLearnedEndpoint(const LearnedEndpoint& learned);
-
   void onLearnedPool(const LearnedPool& pool);
+  // Restores the health of a destination, or of an endpoint with its own route.
+  void onDestinationHealth(const DestinationHealth& health);
+
+ private:
+  void exportLearned(const TargetState& target, const std::string& endpoint, const Destination& destination);
+
+  DecisionContext& context_;
+  LatencyStatistics& latency_;
+  EndpointTable& endpoint_table_;
+  ConnectionPolicy& connections_;
 };
 
 }  // namespace grademux::decision
--- /dev/null
+++ b/src/decision/outcome_handler.cpp
@@ -0,0 +1,70 @@
+#include "outcome_handler.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace grademux::decision {
+
+void OutcomeHandler::onAttemptOutcome(const AttemptOutcome& outcome) {
+  Message* message = modules_.messages.find(outcome.id);
+  if (!message || outcome.attempt < 0 || outcome.attempt >= static_cast<int>(message->attempts.size()))
+    return;
+  Attempt& attempt = message->attempts[static_cast<std::size_t>(outcome.attempt)];
+  if (!attempt.in_flight)
+    return;
+  modules_.attempts.finishAttempt(*message, attempt);
+  recordEvidence(outcome, attempt);
+  const bool may_be_executing = attempt.may_have_executed && outcome.result != AttemptResult::ok &&
+                                outcome.result != AttemptResult::error;
+  if (may_be_executing && !message->ordering_key.empty())
+    modules_.messages.blockOrderingKey(*message);
+  if (outcome.already_finished || outcome.result == AttemptResult::ok)
+    modules_.messages.closeMessage(*message);
+  if (!message->is_finished)
+    scheduleRetry(*message, *attempt.endpoint);
+  modules_.messages.eraseIfUnused(*message);
+}
+
+void OutcomeHandler::recordEvidence(const AttemptOutcome& outcome, Attempt& attempt) {
+  EndpointEntry& endpoint = *attempt.endpoint;
+  const AttemptResult result = outcome.result;
+  const Micros now = modules_.context.now;
+  if (result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::rejected)
+    modules_.connections.returnConnection(endpoint);
+  const bool lost_overdue =
+      attempt.is_overdue && (result == AttemptResult::timeout || attempt.cancel_requested);
+  if (result == AttemptResult::ok || lost_overdue)
+    modules_.connections.recordConnectionUse(*endpoint.destination, attempt.connection_idle_time,
+                                             result != AttemptResult::ok);
+  attempt.may_have_executed = !(result == AttemptResult::rejected ||
+                                result == AttemptResult::connect_failed || result == AttemptResult::not_sent);
+  if (result == AttemptResult::connect_failed)
+    endpoint.connect_failed_at = now;
+  if (outcome.stale_connection)
+    endpoint.stale_connection_at = now;
+  modules_.rate_limiter.applyLimitReport(endpoint, outcome.limit_report);
+  const Micros round_trip = outcome.round_trip > 0 ? outcome.round_trip : now - attempt.sent_at;
+  modules_.outlier_detector.onAttemptResult(endpoint, result, round_trip, outcome.retry_after,
+                                            outcome.stale_connection);
+}
+
+// Queues the next attempt after a backoff that doubles, so that the attempts last until the deadline. In a
+// large fleet the backoff is one latency objective at least: retries would delay first attempts that are
+// still on time.
+void OutcomeHandler::scheduleRetry(Message& message, EndpointEntry& endpoint) {
+  if (message.is_queued || message.attempts_in_flight > 0)
+    return;
+  const DecisionContext& context = modules_.context;
+  if (context.now >= message.deadline || !modules_.retry_policy.isAttemptPossible(message))
+    return modules_.admission.finishMessage(message, context.now < message.deadline);
+  const double time_left = static_cast<double>(message.deadline - context.now);
+  const int attempts_left = message.class_version->max_attempts - static_cast<int>(message.attempts.size());
+  const double least = context.isLargeFleet()
+                           ? context.shortest_objective + modules_.rate_limiter.returnJitter(
+                                                              limitScope(endpoint), *message.destination)
+                           : modules_.latency.expectedLatency(endpoint);
+  const double backoff = std::max(least, time_left * std::exp2(-std::min(attempts_left, 60)));
+  modules_.fair_queue.enqueue(message, context.now + static_cast<Micros>(backoff));
+}
+
+}  // namespace grademux::decision
--- /dev/null
+++ b/src/decision/outcome_handler.h
@@ -0,0 +1,44 @@
+// What follows from the outcome of an attempt: the evidence goes to the modules that learn from it, and the
+// message is finished or retried.
+#pragma once
+
+#include "admission_control.h"
+#include "attempt_tracker.h"
+#include "connection_policy.h"
+#include "fair_queue.h"
+#include "message_table.h"
+#include "outlier_detector.h"
+#include "rate_limiter.h"
+#include "retry_policy.h"
+
+namespace grademux::decision {
+
+class OutcomeHandler {
+ public:
+  // The modules that an outcome changes.
+  struct Modules {
+    DecisionContext& context;
+    const LatencyStatistics& latency;
+    FairQueue& fair_queue;
+    RateLimiter& rate_limiter;
+    AttemptTracker& attempts;
+    OutlierDetector& outlier_detector;
+    MessageTable& messages;
+    ConnectionPolicy& connections;
+    const RetryPolicy& retry_policy;
+    AdmissionControl& admission;
+  };
+
+  explicit OutcomeHandler(const Modules& modules) : modules_(modules) {}
+
+  // Outcomes of unknown messages, and of attempts that have ended, change nothing.
+  void onAttemptOutcome(const AttemptOutcome& outcome);
+
+ private:
+  void recordEvidence(const AttemptOutcome& outcome, Attempt& attempt);
+  void scheduleRetry(Message& message, EndpointEntry& endpoint);
+
+  Modules modules_;
+};
+
+}  // namespace grademux::decision
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -1,12 +1,24 @@
 #include "outlier_detector.h"
 
+#include <algorithm>
+#include <cmath>
+#include <set>
+#include <vector>
+
 namespace grademux::decision {
 
+namespace {
+
+constexpr int kMinLatencySamples = 5;  // before a latency ratio counts
+
+}  // namespace
+
 bool OutlierDetector::isSlow(const TargetState& target) const {
-  return target.outlier.latency_samples > 4 &&
-         target.outlier.latency_ratio > kSlowLatencyRatio * common_slowdown;
+  return target.outlier.latency_samples >= kMinLatencySamples &&
+         target.outlier.latency_ratio > kSlowLatencyRatio * latency_.commonSlowdown();
 }
 
+// The latest evidence is an overdue attempt or a failure.
 bool OutlierDetector::isStalled(const TargetState& target) const {
   return target.outlier.overdue_attempts > 0 || target.outlier.consecutive_failures > 0;
 }
@@ -21,196 +33,213 @@
 }
 
 void OutlierDetector::countOverdueAttempts() {
-  for (auto& [order, o] : attempts_in_flight) {
-    EndpointEntry& endpoint = *o.first->attempts[o.second].endpoint;
-    endpoint.target.outlier.overdue_attempts = endpoint.destination->target.outlier.overdue_attempts = 0;
+  for (const auto& [sequence, reference] : attempts_.inFlight()) {
+    EndpointEntry& endpoint = *reference.attempt().endpoint;
+    endpoint.target.outlier.overdue_attempts = 0;
+    endpoint.destination->target.outlier.overdue_attempts = 0;
   }
-  for (auto& [order, o] : attempts_in_flight) {
-    Attempt& attempt = o.first->attempts[o.second];
+  for (const auto& [sequence, reference] : attempts_.inFlight()) {
+    Attempt& attempt = reference.attempt();
     EndpointEntry& endpoint = *attempt.endpoint;
-    if (static_cast<double>(now - attempt.sent_at) <
-        kOverdueRatio * common_slowdown * expectedLatency(endpoint))
+    if (static_cast<double>(context_.now - attempt.sent_at) <
+        kOverdueRatio * latency_.commonSlowdown() * latency_.expectedLatency(endpoint))
       continue;
     attempt.is_overdue = true;
-    endpoint.target.outlier.overdue_attempts += endpoint.target.outlier.last_success_at < attempt.sent_at;
-    if (!hasSeparateRoutes(endpoint))
-      endpoint.destination->target.outlier.overdue_attempts +=
-          endpoint.destination->target.outlier.last_success_at < attempt.sent_at;
+    OutlierState& state = endpoint.target.outlier;
+    state.overdue_attempts += state.last_success_at < attempt.sent_at;
+    if (hasSeparateRoutes(endpoint))
+      continue;
+    OutlierState& destination_state = endpoint.destination->target.outlier;
+    destination_state.overdue_attempts += destination_state.last_success_at < attempt.sent_at;
   }
 }
 
-void OutlierDetector::recordLatency(TargetState& target, double rtt, bool ended_well) {
-  if (target.outlier.latency_samples == 0) {
-    if (!ended_well)
+// Both latencies in microseconds. A failure counts only if it was slow: a quick one is no evidence of
+// latency.
+void OutlierDetector::recordLatency(TargetState& target, double round_trip, bool success) {
+  OutlierState& state = target.outlier;
+  if (state.latency_samples == 0) {
+    if (!success)
       return;
-    target.outlier.typical_latency = rtt;
+    state.typical_latency = round_trip;
   }
-  const double ratio = rtt / std::max(1.0, target.outlier.typical_latency);
-  if (!ended_well && ratio < target.outlier.latency_ratio)
-    return;  // a quick failure says nothing of pace
-  target.outlier.latency_ratio += kRecentLatencyGain * (ratio - target.outlier.latency_ratio);
-  if (ended_well && !isOutlier(target)) {
-    const double gain = std::max(kTypicalLatencyGain, 1.0 / (target.outlier.latency_samples + 1));
-    target.outlier.typical_latency +=
-        gain *
-        (std::min(rtt, kSlowLatencyRatio * target.outlier.typical_latency) - target.outlier.typical_latency);
+  const double ratio = round_trip / std::max(1.0, state.typical_latency);
+  if (!success && ratio < state.latency_ratio)
+    return;
+  state.latency_ratio += kRecentLatencyGain * (ratio - state.latency_ratio);
+  if (success && !isOutlier(target)) {
+    const double gain = std::max(kTypicalLatencyGain, 1.0 / (state.latency_samples + 1));
+    state.typical_latency +=
+        gain * (std::min(round_trip, kSlowLatencyRatio * state.typical_latency) - state.typical_latency);
   }
-  if (ended_well)
-    ++target.outlier.latency_samples;
+  if (success)
+    ++state.latency_samples;
 }
 
-void OutlierDetector::recordOutcome(TargetState& target, AttemptResult result, bool hard) {
-  target.outlier.last_outcome_at = now;
-  const bool unknown =
+// Failures, time-outs, failed connects and persistent rejections are the same evidence: the target does not
+// serve.
+void OutlierDetector::recordOutcome(TargetState& target, AttemptResult result, bool is_failure) {
+  OutlierState& state = target.outlier;
+  state.last_outcome_at = context_.now;
+  const bool is_unknown =
       result == AttemptResult::error || result == AttemptResult::timeout || result == AttemptResult::reset;
-  target.outlier.unknown_outcome_fraction +=
-      kFailureGain * ((unknown ? 1.0 : 0.0) - target.outlier.unknown_outcome_fraction);
-  if (result == AttemptResult::ok) {
-    const bool brief = target.outlier.failure_fraction <= kMaxFailureFraction &&
-                       now - target.outlier.first_failure_at < settings.overload_collapse_time / 2;
-    target.outlier.failure_fraction -= kFailureGain * target.outlier.failure_fraction;
-    if (target.outlier.is_down) {
-      target.outlier.is_down = false;
-      target.outlier.warming_since = brief ? -kNever : now;
-      target.rate_limit.upper_bound_tag =
-          static_cast<double>(now);  // trials of a dead one were paced far apart
-    } else if (target.outlier.consecutive_failures > 0 && target.outlier.first_failure_at != kNever &&
-               now - target.outlier.last_success_at > settings.overload_collapse_time) {
-      target.outlier.warming_since = now;
-    }
-    target.outlier.consecutive_failures = target.outlier.consecutive_rejections = 0;
-    target.outlier.first_failure_at = kNever;
-    target.outlier.last_success_at = now;
-    return;
-  }
-  if (target.outlier.first_failure_at == kNever)
-    target.outlier.first_failure_at = now;
-  if (hard) {
-    ++target.outlier.consecutive_failures;
-    target.outlier.failure_fraction += kFailureGain * (1 - target.outlier.failure_fraction);
+  state.unknown_outcome_fraction +=
+      kFailureGain * ((is_unknown ? 1.0 : 0.0) - state.unknown_outcome_fraction);
+  if (result == AttemptResult::ok)
+    return recordSuccess(target);
+  if (state.first_failure_at == kNever)
+    state.first_failure_at = context_.now;
+  if (is_failure) {
+    ++state.consecutive_failures;
+    state.failure_fraction += kFailureGain * (1 - state.failure_fraction);
   } else {
-    ++target.outlier.consecutive_rejections;
+    ++state.consecutive_rejections;
   }
-  const Micros bad_for = now - std::max(target.outlier.last_success_at, target.outlier.first_failure_at);
-  const bool shut = target.outlier.consecutive_rejections >= kConsecutiveFailureThreshold &&
-                    bad_for > settings.overload_collapse_time / 2;
-  const bool dead = target.outlier.consecutive_failures > 0 &&
-                    (isLargeFleet() || target.outlier.consecutive_failures >= kConsecutiveFailureThreshold ||
-                     bad_for > settings.overload_collapse_time);
-  if (target.outlier.failure_fraction > kMaxFailureFraction || shut || dead) {
-    if (shut && !hard)
-      target.outlier.consecutive_failures = std::max(target.outlier.consecutive_failures, 1);
-    target.outlier.is_down = true;
-    target.outlier.warming_since = now;
-    target.rate_limit.upper_bound_tag = std::max(target.rate_limit.upper_bound_tag, static_cast<double>(now));
+  markDownIfFailing(target, is_failure);
+}
+
+// Ends an outage. Slow start follows, except after a brief one.
+void OutlierDetector::recordSuccess(TargetState& target) {
+  OutlierState& state = target.outlier;
+  const Micros collapse_time = context_.settings.overload_collapse_time;
+  const bool was_brief = state.failure_fraction <= kMaxFailureFraction &&
+                         context_.now - state.first_failure_at < collapse_time / 2;
+  state.failure_fraction -= kFailureGain * state.failure_fraction;
+  if (state.is_down) {
+    state.is_down = false;
+    state.warming_since = was_brief ? -kNever : context_.now;
+    // The gaps between trials of a down target end with the outage.
+    target.rate_limit.upper_bound_tag = static_cast<double>(context_.now);
+  } else if (state.consecutive_failures > 0 && state.first_failure_at != kNever &&
+             context_.now - state.last_success_at > collapse_time) {
+    state.warming_since = context_.now;
   }
+  state.consecutive_failures = 0;
+  state.consecutive_rejections = 0;
+  state.first_failure_at = kNever;
+  state.last_success_at = context_.now;
 }
 
-void OutlierDetector::onAttemptResult(EndpointEntry& endpoint, AttemptResult result, Micros rtt, Micros wait,
-                                      bool stale) {
-  const bool mute = result == AttemptResult::cancelled || result == AttemptResult::not_sent || stale;
-  if (mute && wait == 0)
+void OutlierDetector::markDownIfFailing(TargetState& target, bool is_failure) {
+  OutlierState& state = target.outlier;
+  const Micros collapse_time = context_.settings.overload_collapse_time;
+  const Micros failing_for = context_.now - std::max(state.last_success_at, state.first_failure_at);
+  const bool rejects_all =
+      state.consecutive_rejections >= kConsecutiveFailureThreshold && failing_for > collapse_time / 2;
+  const bool fails_all =
+      state.consecutive_failures > 0 &&
+      (context_.isLargeFleet() || state.consecutive_failures >= kConsecutiveFailureThreshold ||
+       failing_for > collapse_time);
+  if (state.failure_fraction <= kMaxFailureFraction && !rejects_all && !fails_all)
     return;
-  const bool hard = result != AttemptResult::ok && result != AttemptResult::rejected,
-             was_down = limitScope(endpoint).outlier.is_down;
+  if (rejects_all && !is_failure)
+    state.consecutive_failures = std::max(state.consecutive_failures, 1);
+  state.is_down = true;
+  state.warming_since = context_.now;
+  target.rate_limit.upper_bound_tag =
+      std::max(target.rate_limit.upper_bound_tag, static_cast<double>(context_.now));
+}
+
+void OutlierDetector::onAttemptResult(EndpointEntry& endpoint, AttemptResult result, Micros round_trip,
+                                      Micros retry_after, bool stale_connection) {
+  const bool no_evidence =
+      result == AttemptResult::cancelled || result == AttemptResult::not_sent || stale_connection;
+  if (no_evidence && retry_after == 0)
+    return;
+  const bool was_down = limitScope(endpoint).outlier.is_down;
   if (result == AttemptResult::ok)
-    mean_latency += (static_cast<double>(rtt) - mean_latency) / ++mean_latency_samples;
-  for (TargetState* candidate : {&endpoint.target, &endpoint.destination->target}) {
-    if (mute || (hasSeparateRoutes(endpoint) && candidate != &endpoint.target))
-      continue;
-    if (result == AttemptResult::ok || result == AttemptResult::timeout)
-      recordLatency(*candidate, static_cast<double>(rtt), result == AttemptResult::ok);
-    recordOutcome(*candidate, result, hard);
-    if (isLargeFleet() && hard && candidate->outlier.is_down)
-      candidate->rate_limit.upper_bound_tag =
-          std::max(candidate->rate_limit.upper_bound_tag,
-                   static_cast<double>(now) + returnJitter(*candidate, *endpoint.destination));
+    latency_.addAnswer(round_trip);
+  if (!no_evidence) {
+    learnFrom(endpoint, endpoint.target, result, round_trip);
+    if (!hasSeparateRoutes(endpoint))
+      learnFrom(endpoint, endpoint.destination->target, result, round_trip);
+    if (endpoint.target.outlier.latency_samples >= kMinLatencySamples)
+      latency_.setRatio(endpoint, endpoint.target.outlier.latency_ratio);
   }
-  if (endpoint.target.outlier.latency_samples > 4 && !mute)
-    latency_ratios.set(&endpoint, endpoint.target.outlier.latency_ratio, now);
+  if (result == AttemptResult::rejected && !limitScope(endpoint).outlier.is_down)
+    rate_limiter_.onRejected(endpoint, retry_after > 0);
+  applyRetryAfter(endpoint, retry_after);
+  exportHealth(endpoint, was_down);
+}
+
+void OutlierDetector::learnFrom(EndpointEntry& endpoint, TargetState& target, AttemptResult result,
+                                Micros round_trip) {
+  const bool is_failure = result != AttemptResult::ok && result != AttemptResult::rejected;
+  if (result == AttemptResult::ok || result == AttemptResult::timeout)
+    recordLatency(target, static_cast<double>(round_trip), result == AttemptResult::ok);
+  recordOutcome(target, result, is_failure);
+  if (!context_.isLargeFleet() || !is_failure || !target.outlier.is_down)
+    return;
+  const double jitter = rate_limiter_.returnJitter(target, *endpoint.destination);
+  target.rate_limit.upper_bound_tag =
+      std::max(target.rate_limit.upper_bound_tag, static_cast<double>(context_.now) + jitter);
+}
+
+// A Retry-After blocks the target until it is over. A long one is an outage, and gets jitter.
+void OutlierDetector::applyRetryAfter(EndpointEntry& endpoint, Micros retry_after) {
   TargetState& target = limitScope(endpoint);
-  if (result == AttemptResult::rejected && !target.outlier.is_down)
-    onRejected(endpoint, wait > 0);
-  // Nothing goes there before a told wait is over; after a long one, an outage, each adds its spread.
-  double spread = 0;
-  if (wait > settings.overload_collapse_time / 2) {
+  double jitter = 0;
+  if (retry_after > context_.settings.overload_collapse_time / 2) {
     target.outlier.is_down = true;
-    target.outlier.warming_since = now;
-    spread = returnJitter(target, *endpoint.destination);
+    target.outlier.warming_since = context_.now;
+    jitter = rate_limiter_.returnJitter(target, *endpoint.destination);
   }
-  if (wait > 0)
-    target.rate_limit.retry_after_until =
-        std::max(target.rate_limit.retry_after_until, now + wait + static_cast<Micros>(spread));
-  exportHealth(endpoint, was_down);
+  if (retry_after > 0)
+    target.rate_limit.retry_after_until = std::max(target.rate_limit.retry_after_until,
+                                                   context_.now + retry_after + static_cast<Micros>(jitter));
 }
 
+// Exports health that has changed, so that the next process of this sender does not send at full rate to what
+// is cold.
 void OutlierDetector::exportHealth(EndpointEntry& endpoint, bool was_down) {
   TargetState& target = limitScope(endpoint);
-  const bool waits = target.rate_limit.retry_after_until > now &&
-                     target.rate_limit.retry_after_until > target.exported_retry_after_until;
-  if (!waits && target.outlier.is_down == was_down &&
-      std::abs(target.outlier.warming_since - target.exported_warming_since) <=
-          settings.overload_collapse_time / 2)
-    return;
-  target.exported_warming_since = target.outlier.warming_since;
-  target.exported_retry_after_until =
-      target.rate_limit.retry_after_until > now ? target.rate_limit.retry_after_until : 0;
-  actions.push_back(DestinationHealth{hasSeparateRoutes(endpoint) ? endpoint.id : "",
-                                      endpoint.destination->id, target.outlier.is_down,
-                                      target.outlier.warming_since, target.exported_retry_after_until, now});
-}
-
-void OutlierDetector::onDestinationHealth(const DestinationHealth& health) {
-  auto endpoint = endpoints.find(health.endpoint);
-  if (!health.endpoint.empty() && endpoint == endpoints.end())
-    return;
-  TargetState& target =
-      health.endpoint.empty() ? destinations[health.destination].target : endpoint->second.target;
-  destinations[health.destination].id = health.destination;
-  unlisted_destinations.schedule(now + retentionTime(), health.destination);
-  target.outlier.is_down = health.down;
-  target.outlier.warming_since = target.exported_warming_since = health.warming_since;
-  target.rate_limit.retry_after_until = target.exported_retry_after_until = health.retry_after_until;
-  if (!health.down)
+  const Micros retry_after_until = target.rate_limit.retry_after_until;
+  const bool is_new_retry_after =
+      retry_after_until > context_.now && retry_after_until > target.exported_retry_after_until;
+  const bool is_down = target.outlier.is_down;
+  const Micros warming_since = target.outlier.warming_since;
+  if (!is_new_retry_after && is_down == was_down &&
+      std::abs(warming_since - target.exported_warming_since) <= context_.settings.overload_collapse_time / 2)
     return;
-  target.outlier.consecutive_failures = std::max(target.outlier.consecutive_failures, 1);
-  target.outlier.first_failure_at =
-      std::min(target.outlier.first_failure_at,
-               health.warming_since - settings.overload_collapse_time);  // no brief one: it ends in a ramp
+  target.exported_warming_since = warming_since;
+  target.exported_retry_after_until = retry_after_until > context_.now ? retry_after_until : 0;
+  context_.actions.push_back(DestinationHealth{hasSeparateRoutes(endpoint) ? endpoint.id : "",
+                                               endpoint.destination->id, is_down, warming_since,
+                                               target.exported_retry_after_until, context_.now});
 }
 
 int OutlierDetector::outlierCallLimit() const {
-  return std::max(1, static_cast<int>(kOutlierCallFraction * settings.max_in_flight));
+  return std::max(1, static_cast<int>(kOutlierCallFraction * context_.settings.max_in_flight));
 }
 
 int OutlierDetector::outlierCallsInFlight() const {
-  std::set<std::uint64_t> used;  // calls, not messages: several may share one
-  for (auto& [order, o] : attempts_in_flight)
-    if (isOutlier(*o.first->attempts[o.second].endpoint))
-      used.insert(o.first->attempts[o.second].call_id);
-  return static_cast<int>(used.size());
+  std::set<std::uint64_t> call_ids;  // several attempts may share a call
+  for (const auto& [sequence, reference] : attempts_.inFlight())
+    if (isOutlier(*reference.attempt().endpoint))
+      call_ids.insert(reference.attempt().call_id);
+  return static_cast<int>(call_ids.size());
 }
 
 void OutlierDetector::cancelOverdueAttempts() {
-  if (!settings.cancel_allowed || static_cast<int>(attempts_per_call.size()) < settings.max_in_flight)
+  if (!context_.settings.cancel_allowed || attempts_.callsInFlight() < context_.settings.max_in_flight)
     return;
   int excess = outlierCallsInFlight() - outlierCallLimit();
-  std::vector<std::pair<Message*, std::size_t>> late;
-  for (auto& [order, o] : attempts_in_flight) {
-    const Attempt& attempt = o.first->attempts[o.second];
+  std::vector<AttemptTracker::Reference> overdue;
+  for (const auto& [sequence, reference] : attempts_.inFlight()) {
+    const Attempt& attempt = reference.attempt();
     if (attempt.cancel_requested)
       --excess;
     else if (attempt.is_overdue && isOutlier(*attempt.endpoint))
-      late.push_back(o);
+      overdue.push_back(reference);
   }
-  std::stable_sort(late.begin(), late.end(), [](const auto& left, const auto& right) {
-    return left.first->class_version->idempotency < right.first->class_version->idempotency;
+  std::stable_sort(overdue.begin(), overdue.end(), [](const auto& left, const auto& right) {
+    return left.message->class_version->idempotency < right.message->class_version->idempotency;
   });
-  for (auto& [m, i] : late) {
+  for (const AttemptTracker::Reference& reference : overdue) {
     if (excess-- <= 0)
       return;
-    m->attempts[i].cancel_requested = true;
-    actions.push_back(CancelAttempt{m->id, static_cast<int>(i)});
+    reference.attempt().cancel_requested = true;
+    context_.actions.push_back(CancelAttempt{reference.message->id, static_cast<int>(reference.index)});
   }
 }
 
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -1,58 +1,62 @@
-// grademux, decision 3, health: what outcomes tell of a destination, and the slots that sick ones may hold.
+// Outlier detection: which destinations and endpoints are down, slow or stalled, from the outcomes of their
+// attempts, and the part of the calls in flight that these may use.
 #pragma once
 
+#include "attempt_tracker.h"
+#include "latency_statistics.h"
 #include "rate_limiter.h"
 
 namespace grademux::decision {
 
-constexpr double kOutlierCallFraction =
-    0.5;  // of the slots, for all sick destinations together (1 slot at least)
-constexpr double kMaxFailureFraction = 0.5;  // a larger share of failed calls is an outage
-constexpr double kFailureGain = 0.25;        // weight of the newest outcome in that share
-constexpr int kConsecutiveFailureThreshold =
-    3;  // so many failures in a row are an outage; among many senders just one
-constexpr double kSlowLatencyRatio = 4;       // recent over usual latency, against the common slowdown: sick
-constexpr double kRecentLatencyGain = 0.25;   // weight of the newest latency in the recent one
-constexpr double kTypicalLatencyGain = 0.04;  // and in the usual one
-constexpr double kOverdueRatio = 4;           // unanswered for so many usual latencies: overdue
-
-struct OutlierDetector : RateLimiter {
-  using RateLimiter::RateLimiter;
-  bool isSlow(const TargetState& target) const;
-
-  // The last that was seen of it is no answer: a call out far too long, or a failed one.
-  bool isStalled(const TargetState& target) const;
-
-  bool isOutlier(const TargetState& target) const;
-
+constexpr double kOutlierCallFraction = 0.5;     // of the calls in flight, for all outliers together
+constexpr double kMaxFailureFraction = 0.5;      // a larger share of failures is an outage
+constexpr double kFailureGain = 0.25;            // weight of the newest outcome in that share
+constexpr int kConsecutiveFailureThreshold = 3;  // so many failures are an outage; 1 in a large fleet
+constexpr double kSlowLatencyRatio = 4;          // recent over typical latency of a slow target
+constexpr double kRecentLatencyGain = 0.25;      // weight of the newest latency in the recent one
+constexpr double kTypicalLatencyGain = 0.04;     // weight of the newest latency in the typical one
+constexpr double kOverdueRatio = 4;              // an overdue attempt has taken so many expected latencies
+
+// Changes OutlierState, and the health that was last exported.
+class OutlierDetector {
+ public:
+  OutlierDetector(DecisionContext& context, LatencyStatistics& latency, AttemptTracker& attempts,
+                  RateLimiter& rate_limiter)
+      : context_(context), latency_(latency), attempts_(attempts), rate_limiter_(rate_limiter) {}
+
+  // Down, slow or stalled; the endpoint itself, or the destination whose limit it shares.
   bool isOutlier(const EndpointEntry& endpoint) const;
 
-  // Calls that stay out far too long are evidence before any time-out: guards against a hanging destination
-  // that fills the slots meanwhile. Harm: a chance long call shifts it into the lane until one is answered.
+  // Learns from the outcome of an attempt, or of a cancelled one that reported a Retry-After (`retry_after`).
+  // `stale_connection`: the reused connection was dead, which is no evidence against the endpoint.
+  void onAttemptResult(EndpointEntry& endpoint, AttemptResult result, Micros round_trip, Micros retry_after,
+                       bool stale_connection);
+  // Recounts the overdue attempts of all targets: evidence before their time-out.
   void countOverdueAttempts();
+  // With all calls in use, cancels the overdue attempts by which the outliers exceed their part: idempotent
+  // messages first.
+  void cancelOverdueAttempts();
 
-  void recordLatency(TargetState& target, double rtt, bool ended_well);
-
-  // Failures, time-outs, failed connects and unbroken refusals are one kind of evidence: it does not serve.
-  // Also guards against pushing over whatever returns. Harm: chance failures start a ramp.
-  void recordOutcome(TargetState& target, AttemptResult result, bool hard);
-
-  // A kept connection that turns out dead tells of the path; the next call on a fresh one of the endpoint. A
-  // told wait counts whatever became of the rest of its answer, or of the call.
-  void onAttemptResult(EndpointEntry& endpoint, AttemptResult result, Micros rtt, Micros wait, bool stale);
-
-  // What a restart must not forget: the next process resumes a backlog, and would push over what is cold.
-  void exportHealth(EndpointEntry& endpoint, bool was_down);
-
-  void onDestinationHealth(const DestinationHealth& health);
-
+  // Calls in flight that outliers may use together; 1 at least.
   int outlierCallLimit() const;
-
   int outlierCallsInFlight() const;
 
-  // Calls that were out when their destination fell sick may hold more than the lane. With no slot left for
-  // the healthy the most overdue are called off, those first that may go again. Harm: a slow answer is lost.
-  void cancelOverdueAttempts();
+ private:
+  bool isSlow(const TargetState& target) const;
+  bool isStalled(const TargetState& target) const;
+  bool isOutlier(const TargetState& target) const;
+  void recordLatency(TargetState& target, double round_trip, bool success);
+  void recordOutcome(TargetState& target, AttemptResult result, bool is_failure);
+  void recordSuccess(TargetState& target);
+  void markDownIfFailing(TargetState& target, bool is_failure);
+  void learnFrom(EndpointEntry& endpoint, TargetState& target, AttemptResult result, Micros round_trip);
+  void applyRetryAfter(EndpointEntry& endpoint, Micros retry_after);
+  void exportHealth(EndpointEntry& endpoint, bool was_down);
+
+  DecisionContext& context_;
+  LatencyStatistics& latency_;
+  AttemptTracker& attempts_;
+  RateLimiter& rate_limiter_;
 };
 
 }  // namespace grademux::decision
--- a/src/decision/rate_limiter.cpp
+++ b/src/decision/rate_limiter.cpp
@@ -1,14 +1,20 @@
 #include "rate_limiter.h"
 
+#include <algorithm>
+#include <cmath>
+#include <random>
+
 namespace grademux::decision {
 
 double RateLimiter::quotaShare(double limit, double want) const {
-  return std::max(1.0 / settings.sender_count, std::min(want / std::max(limit, 1e-9), kMaxQuotaFraction));
+  return std::max(1.0 / context_.settings.sender_count,
+                  std::min(want / std::max(limit, 1e-9), kMaxQuotaFraction));
 }
 
+// In a large fleet a sender meets the limit too rarely to learn from that: it falls to one share at once.
 void RateLimiter::reduceQuota(TargetState& target, double cut, double own) {
-  const double share = quotaShare(target.rate_limit.limit, own),
-               most = (isLargeFleet() ? kInitialQuotaShares / 2 : kInitialQuotaShares) * share;
+  const double share = quotaShare(target.rate_limit.limit, own);
+  const double most = (context_.isLargeFleet() ? kInitialQuotaShares / 2 : kInitialQuotaShares) * share;
   target.rate_limit.quota_fraction =
       std::max(kMinQuotaShares * share, std::min(target.rate_limit.quota_fraction, most) * cut);
 }
@@ -16,35 +22,42 @@
 double RateLimiter::allowedRate(TargetState& target, double limit, double own) {
   double rate = 1e12;
   if (target.rate_limit.limit > 0) {
-    // Not while it is cold: what it takes then says nothing of the limit.
-    const double spans =
-        isCold(target) ? 0 : static_cast<double>(now - target.rate_limit.quota_updated_at) / collapseTime();
+    // No growth while cold: success at a reduced rate is no evidence about the limit.
+    const double spans = context_.isCold(target)
+                             ? 0
+                             : static_cast<double>(context_.now - target.rate_limit.quota_updated_at) /
+                                   context_.collapseTime();
     target.rate_limit.quota_fraction =
-        std::min(target.rate_limit.limit_is_reported ? 1.0 : 1e3,
+        std::min(maxQuota(target.rate_limit),
                  target.rate_limit.quota_fraction +
                      kQuotaGrowthShares * quotaShare(target.rate_limit.limit, own) * spans);
-    target.rate_limit.quota_updated_at = now;
+    target.rate_limit.quota_updated_at = context_.now;
     rate = target.rate_limit.limit * target.rate_limit.quota_fraction;
   }
-  return isCold(target) ? std::min(rate, slowStartRate(target, limit, own)) : rate;
+  return context_.isCold(target) ? std::min(rate, slowStartRate(target, limit, own)) : rate;
 }
 
+// Calls a second while cold. All senders together stay below Settings::overload_factor times the cold
+// capacity, as each keeps to its usual traffic times the warmth of the target.
 double RateLimiter::slowStartRate(const TargetState& target, double limit, double own) const {
-  const double warmth =
-      std::min(1.0, static_cast<double>(now - target.outlier.warming_since) / kSecond / rateSpanSeconds());
-  const double share = settings.cold_capacity_fraction +
-                       (1 - settings.cold_capacity_fraction) * (target.outlier.is_down ? 0 : warmth);
+  const double warmth = std::min(1.0, static_cast<double>(context_.now - target.outlier.warming_since) /
+                                          kSecond / context_.rateSpanSeconds());
+  const double share = context_.settings.cold_capacity_fraction +
+                       (1 - context_.settings.cold_capacity_fraction) * (target.outlier.is_down ? 0 : warmth);
   if (limit > 0)
     own = limit * quotaShare(limit, own);
-  return std::max(own, 1 / rateSpanSeconds()) * share * settings.overload_factor;
+  return std::max(own, 1 / context_.rateSpanSeconds()) * share * context_.settings.overload_factor;
 }
 
 double RateLimiter::returnJitter(const TargetState& target, const Destination& destination) {
-  const double most = std::min(rateSpanSeconds(), 1 / slowStartRate(target, target.rate_limit.limit,
-                                                                    perSecond(destination.message_rate)));
-  return target.outlier.is_down ? std::uniform_real_distribution<double>(0, most * kSecond)(random) : 0;
+  const double most = std::min(
+      context_.rateSpanSeconds(),
+      1 / slowStartRate(target, target.rate_limit.limit, context_.perSecond(destination.message_rate)));
+  return target.outlier.is_down ? std::uniform_real_distribution<double>(0, most * kSecond)(context_.random)
+                                : 0;
 }
 
+// `must_by`: the latest useful send time of a first attempt that may ignore pacing; kNever: pacing applies.
 Micros RateLimiter::targetOpensAt(const TargetState& target, Micros must_by) const {
   const auto paced = static_cast<Micros>(std::ceil(target.rate_limit.upper_bound_tag));
   const bool pass = must_by != kNever && !target.outlier.is_down &&
@@ -52,13 +65,15 @@
   return pass ? target.rate_limit.retry_after_until : std::max(target.rate_limit.retry_after_until, paced);
 }
 
-Micros RateLimiter::earliestSendAt(EndpointEntry& endpoint, const Message* message) {
-  const double limit = limitScope(endpoint).rate_limit.limit,
-               held = static_cast<double>(endpoint.destination->queue.size()) / rateSpanSeconds();
-  const double own = std::max(perSecond(endpoint.destination->message_rate), held);
-  const bool rare = isLargeFleet() && own < (limit > 0 ? kRareSenderFraction * limit : 2 / rateSpanSeconds());
-  const Micros must_by = message && message->attempts.empty() && rare
-                             ? message->deadline - static_cast<Micros>(expectedLatency(endpoint))
+Micros RateLimiter::earliestSendAt(EndpointEntry& endpoint, const Message* message) const {
+  const double limit = limitScope(endpoint).rate_limit.limit;
+  const double queued_rate =
+      static_cast<double>(endpoint.destination->queue.size()) / context_.rateSpanSeconds();
+  const double own = std::max(context_.perSecond(endpoint.destination->message_rate), queued_rate);
+  const bool is_rare_sender = context_.isLargeFleet() && own < (limit > 0 ? kRareSenderFraction * limit
+                                                                          : 2 / context_.rateSpanSeconds());
+  const Micros must_by = message && message->attempts.empty() && is_rare_sender
+                             ? message->deadline - static_cast<Micros>(latency_.expectedLatency(endpoint))
                              : kNever;
   return hasSeparateRoutes(endpoint) ? targetOpensAt(endpoint.target, must_by)
                                      : std::max(targetOpensAt(endpoint.target, must_by),
@@ -66,20 +81,23 @@
 }
 
 void RateLimiter::chargeSend(TargetState& target, double limit, double own) {
-  const double now_tag = static_cast<double>(now), rate = allowedRate(target, limit, own);
-  const double burst = isCold(target) ? 0 : kBurstSeconds * kSecond;
+  const double now_tag = static_cast<double>(context_.now);
+  const double rate = allowedRate(target, limit, own);
+  const double burst = context_.isCold(target) ? 0 : kBurstSeconds * kSecond;
   double gap = kSecond / rate;
   if (target.outlier.is_down)
-    gap = std::max(gap,
-                   std::min(kTrialGapFraction * collapseTime(), gap * target.outlier.consecutive_failures));
+    gap = std::max(gap, std::min(kTrialGapFraction * context_.collapseTime(),
+                                 gap * target.outlier.consecutive_failures));
+  // Upper-bound tag (RePAIR): u = clamp(u, now - burst, now) + gap. A first attempt that ignored pacing does
+  // not delay later calls.
   target.rate_limit.upper_bound_tag =
-      std::clamp(target.rate_limit.upper_bound_tag, now_tag - burst, now_tag) +
-      gap;  // a call that passed the pacing leaves no debt
-  countEvent(target.rate_limit.send_rate);
+      std::clamp(target.rate_limit.upper_bound_tag, now_tag - burst, now_tag) + gap;
+  context_.countEvent(target.rate_limit.send_rate);
 }
 
+// Messages a second of this sender for the scope of the endpoint's limit.
 double RateLimiter::ownMessageRate(const EndpointEntry& endpoint) const {
-  return perSecond(endpoint.destination->message_rate) /
+  return context_.perSecond(endpoint.destination->message_rate) /
          (hasSeparateRoutes(endpoint) ? readyEndpointCount(*endpoint.destination) : 1);
 }
 
@@ -91,30 +109,45 @@
                                 ? 0.75 * target.rate_limit.limit + 0.25 * report->rate_limit
                                 : report->rate_limit;
   target.rate_limit.limit_is_reported = true;
-  if (isLargeFleet() && report->remaining_fraction < kLowAllowanceFraction)
+  if (context_.isLargeFleet() && report->remaining_fraction < kLowAllowanceFraction)
     reduceQuota(target, kLowAllowanceQuotaFactor, ownMessageRate(endpoint));
 }
 
-void RateLimiter::onRejected(EndpointEntry& endpoint, bool told_wait) {
+void RateLimiter::onRejected(EndpointEntry& endpoint, bool has_retry_after) {
   TargetState& target = limitScope(endpoint);
   const double own = ownMessageRate(endpoint);
   if (target.rate_limit.limit <= 0) {
-    // Nobody told one: start from what was sent, or from one call at a time.
+    // No limit is known: the estimate is the rate of calls so far, or one call at a time.
     target.rate_limit.limit =
-        std::max(perSecond(target.rate_limit.send_rate),
+        std::max(context_.perSecond(target.rate_limit.send_rate),
                  kSecond / std::max(1.0, target.outlier.latency_samples > 0 ? target.outlier.typical_latency
-                                                                            : shortest_objective));
+                                                                            : context_.shortest_objective));
     target.rate_limit.quota_fraction = 1;
   }
   const double gap = std::min<double>(kMaxGapStretch, target.outlier.consecutive_rejections) * kSecond /
                      allowedRate(target, target.rate_limit.limit, own);
-  if (now - target.rate_limit.quota_reduced_at > settings.overload_collapse_time / 4) {
+  if (context_.now - target.rate_limit.quota_reduced_at > context_.settings.overload_collapse_time / 4) {
     reduceQuota(target, kRejectionQuotaFactor, own);
-    target.rate_limit.quota_reduced_at = now;
+    target.rate_limit.quota_reduced_at = context_.now;
   }
-  if (!told_wait)
+  if (!has_retry_after)
     target.rate_limit.upper_bound_tag =
-        std::max(target.rate_limit.upper_bound_tag, static_cast<double>(now) + gap);
+        std::max(target.rate_limit.upper_bound_tag, static_cast<double>(context_.now) + gap);
+}
+
+Micros RateLimiter::queueDrainTime(Destination& destination) {
+  double rate = 0;
+  for (EndpointEntry* endpoint : destination.endpoints)
+    if (isReady(*endpoint))
+      rate = hasSeparateRoutes(*endpoint)
+                 ? rate + allowedRate(
+                              endpoint->target, endpoint->target.rate_limit.limit,
+                              context_.perSecond(destination.message_rate) / readyEndpointCount(destination))
+                 : allowedRate(destination.target, destination.target.rate_limit.limit,
+                               context_.perSecond(destination.message_rate));
+  const double wait = static_cast<double>(destination.queue.size()) * kSecond / std::max(rate, 1e-6);
+  return static_cast<Micros>(
+      std::clamp(wait, static_cast<double>(context_.settings.min_decide_interval), 1e12));
 }
 
 }  // namespace grademux::decision
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -1,64 +1,61 @@
-// grademux, decision 2, upper bound: how fast this sender may send to a destination.
+// Send rate limits: how fast this sender may send to a destination or endpoint. A limit is shared by all
+// senders without coordination: each uses a quota of it, reduced by rejections and grown again slowly.
 #pragma once
 
 #include <optional>
 
-#include "fair_queue.h"
+#include "decision_context.h"
+#include "latency_statistics.h"
 
 namespace grademux::decision {
 
-constexpr double kBurstSeconds = 0.5;  // of a second's calls under a limit may leave at once
-constexpr double kMaxQuotaFraction =
-    0.25;  // of a limit is the most that a busy one of many senders counts on
-constexpr double kInitialQuotaShares =
-    2;  // portions of a limit that a sender starts from; half where many do
-constexpr double kRejectionQuotaFactor = 0.75;  // this sender's part of a limit after a refusal ...
+constexpr double kBurstSeconds = 0.5;           // calls of this time at the limit may leave at once
+constexpr double kMaxQuotaFraction = 0.25;      // largest share of a limit that a busy sender counts on
+constexpr double kInitialQuotaShares = 2;       // first quota, in shares of the limit
+constexpr double kRejectionQuotaFactor = 0.75;  // quota after a rejection
 constexpr double kLowAllowanceQuotaFactor =
-    0.93;                                      // ... among many after an answer that told no more than ...
-constexpr double kLowAllowanceFraction = 0.1;  // ... this of the allowance left ...
-constexpr double kMinQuotaShares = 0.5;        // ... but at least this much of a portion
-constexpr double kQuotaGrowthShares = 0.15;    // and it grows by so much of a portion each FallMs without one
-constexpr double kMaxGapStretch = 4;           // refusals in a row stretch the gap up to so many times
-constexpr double kTrialGapFraction =
-    0.25;  // of FallMs: trials of a dead destination are stretched up to this gap
-
-struct RateLimiter : FairQueue {
-  using FairQueue::FairQueue;
-  // What this sender may count on of a limit: an even part, or what it wants up to a fixed part. Guards busy
-  // ones of many against starving on even parts. Harm: if all are busy the limit is overrun until refusals.
+    0.93;                                      // quota after a report of a low allowance, in a large fleet
+constexpr double kLowAllowanceFraction = 0.1;  // of the allowance is left when it is low
+constexpr double kMinQuotaShares = 0.5;        // smallest quota, in shares
+constexpr double kQuotaGrowthShares = 0.15;    // quota growth in each overload collapse time, in shares
+constexpr double kMaxGapStretch = 4;           // longest gap after consecutive rejections, in usual gaps
+constexpr double kTrialGapFraction = 0.25;  // longest gap between trials of a down target, in collapse times
+
+// Changes RateLimitState alone.
+class RateLimiter {
+ public:
+  RateLimiter(DecisionContext& context, const LatencyStatistics& latency)
+      : context_(context), latency_(latency) {}
+
+  // Share of a limit that this sender counts on: an even one, or more for what it wants (`want`, calls a
+  // second).
   double quotaShare(double limit, double want) const;
-
-  // Of a limit that is used up. Among many each meets it seldom: who begins above an even part learns too
-  // late, and refused calls alone may use it up, for all and for long.
-  void reduceQuota(TargetState& target, double cut, double own);
-
-  // Calls a second that a guard lets this sender send. The limit is the whole destination's, `own` this
-  // sender's traffic there; an endpoint that shares them counts on its part of both.
+  // Calls a second that this sender may send, and updates the quota. `limit`: of the whole destination;
+  // `own`: this sender's messages a second there.
   double allowedRate(TargetState& target, double limit, double own);
-
-  // Fail-back rule: what all senders together send stays inside cold share x factor x what they usually send,
-  // each by its own traffic; it grows as the destination warms. Even parts would let the busy starve and the
-  // rare never try. Harm: a destination that was never away is slowed for RampTimeMs.
-  double slowStartRate(const TargetState& target, double limit, double own) const;
-
-  // How much later this sender comes back to a destination that is away, so that all do not come as one.
+  // A random delay, microseconds, so that the senders do not return to a down target at once; 0 if it is up.
   double returnJitter(const TargetState& target, const Destination& destination);
-
-  // When a guard next lets a call pass; `must_by` is set for a first try that may pass pacing, see below.
-  Micros targetOpensAt(const TargetState& target, Micros must_by) const;
-
-  // One of many: first tries pass pacing that would outlast the message, but not while the destination is
-  // down. Guards against ramps and parts that last for rare senders. Harm: calls above a limit.
-  Micros earliestSendAt(EndpointEntry& endpoint, const Message* message);
-
+  // The earliest time at which a call to the endpoint conforms to its limits. In a large fleet the first
+  // attempt of `message` ignores pacing that would outlast its deadline; null: any message.
+  Micros earliestSendAt(EndpointEntry& endpoint, const Message* message) const;
+  // Counts a call, and moves the upper-bound tag by its gap.
   void chargeSend(TargetState& target, double limit, double own);
-
-  double ownMessageRate(const EndpointEntry& endpoint) const;
-
   void applyLimitReport(EndpointEntry& endpoint, const std::optional<LimitReport>& report);
+  // Reduces the quota after a rejection; estimates a limit where none is known. `has_retry_after`: the
+  // rejection reported when to return, which takes the place of a longer gap.
+  void onRejected(EndpointEntry& endpoint, bool has_retry_after);
+  // Time to send all queued messages of the destination, microseconds; Settings::min_decide_interval at
+  // least.
+  Micros queueDrainTime(Destination& destination);
+
+ private:
+  void reduceQuota(TargetState& target, double cut, double own);
+  double slowStartRate(const TargetState& target, double limit, double own) const;
+  Micros targetOpensAt(const TargetState& target, Micros must_by) const;
+  double ownMessageRate(const EndpointEntry& endpoint) const;
 
-  // Refused: take a smaller part. Guards against many that each think theirs harmless, and untold limits.
-  void onRejected(EndpointEntry& endpoint, bool told_wait);
+  DecisionContext& context_;
+  const LatencyStatistics& latency_;
 };
 
 }  // namespace grademux::decision
--- a/src/decision/sender.cpp
+++ b/src/decision/sender.cpp
@@ -1,5 +1,19 @@
-// grademux: THE decision module. Its interface stands in include/grademux/sender.h, its sections in the
-// headers beside this file; docs/design.md tells what each does. Here: the turn.
+// The Sender of include/grademux/sender.h: owns the modules of this folder, hands them the events, and runs
+// them in order.
+#include "admission_control.h"
+#include "attempt_tracker.h"
+#include "connection_policy.h"
+#include "decision_context.h"
+#include "dispatcher.h"
+#include "endpoint_table.h"
+#include "fair_queue.h"
+#include "latency_statistics.h"
+#include "learned_state.h"
+#include "message_table.h"
+#include "outcome_handler.h"
+#include "outlier_detector.h"
+#include "rate_limiter.h"
+#include "retry_policy.h"
 #include "settings_check.h"
 #include "settings_update.h"
 
@@ -7,61 +21,81 @@
 
 namespace decision {
 
-struct DecisionLoop : SettingsUpdate {
-  using SettingsUpdate::SettingsUpdate;
+class DecisionLoop {
+ public:
+  DecisionLoop(Settings settings, std::uint64_t seed) : context_(std::move(settings), seed) {}
 
-  void onEvent(const MessageArrival& event) { onMessageArrival(event); }
-  void onEvent(const RecoveredMessage& event) { onRecoveredMessage(event); }
-  void onEvent(const DestinationHealth& event) { onDestinationHealth(event); }
-  void onEvent(const ShutdownScheduled& event) { shutdown_at = event.at; }
-  void onEvent(const AttemptOutcome& event) { onAttemptOutcome(event); }
-  void onEvent(const EndpointListUpdate& event) { onEndpointListUpdate(event); }
-  void onEvent(const TimerFired&) {}
-  void onEvent(const LearnedEndpoint& event) { onLearnedEndpoint(event); }
-  void onEvent(const LearnedPool& event) { onLearnedPool(event); }
-  void onEvent(const ExportLearned& event) { onExportLearned(event); }
-  void onEvent(const SettingsChanged& event) { onSettingsChanged(event); }
-  void onEvent(const MessageWithdrawn& event) {
-    auto it = messages.find(event.id);
-    if (it == messages.end())
-      return;
-    closeMessage(it->second);
-    eraseIfUnused(it->second);
-  }
+  std::vector<Action> decide(Micros now, const std::vector<Event>& events);
 
-  void updateTimer() {
-    if (!deadlines.empty())
-      next_timer_at = std::min(next_timer_at, deadlines.begin()->first);
-    if (next_timer_at == kNever)
-      return;
-    next_timer_at = std::max(next_timer_at, now + std::max<Micros>(1, settings.min_decide_interval));
-    if (timer_at > now && timer_at <= next_timer_at)
-      return;
-    timer_at = next_timer_at;
-    actions.push_back(SetTimer{timer_at - now});
-  }
+ private:
+  void onEvent(const MessageArrival& event) { admission_.onMessageArrival(event); }
+  void onEvent(const RecoveredMessage& event) { admission_.onRecoveredMessage(event); }
+  void onEvent(const MessageWithdrawn& event) { admission_.onMessageWithdrawn(event); }
+  void onEvent(const AttemptOutcome& event) { outcome_handler_.onAttemptOutcome(event); }
+  void onEvent(const EndpointListUpdate& event) { endpoint_table_.onEndpointListUpdate(event); }
+  void onEvent(const DestinationHealth& event) { learned_state_.onDestinationHealth(event); }
+  void onEvent(const LearnedEndpoint& event) { learned_state_.onLearnedEndpoint(event); }
+  void onEvent(const LearnedPool& event) { learned_state_.onLearnedPool(event); }
+  void onEvent(const ExportLearned& event) { learned_state_.onExportLearned(event); }
+  void onEvent(const SettingsChanged& event) { settings_update_.onSettingsChanged(event); }
+  void onEvent(const ShutdownScheduled& event) { context_.shutdown_at = event.at; }
+  void onEvent(const TimerFired&) {}  // decide() itself is what the timer is for
 
-  std::vector<Action> decide(Micros at, const std::vector<Event>& events) {
-    now = at;
-    actions.clear();
-    next_timer_at = kNever;
-    for (const Event& event : events)
-      std::visit([this](const auto& alternative) { onEvent(alternative); }, event);
-    // A slowdown common to all is no sickness: each is held against the median of what all show.
-    latency_ratios.expire(now - 2 * settings.overload_collapse_time);
-    common_slowdown = latency_ratios.size() < 3 ? 1 : std::max(1.0, latency_ratios.median());
-    countOverdueAttempts();
-    failExpired();
-    eraseUnused();
-    pollEndpointList();
-    dispatchMessages();
-    cancelOverdueAttempts();
-    shedLoad();
-    updateTimer();
-    return std::move(actions);
-  }
+  void updateTimer();
+
+  DecisionContext context_;
+  LatencyStatistics latency_{context_};
+  FairQueue fair_queue_{context_};
+  RateLimiter rate_limiter_{context_, latency_};
+  AttemptTracker attempts_{context_};
+  OutlierDetector outlier_detector_{context_, latency_, attempts_, rate_limiter_};
+  EndpointTable endpoint_table_{context_, rate_limiter_};
+  MessageTable messages_{context_, endpoint_table_, fair_queue_};
+  ConnectionPolicy connections_{context_};
+  RetryPolicy retry_policy_{context_, latency_};
+  Dispatcher dispatcher_{{context_, latency_, fair_queue_, rate_limiter_, attempts_, outlier_detector_,
+                          messages_, connections_, retry_policy_}};
+  AdmissionControl admission_{{context_, latency_, fair_queue_, rate_limiter_, attempts_, endpoint_table_,
+                               messages_, retry_policy_, dispatcher_}};
+  OutcomeHandler outcome_handler_{{context_, latency_, fair_queue_, rate_limiter_, attempts_,
+                                   outlier_detector_, messages_, connections_, retry_policy_, admission_}};
+  LearnedState learned_state_{context_, latency_, endpoint_table_, connections_};
+  SettingsUpdate settings_update_{context_, endpoint_table_, fair_queue_, messages_};
+  Micros timer_at_ = kNever;  // of the last SetTimer
 };
 
+std::vector<Action> DecisionLoop::decide(Micros now, const std::vector<Event>& events) {
+  context_.now = now;
+  context_.actions.clear();
+  context_.next_timer_at = kNever;
+  for (const Event& event : events)
+    std::visit([this](const auto& alternative) { onEvent(alternative); }, event);
+  latency_.updateCommonSlowdown();
+  outlier_detector_.countOverdueAttempts();
+  admission_.failExpired();
+  endpoint_table_.eraseUnused();
+  messages_.eraseIdleOrderingKeys();
+  endpoint_table_.pollEndpointList();
+  dispatcher_.dispatchMessages();
+  outlier_detector_.cancelOverdueAttempts();
+  admission_.shedLoad();
+  updateTimer();
+  return std::move(context_.actions);
+}
+
+// Sets a timer for the next moment at which something may change, unless one is set for an earlier moment.
+void DecisionLoop::updateTimer() {
+  context_.requestTimer(messages_.nextDeadline());
+  if (context_.next_timer_at == kNever)
+    return;
+  const Micros earliest = context_.now + std::max<Micros>(1, context_.settings.min_decide_interval);
+  const Micros timer_at = std::max(context_.next_timer_at, earliest);
+  if (timer_at_ > context_.now && timer_at_ <= timer_at)
+    return;
+  timer_at_ = timer_at;
+  context_.actions.push_back(SetTimer{timer_at_ - context_.now});
+}
+
 }  // namespace decision
 
 struct Sender::Impl : decision::DecisionLoop {
--- a/src/decision/settings_update.h
+++ b/src/decision/settings_update.h
@@ -1,16 +1,26 @@
-// grademux, decision: other settings while it runs. It decides nothing, and so is not among the policy files:
-// from the event on all sections read the new settings, and open messages keep the class they came under.
+// A change of settings at run time: all modules read the new ones from the event on. Open messages keep the
+// class version under which they were accepted.
 #pragma once
 
-#include <utility>
-
-#include "learned_state.h"
+#include "endpoint_table.h"
+#include "fair_queue.h"
+#include "message_table.h"
 
 namespace grademux::decision {
 
-struct SettingsUpdate : LearnedState {
-  using LearnedState::LearnedState;
+class SettingsUpdate {
+ public:
+  SettingsUpdate(DecisionContext& context, EndpointTable& endpoint_table, FairQueue& fair_queue,
+                 MessageTable& messages)
+      : context_(context), endpoint_table_(endpoint_table), fair_queue_(fair_queue), messages_(messages) {}
+
   void onSettingsChanged(const SettingsChanged& change);
+
+ private:
+  DecisionContext& context_;
+  EndpointTable& endpoint_table_;
+  FairQueue& fair_queue_;
+  MessageTable& messages_;
 };
 
 }  // namespace grademux::decision
--- a/tests/decision/reference_tags_test.cpp
+++ b/tests/decision/reference_tags_test.cpp
@@ -10,6 +10,7 @@
 namespace grademux {
 namespace {
 
+using decision::DecisionContext;
 using decision::Destination;
 using decision::FairQueue;
 using decision::Message;
@@ -87,22 +88,24 @@
     std::mt19937_64 random(seed);
     Settings s = makeSettings();
     s.classes[1].latency_objective = 300 * kMs;
-    FairQueue fair_queue(s, seed);
-    fair_queue.iteration = 1;
+    DecisionContext context(s, seed);
+    context.iteration = 1;
+    FairQueue fair_queue(context);
+    std::map<std::int64_t, Destination> destinations;
     Plain plain;
     std::deque<Message> messages;
     std::uint64_t starts = 0, by_global = 0;
     for (int step = 0; step < 3000; ++step) {
-      fair_queue.now += static_cast<Micros>(random() % 120) * kMs;
-      const auto now = static_cast<double>(fair_queue.now);
+      context.now += static_cast<Micros>(random() % 120) * kMs;
+      const auto now = static_cast<double>(context.now);
       const std::uint64_t what = random() % 20;
-      if (what < 9 || fair_queue.backlog.empty()) {
+      if (what < 9 || fair_queue.backlog().empty()) {
         Message& m = messages.emplace_back();
         const std::int64_t id = static_cast<std::int64_t>(random() % 12);
-        m.destination = &fair_queue.destinations[id];
+        m.destination = &destinations[id];
         m.destination->id = id;
-        m.class_version = fair_queue.class_versions[random() % 2];
-        fair_queue.enqueue(m, fair_queue.now);
+        m.class_version = context.class_versions[random() % 2];
+        fair_queue.enqueue(m, context.now);
         plain.arrive(id, static_cast<double>(m.class_version->latency_objective), now);
         continue;
       }
@@ -110,12 +113,12 @@
       const auto [id, global] = plain.next(now);
       ASSERT_NE(destination, nullptr);
       ASSERT_EQ(destination->id, id) << "seed " << seed << ", step " << step;
-      ASSERT_EQ(std::get<0>(fair_queue.positionOf(*destination)), global)
+      ASSERT_EQ(fair_queue.positionOf(*destination).by_global_tag, global)
           << "seed " << seed << ", step " << step;
       const bool started = what < 18;
       if (random() % 8 == 0) {
         const double served = plain.lines[id].tags.front().second + static_cast<double>(random() % 9) * 4e5;
-        fair_queue.raiseGlobalTags(*destination, served - fair_queue.global_tag_shift);
+        fair_queue.raiseGlobalTags(*destination, served - fair_queue.globalTagShift());
         plain.raise(id, served);
         continue;
       }
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -137,8 +137,9 @@
 // Each value is one that the module looks at: changed by much, something is decided otherwise in some world.
 TEST(Tuned, ListsTheModulesValues) {
   std::size_t constants = 0;
-  for (const char* file : {"decision_state", "fair_queue", "rate_limiter", "outlier_detector", "retry_policy",
-                           "admission_control"}) {
+  for (const char* file :
+       {"target_state", "decision_context", "fair_queue", "rate_limiter", "outlier_detector",
+        "connection_policy", "retry_policy", "dispatcher", "admission_control"}) {
     std::ifstream in(sourceFolder() + "/src/decision/" + file + ".h");
     for (std::string line; std::getline(in, line);)
       constants += line.rfind("constexpr ", 0) == 0;
