--- a/src/decision/fair_queue.cpp
+++ b/src/decision/fair_queue.cpp
@@ -101,33 +101,6 @@
   return {!due, due ? tag.local : tag.global + destination.global_tag_raise, destination.id};
 }
 
-// Priority factor of a tenant: the part of its rate inside the quota counts in full.
-double FairQueue::tenantWeight(int tenant) const {
-  if (tenant < 0)
-    return 1;
-  const double quota =
-      context_.settings.tenants[static_cast<std::size_t>(tenant)].quota / context_.settings.sender_count;
-  const double rate = context_.perSecond(tenant_rates_[static_cast<std::size_t>(tenant)]);
-  if (quota <= 0 || rate <= quota)
-    return 1;
-  return quota / rate + (1 - quota / rate) * context_.settings.over_quota_weight;
-}
-
-double FairQueue::priorityAt(const Message& message, Micros when) const {
-  const MessageClass& message_class = *message.class_version;
-  const double age = static_cast<double>(when - message.submitted_at);
-  const double objective = static_cast<double>(message.latency_objective);
-  const double deadline = std::max(objective, static_cast<double>(message_class.deadline));
-  double weight = 1;
-  if (age >= deadline)
-    return 0;
-  if (age > objective && context_.settings.lateness_penalty == LatenessPenalty::linear)
-    weight = 1 - (1 - message_class.late_weight_fraction) * (age - objective) / (deadline - objective);
-  else if (age > objective)
-    weight = std::max(message_class.late_weight_fraction, std::exp2(-(age - objective) / objective));
-  return message_class.priority_weight * weight * tenantWeight(message.tenant);
-}
-
 Destination* FairQueue::nextDestination(const Position& from) const {
   for (const bool by_global_tag : {false, true}) {
     if (by_global_tag < from.by_global_tag)
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -2,6 +2,8 @@
 // destinations is RBFQ of the paper "RePAIR" (dual real-time tags); docs/design.md lists the differences.
 #pragma once
 
+#include <algorithm>
+#include <cmath>
 #include <tuple>
 #include <vector>
 
@@ -74,4 +76,33 @@
   std::vector<Rate> tenant_rates_;
 };
 
+// Inline: each dispatch computes the priority of many queued messages.
+
+// Priority factor of a tenant: the part of its rate inside the quota counts in full.
+inline double FairQueue::tenantWeight(int tenant) const {
+  if (tenant < 0)
+    return 1;
+  const double quota =
+      context_.settings.tenants[static_cast<std::size_t>(tenant)].quota / context_.settings.sender_count;
+  const double rate = context_.perSecond(tenant_rates_[static_cast<std::size_t>(tenant)]);
+  if (quota <= 0 || rate <= quota)
+    return 1;
+  return quota / rate + (1 - quota / rate) * context_.settings.over_quota_weight;
+}
+
+inline double FairQueue::priorityAt(const Message& message, Micros when) const {
+  const MessageClass& message_class = *message.class_version;
+  const double age = static_cast<double>(when - message.submitted_at);
+  const double objective = static_cast<double>(message.latency_objective);
+  const double deadline = std::max(objective, static_cast<double>(message_class.deadline));
+  double weight = 1;
+  if (age >= deadline)
+    return 0;
+  if (age > objective && context_.settings.lateness_penalty == LatenessPenalty::linear)
+    weight = 1 - (1 - message_class.late_weight_fraction) * (age - objective) / (deadline - objective);
+  else if (age > objective)
+    weight = std::max(message_class.late_weight_fraction, std::exp2(-(age - objective) / objective));
+  return message_class.priority_weight * weight * tenantWeight(message.tenant);
+}
+
 }  // namespace grademux::decision
--- a/src/decision/latency_statistics.h
+++ b/src/decision/latency_statistics.h
@@ -35,4 +35,12 @@
   double common_slowdown_ = 1;
 };
 
+inline double LatencyStatistics::expectedLatency(const EndpointEntry& endpoint) const {
+  if (endpoint.target.outlier.latency_samples > 0)
+    return endpoint.target.outlier.typical_latency;
+  if (endpoint.destination->target.outlier.latency_samples > 0)
+    return endpoint.destination->target.outlier.typical_latency;
+  return samples_ > 0 ? mean_ : context_.shortest_objective / kTimeoutRatio;
+}
+
 }  // namespace grademux::decision
--- a/src/decision/message_table.cpp
+++ b/src/decision/message_table.cpp
@@ -50,9 +50,7 @@
   messages_.erase(messages_.find(message.id));
 }
 
-bool MessageTable::isFirstInOrder(const Message& message) const {
-  if (message.ordering_key.empty())
-    return true;
+bool MessageTable::isFirstOfOrderingKey(const Message& message) const {
   const OrderingQueue& queue = ordering_queues_.at(message.ordering_key);
   return queue.messages.front() == &message &&
          (!message.attempts.empty() || context_.now >= queue.blocked_until);
--- a/src/decision/message_table.h
+++ b/src/decision/message_table.h
@@ -31,7 +31,9 @@
   void eraseIfUnused(Message& message);
 
   // Whether no earlier message with the same ordering key is open or may still be executing.
-  bool isFirstInOrder(const Message& message) const;
+  bool isFirstInOrder(const Message& message) const {
+    return message.ordering_key.empty() || isFirstOfOrderingKey(message);
+  }
   // Blocks the ordering key of the message for Settings::ordering_backoff.
   void blockOrderingKey(const Message& message);
   // Erases ordering keys without messages once they are no longer blocked.
@@ -46,6 +48,8 @@
   Micros nextDeadline() const { return deadlines_.empty() ? kNever : deadlines_.begin()->first; }
 
  private:
+  bool isFirstOfOrderingKey(const Message& message) const;
+
   DecisionContext& context_;
   EndpointTable& endpoint_table_;
   FairQueue& fair_queue_;
