--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -22,10 +22,10 @@
   void read(const std::string& key, std::int64_t after, Micros, Callback done) override {
     if (after > 0)
       return;  // held back for good
-    fleet::StoreResult a;
-    a.entries.push_back({key, plan_, "", 1});
-    a.index = 1;
-    answer(a, done);
+    fleet::StoreReply reply;
+    reply.entries.push_back({key, plan_, "", 1});
+    reply.index = 1;
+    answer(reply, done);
   }
   void listPrefix(const std::string&, Callback done) override { answer({}, done); }
   void compareAndSwap(const std::string&, const std::string&, std::int64_t, Callback done) override {
@@ -39,9 +39,9 @@
   }
 
  private:
-  void answer(fleet::StoreResult a, const Callback& done) {
-    a.ok = a.applied = true;
-    boost::asio::post(io_, [a, done] { done(a); });
+  void answer(fleet::StoreReply reply, const Callback& done) {
+    reply.applied = true;
+    boost::asio::post(io_, [reply, done] { done(reply); });
   }
   boost::asio::io_context& io_;
   std::string plan_;
@@ -59,7 +59,10 @@
   sender.catch_up = [](const std::vector<fleet::MissingRequirement>&) {};
   sender.set_allowed = [](bool, const std::string&) {};
   sender.refresh_endpoints = [](const std::vector<std::string>&) {};
-  sender.zone_policy = [] { return zones::ZonePolicy(); };
+  sender.zone_policy = []() -> const zones::ZonePolicy& {
+    static const zones::ZonePolicy policy;
+    return policy;
+  };
   sender.sender_count = [] { return 1; };
   fleet::FleetMember part(io, worker, spec, std::make_unique<OnePlan>(io), folder.path(), 1, 1,
                           std::move(sender));
--- a/harness/fleet_noisy_neighbour.cpp
+++ b/harness/fleet_noisy_neighbour.cpp
@@ -154,7 +154,10 @@
         };
         sender.set_allowed = [](bool, const std::string&) {};
         sender.refresh_endpoints = [](const std::vector<std::string>&) {};
-        sender.zone_policy = [] { return zones::ZonePolicy(); };
+        sender.zone_policy = []() -> const zones::ZonePolicy& {
+          static const zones::ZonePolicy policy;
+          return policy;
+        };
         sender.sender_count = [n = options_.senders] { return n; };
         one.part = std::make_unique<fleet::FleetMember>(
             senders_.io, worker_, spec, std::make_unique<fleet::Consul>(senders_.io, spec.store), folder, 1,
--- a/src/audit/audit_log.cpp
+++ b/src/audit/audit_log.cpp
@@ -1,14 +1,13 @@
-// grademux audit: the trail; see trail.h.
 #include "audit_log.h"
 
 #include <fcntl.h>
 #include <unistd.h>
-#include <xxhash.h>
 
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
 #include <filesystem>
+#include <string_view>
 
 #include "../core/file.h"
 #include "audit_reader.h"
@@ -19,11 +18,16 @@
 
 namespace {
 
-constexpr int kSegments = 8;  // that the budget is cut into
+constexpr int kSegmentsPerBudget = 8;
+constexpr std::string_view kSegmentPrefix = "trail-";
 
-void little(std::string& out, std::uint64_t n, int bytes) {
-  for (int i = 0; i < bytes; ++i)
-    out.push_back(static_cast<char>(n >> (8 * i) & 0xff));
+std::string unusedFolder(const std::string& name) {
+  constexpr int kMaxTries = 1000;
+  std::string folder = name;
+  std::error_code error;
+  for (int number = 2; number < kMaxTries && fs::exists(folder, error); ++number)
+    folder = name + "-" + std::to_string(number);
+  return folder;
 }
 
 }  // namespace
@@ -35,30 +39,20 @@
 }
 
 std::vector<std::int64_t> listSegments(const std::string& folder) {
-  std::vector<std::int64_t> all;
-  std::error_code e;
-  for (fs::directory_iterator at(folder, e), end; !e && at != end; at.increment(e)) {
-    const std::string name = at->path().filename().string();
-    if (name.compare(0, 6, "trail-") != 0)
+  std::vector<std::int64_t> segments;
+  std::error_code error;
+  for (fs::directory_iterator entry(folder, error), end; !error && entry != end; entry.increment(error)) {
+    const std::string name = entry->path().filename().string();
+    if (name.compare(0, kSegmentPrefix.size(), kSegmentPrefix) != 0)
       continue;
-    std::int64_t n = 0;
-    const auto [rest, wrong] = std::from_chars(name.data() + 6, name.data() + name.size(), n);
-    if (wrong == std::errc() && rest == name.data() + name.size())
-      all.push_back(n);
+    std::int64_t number = 0;
+    const char* name_end = name.data() + name.size();
+    const auto [rest, code] = std::from_chars(name.data() + kSegmentPrefix.size(), name_end, number);
+    if (code == std::errc() && rest == name_end)
+      segments.push_back(number);
   }
-  std::sort(all.begin(), all.end());
-  return all;
-}
-
-std::string encodeRecord(const json& record, std::uint64_t& check) {
-  std::string payload, chained, out(kRecordMagic, kRecordMagicSize);
-  json::to_msgpack(record, payload);
-  little(chained, check, 8);
-  chained += payload;
-  check = XXH3_64bits(chained.data(), chained.size());
-  little(out, payload.size(), 4);
-  little(out, check, 8);
-  return out + payload;
+  std::sort(segments.begin(), segments.end());
+  return segments;
 }
 
 AuditLog::AuditLog(std::string folder, std::string sender, AuditBudget budget)
@@ -71,32 +65,28 @@
     ::close(fd_);
 }
 
-// Guards against a folder copied from another sender, whose records would then stand as this one's.
+// Sets a log aside that was copied from another sender: its records would be taken for this sender's.
 void AuditLog::begin() {
-  std::error_code e;
-  std::int64_t last = 0;
-  const AuditSummary had = readAuditLog(
-      folder_, "", [&](const AuditRecord& r) { last = std::max(last, r.sequence); }, [](const AuditGap&) {});
-  const std::string whose = had.sender;
-  if (!whose.empty() && whose != sender_) {
-    const std::string name = folder_ + "-of-" + whose;
-    for (int n = 1; n < 1000; ++n) {
-      foreign_folder_ = name + (n > 1 ? "-" + std::to_string(n) : "");
-      if (!fs::exists(foreign_folder_, e))
-        break;
-    }
-    fs::rename(folder_, foreign_folder_, e);
-    if (!e)
-      last = 0;
+  std::error_code error;
+  std::int64_t last_sequence = 0;
+  const AuditSummary existing = readAuditLog(
+      folder_, "",
+      [&](const AuditRecord& record) { last_sequence = std::max(last_sequence, record.sequence); },
+      [](const AuditGap&) {});
+  if (!existing.sender.empty() && existing.sender != sender_) {
+    foreign_folder_ = unusedFolder(folder_ + "-of-" + existing.sender);
+    fs::rename(folder_, foreign_folder_, error);
+    if (!error)
+      last_sequence = 0;
   }
-  fs::create_directories(folder_, e);
-  const auto segments = listSegments(folder_);
+  fs::create_directories(folder_, error);
+  const std::vector<std::int64_t> segments = listSegments(folder_);
   segment_ = segments.empty() ? 0 : segments.back();
-  sequence_ = last;
+  sequence_ = last_sequence;
 }
 
-// The chain begins anew in each segment, from its number: one that is taken away is missed by its number, and
-// by the sequence of the records.
+// Each segment starts a new chain from its number: a segment that is removed is noticed by its number and by
+// the sequence of the records.
 bool AuditLog::open(Micros now) {
   if (fd_ >= 0)
     ::close(fd_);
@@ -116,32 +106,34 @@
   return false;
 }
 
+// Removes the oldest segments until the budget has room for another one and no segment is too old.
 void AuditLog::prune() {
-  auto all = listSegments(folder_);
-  std::error_code e;
-  std::uint64_t sum = 0;
-  for (const std::int64_t n : all)
-    sum += fs::file_size(folder_ + "/" + segmentName(n), e);
-  for (const std::int64_t n : all) {
-    if (n == segment_)
+  const std::vector<std::int64_t> segments = listSegments(folder_);
+  std::error_code error;
+  std::uint64_t total = 0;
+  for (const std::int64_t segment : segments)
+    total += fs::file_size(folder_ + "/" + segmentName(segment), error);
+  for (const std::int64_t segment : segments) {
+    if (segment == segment_)
       break;
-    const std::string path = folder_ + "/" + segmentName(n);
-    const auto written = fs::last_write_time(path, e);
+    const std::string path = folder_ + "/" + segmentName(segment);
+    const auto written_at = fs::last_write_time(path, error);
     const auto age =
-        std::chrono::duration_cast<std::chrono::microseconds>(fs::file_time_type::clock::now() - written)
+        std::chrono::duration_cast<std::chrono::microseconds>(fs::file_time_type::clock::now() - written_at)
             .count();
-    if (sum + budget_.bytes / kSegments <= budget_.bytes && (e || age <= budget_.age))
+    const bool has_room = total + budget_.bytes / kSegmentsPerBudget <= budget_.bytes;
+    if (has_room && (error || age <= budget_.age))
       break;
-    sum -= std::min<std::uint64_t>(sum, fs::file_size(path, e));
-    fs::remove(path, e);
+    total -= std::min<std::uint64_t>(total, fs::file_size(path, error));
+    fs::remove(path, error);
   }
 }
 
 bool AuditLog::put(const json& record) {
-  std::uint64_t check = check_;
-  const std::string bytes = encodeRecord(record, check);
+  std::uint64_t checksum = check_;
+  const std::string bytes = encodeRecord(record, checksum);
   if (!writeAll(fd_, bytes)) {
-    // Half a record would look like damage to who reads on.
+    // Half a record would be read as damage.
     if (::ftruncate(fd_, static_cast<off_t>(size_)) != 0) {
       ::close(fd_);
       fd_ = -1;
@@ -149,19 +141,19 @@
     return false;
   }
   size_ += bytes.size();
-  check_ = check;
+  check_ = checksum;
   return true;
 }
 
 bool AuditLog::write(json record, Micros now) {
-  const auto lost = [&] {
+  const auto countMissing = [&] {
     if (missing_++ == 0)
       missing_since_ = now;
     return false;
   };
-  if (fd_ < 0 || size_ >= budget_.bytes / kSegments) {
+  if (fd_ < 0 || size_ >= budget_.bytes / kSegmentsPerBudget) {
     if (!open(now))
-      return lost();
+      return countMissing();
     prune();
   }
   if (missing_ > 0) {
@@ -170,14 +162,14 @@
               {"since", missing_since_},
               {"at", now},
               {"seq", sequence_ + 1}}))
-      return lost();
+      return countMissing();
     ++sequence_;
     missing_ = 0;
   }
   record["at"] = now;
   record["seq"] = sequence_ + 1;
   if (!put(record))
-    return lost();
+    return countMissing();
   ++sequence_;
   return true;
 }
--- a/src/audit/audit_reader.cpp
+++ b/src/audit/audit_reader.cpp
@@ -1,257 +1,207 @@
-// grademux audit: reading trails; see reader.h.
 #include "audit_reader.h"
 
-#include <xxhash.h>
-
-#include <cstring>
-#include <fstream>
+#include <algorithm>
 #include <memory>
 #include <queue>
+#include <variant>
+
+#include "segment_reader.h"
 
 namespace grademux::audit {
 
 namespace {
 
-constexpr std::size_t kPiece = 65536;
-
-std::uint64_t littleAt(const std::string& in, std::size_t at, int bytes) {
-  std::uint64_t n = 0;
-  for (int i = 0; i < bytes; ++i)
-    n |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[at + static_cast<std::size_t>(i)]))
-         << (8 * i);
-  return n;
-}
-
-std::uint64_t checkOf(std::uint64_t before, const char* payload, std::size_t size) {
-  std::string chained;
-  for (int i = 0; i < 8; ++i)
-    chained.push_back(static_cast<char>(before >> (8 * i) & 0xff));
-  chained.append(payload, size);
-  return XXH3_64bits(chained.data(), chained.size());
+std::int64_t integerOrZero(const json& record, const char* key) {
+  const auto found = record.find(key);
+  return found != record.end() && found->is_number_integer() ? found->get<std::int64_t>() : 0;
 }
 
-std::int64_t wholeIn(const json& r, const char* key) {
-  const auto at = r.find(key);
-  return at != r.end() && at->is_number_integer() ? at->get<std::int64_t>() : 0;
-}
-std::string textIn(const json& r, const char* key) {
-  const auto at = r.find(key);
-  return at != r.end() && at->is_string() ? at->get<std::string>() : "";
+std::string textOrEmpty(const json& record, const char* key) {
+  const auto found = record.find(key);
+  return found != record.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
-// The records of one folder, one after another. A record is vouched for by the check of the one before it;
-// after damage the next that fits the check which stands before it is taken, and what lies between is a gap.
-class Source {
+// The records and gaps of one folder, in order. Sequence numbers and segment headers show what is missing.
+class LogReader {
  public:
-  struct Item {
-    bool is_gap = false;
-    AuditRecord entry;
-    AuditGap gap;
-  };
+  using Item = std::variant<AuditRecord, AuditGap>;
 
-  Source(std::string folder, std::string expected)
-      : folder_(std::move(folder)), expected_(std::move(expected)), segments_(listSegments(folder_)) {}
+  LogReader(std::string folder, std::string expected_sender)
+      : folder_(std::move(folder)),
+        expected_sender_(std::move(expected_sender)),
+        segments_(listSegments(folder_)) {}
 
+  // Returns false at the end.
   bool next(Item& item) {
-    while (ready_.empty() && !over_)
-      step();
+    while (ready_.empty() && !ended_)
+      readNext();
     if (ready_.empty())
       return false;
     item = std::move(ready_.front());
     ready_.pop();
     return true;
   }
-  const AuditSummary& reading() const { return reading_; }
+  const AuditSummary& summary() const { return summary_; }
 
  private:
-  void gap(Micros to, const std::string& why) {
-    Item i;
-    i.is_gap = true;
-    i.gap = {reading_.last, to, why};
-    ready_.push(std::move(i));
-  }
-
-  void step() {
-    if (!in_ && !nextSegment()) {
-      over_ = true;
-      if (!doubt_.empty())
-        gap(0, doubt_);
-      return;
-    }
-    fill();
-    if (buffer_.size() - at_ < kRecordHeaderSize) {
-      if (buffer_.size() > at_)
-        doubt_ = "a torn end in " + name_;
-      in_.reset();
+  void readNext() {
+    if (!reader_.isOpen() && !openNextSegment()) {
+      ended_ = true;
+      if (!gap_reason_.empty())
+        addGap(0, gap_reason_);
       return;
     }
-    const std::uint64_t size = littleAt(buffer_, at_ + kRecordMagicSize, 4);
-    const bool marked = buffer_.compare(at_, kRecordMagicSize, kRecordMagic, kRecordMagicSize) == 0 &&
-                        size <= kMaxRecordBytes;
-    if (marked)
-      fill(kRecordHeaderSize + size);
-    if (!marked || buffer_.size() - at_ < kRecordHeaderSize + size)
-      return damaged();
-    const std::uint64_t check = littleAt(buffer_, at_ + kRecordMagicSize + 4, 8);
-    const char* payload = buffer_.data() + at_ + kRecordHeaderSize;
-    const std::uint64_t before = check_;
-    if (checkOf(before, payload, size) != check) {
-      // The check that stands here may still vouch for the next one.
-      check_ = check;
-      return damaged();
+    json record;
+    switch (reader_.next(record)) {
+      case SegmentReader::Status::record:
+        return addRecord(std::move(record));
+      case SegmentReader::Status::unreadable:
+        gap_reason_ = "a record that can't be read in " + segment_name_;
+        return;
+      case SegmentReader::Status::damaged:
+        gap_reason_ = "damage in " + segment_name_;
+        return;
+      case SegmentReader::Status::torn:
+        gap_reason_ = "a torn end in " + segment_name_;
+        return;
+      case SegmentReader::Status::end:
+        return;
     }
-    json record = json::from_msgpack(payload, payload + size, true, false);
-    check_ = check;
-    at_ += kRecordHeaderSize + size;
-    if (!record.is_object()) {
-      doubt_ = "a record that can't be read in " + name_;
-      return;
-    }
-    take(std::move(record));
   }
 
-  void damaged() {
-    doubt_ = "damage in " + name_;
-    const std::string mark(kRecordMagic, kRecordMagicSize);
-    std::size_t found = buffer_.find(mark, at_ + 1);
-    while (found == std::string::npos && fill(buffer_.size() - at_ + kPiece))
-      found = buffer_.find(mark, at_ + 1);
-    if (found == std::string::npos)
-      in_.reset();
-    else
-      at_ = found;
+  bool openNextSegment() {
+    if (next_segment_ >= segments_.size())
+      return false;
+    const std::int64_t number = segments_[next_segment_];
+    if (next_segment_ > 0 && number != segments_[next_segment_ - 1] + 1 && gap_reason_.empty())
+      gap_reason_ = segmentName(segments_[next_segment_ - 1] + 1) + " is missing";
+    ++next_segment_;
+    segment_name_ = segmentName(number);
+    reader_.open(folder_ + "/" + segment_name_, number);
+    return true;
   }
 
-  void take(json record) {
-    const Micros at = wholeIn(record, "at");
-    const std::int64_t sequence = wholeIn(record, "seq");
-    const std::string kind = textIn(record, "kind");
-    if (kind == "segment") {
-      const std::string whose = textIn(record, "sender");
-      if (reading_.sender.empty())
-        reading_.sender = whose;
-      if (!expected_.empty() && whose != expected_)
-        doubt_ = name_ + " is of " + whose;
-      else if (whose != reading_.sender)
-        doubt_ = name_ + " is of " + whose + ", not of " + reading_.sender;
-      if (begun_ && sequence > sequence_ && doubt_.empty())
-        doubt_ = std::to_string(sequence - sequence_) + " records are missing before " + name_;
-      if (!begun_ && sequence > 0)
-        doubt_ = "what came before " + name_ + " is gone";
-      if (!doubt_.empty())
-        gap(at, doubt_);
-      doubt_.clear();
-      begun_ = true;
-      sequence_ = std::max(sequence_, sequence);
-      return;
-    }
-    if (doubt_.empty() && begun_ && sequence != sequence_ + 1)
-      doubt_ =
-          "records " + std::to_string(sequence_ + 1) + " to " + std::to_string(sequence - 1) + " are missing";
-    if (!doubt_.empty())
-      gap(at, doubt_);
-    doubt_.clear();
-    if (kind == "missing")
-      gap(at, std::to_string(wholeIn(record, "records")) + " records could not be written");
-    begun_ = true;
-    sequence_ = sequence;
-    if (record.contains("ahead")) {
-      ahead_ = wholeIn(record, "ahead");
-      paired_ = true;
-    }
-    if (reading_.records++ == 0)
-      reading_.first = at;
-    reading_.last = at;
-    Item i;
-    i.entry = {reading_.sender, sequence, at, ahead_, paired_, std::move(record)};
-    ready_.push(std::move(i));
+  void addGap(Micros until, const std::string& reason) {
+    ready_.push(AuditGap{summary_.last, until, reason});
   }
 
-  bool nextSegment() {
-    if (next_ >= segments_.size())
-      return false;
-    const std::int64_t number = segments_[next_];
-    if (next_ > 0 && number != segments_[next_ - 1] + 1 && doubt_.empty())
-      doubt_ = segmentName(segments_[next_ - 1] + 1) + " is missing";
-    ++next_;
-    name_ = segmentName(number);
-    in_ = std::make_unique<std::ifstream>(folder_ + "/" + name_, std::ios::binary);
-    buffer_.clear();
-    at_ = 0;
-    check_ = static_cast<std::uint64_t>(number);
-    return true;
+  void flushGap(Micros until) {
+    if (!gap_reason_.empty())
+      addGap(until, gap_reason_);
+    gap_reason_.clear();
+  }
+
+  void addSegmentHeader(const json& record, Micros at, std::int64_t sequence) {
+    const std::string sender = textOrEmpty(record, "sender");
+    if (summary_.sender.empty())
+      summary_.sender = sender;
+    if (!expected_sender_.empty() && sender != expected_sender_)
+      gap_reason_ = segment_name_ + " is of " + sender;
+    else if (sender != summary_.sender)
+      gap_reason_ = segment_name_ + " is of " + sender + ", not of " + summary_.sender;
+    if (started_ && sequence > sequence_ && gap_reason_.empty())
+      gap_reason_ = std::to_string(sequence - sequence_) + " records are missing before " + segment_name_;
+    if (!started_ && sequence > 0)
+      gap_reason_ = "what came before " + segment_name_ + " is gone";
+    flushGap(at);
+    started_ = true;
+    sequence_ = std::max(sequence_, sequence);
   }
 
-  bool fill(std::size_t wanted = kRecordHeaderSize) {
-    if (buffer_.size() - at_ >= wanted || !in_)
-      return buffer_.size() - at_ >= wanted;
-    buffer_.erase(0, at_);
-    at_ = 0;
-    while (buffer_.size() < wanted) {
-      const std::size_t had = buffer_.size();
-      buffer_.resize(had + kPiece);
-      in_->read(buffer_.data() + had, kPiece);
-      buffer_.resize(had + static_cast<std::size_t>(in_->gcount()));
-      if (buffer_.size() == had)
-        return false;
+  void addRecord(json record) {
+    const Micros at = integerOrZero(record, "at");
+    const std::int64_t sequence = integerOrZero(record, "seq");
+    const std::string kind = textOrEmpty(record, "kind");
+    if (kind == "segment")
+      return addSegmentHeader(record, at, sequence);
+    if (gap_reason_.empty() && started_ && sequence != sequence_ + 1)
+      gap_reason_ =
+          "records " + std::to_string(sequence_ + 1) + " to " + std::to_string(sequence - 1) + " are missing";
+    flushGap(at);
+    if (kind == "missing")
+      addGap(at, std::to_string(integerOrZero(record, "records")) + " records could not be written");
+    started_ = true;
+    sequence_ = sequence;
+    if (record.contains("ahead")) {
+      store_clock_offset_ = integerOrZero(record, "ahead");
+      store_clock_known_ = true;
     }
-    return true;
+    if (summary_.records++ == 0)
+      summary_.first = at;
+    summary_.last = at;
+    ready_.push(AuditRecord{summary_.sender, sequence, at, store_clock_offset_, store_clock_known_,
+                            std::move(record)});
   }
 
-  std::string folder_, expected_;
+  std::string folder_;
+  std::string expected_sender_;
   std::vector<std::int64_t> segments_;
-  std::size_t next_ = 0, at_ = 0;
-  std::unique_ptr<std::ifstream> in_;
-  std::string buffer_, name_, doubt_;
-  std::uint64_t check_ = 0;
+  std::size_t next_segment_ = 0;
+  SegmentReader reader_;
+  std::string segment_name_;
+  std::string gap_reason_;  // of a gap that ends with the next record; empty: none
   std::int64_t sequence_ = 0;
-  bool begun_ = false, over_ = false, paired_ = false;
-  Micros ahead_ = 0;
-  AuditSummary reading_;
+  bool started_ = false;
+  bool ended_ = false;
+  bool store_clock_known_ = false;
+  Micros store_clock_offset_ = 0;
+  AuditSummary summary_;
   std::queue<Item> ready_;
 };
 
+// One log of several, with its next item.
+struct Head {
+  std::unique_ptr<LogReader> log;
+  LogReader::Item item;
+  Micros at = 0;  // place of the item in the common order
+};
+
+// A gap is placed where it ends, and an item never before the one that precedes it in its log.
+bool advance(Head& head) {
+  if (!head.log->next(head.item))
+    return false;
+  if (const auto* record = std::get_if<AuditRecord>(&head.item))
+    head.at = std::max(head.at, record->storeTime());
+  return true;
+}
+
 }  // namespace
 
 AuditSummary readAuditLog(const std::string& folder, const std::string& expected,
                           const std::function<void(const AuditRecord&)>& entry,
                           const std::function<void(const AuditGap&)>& gap) {
-  Source source(folder, expected);
-  for (Source::Item i; source.next(i);)
-    i.is_gap ? gap(i.gap) : entry(i.entry);
-  return source.reading();
+  LogReader log(folder, expected);
+  LogReader::Item item;
+  while (log.next(item)) {
+    if (const auto* record = std::get_if<AuditRecord>(&item))
+      entry(*record);
+    else
+      gap(std::get<AuditGap>(item));
+  }
+  return log.summary();
 }
 
 void readAuditLogs(const std::vector<std::string>& folders,
                    const std::function<void(std::size_t, const AuditRecord&)>& entry,
                    const std::function<void(std::size_t, const AuditGap&)>& gap) {
-  struct Head {
-    std::unique_ptr<Source> source;
-    Source::Item item;
-    Micros at = 0;
-  };
   std::vector<Head> heads(folders.size());
-  using Next = std::pair<Micros, std::size_t>;
-  std::priority_queue<Next, std::vector<Next>, std::greater<>> line;
-  const auto advance = [&](std::size_t n) {
-    Head& h = heads[n];
-    if (!h.source->next(h.item))
-      return;
-    // A gap comes where it ends, and nothing of a trail before what stands before it there.
-    const Micros at = h.item.is_gap ? h.at : h.item.entry.storeTime();
-    h.at = std::max(h.at, at);
-    line.emplace(h.at, n);
-  };
-  for (std::size_t n = 0; n < folders.size(); ++n) {
-    heads[n].source = std::make_unique<Source>(folders[n], "");
-    advance(n);
+  using Place = std::pair<Micros, std::size_t>;  // time and index of the log
+  std::priority_queue<Place, std::vector<Place>, std::greater<>> order;
+  for (std::size_t index = 0; index < folders.size(); ++index) {
+    heads[index].log = std::make_unique<LogReader>(folders[index], "");
+    if (advance(heads[index]))
+      order.emplace(heads[index].at, index);
   }
-  while (!line.empty()) {
-    const std::size_t n = line.top().second;
-    line.pop();
-    Source::Item item = std::move(heads[n].item);
-    item.is_gap ? gap(n, item.gap) : entry(n, item.entry);
-    advance(n);
+  while (!order.empty()) {
+    const std::size_t index = order.top().second;
+    order.pop();
+    const LogReader::Item item = std::move(heads[index].item);
+    if (const auto* record = std::get_if<AuditRecord>(&item))
+      entry(index, *record);
+    else
+      gap(index, std::get<AuditGap>(item));
+    if (advance(heads[index]))
+      order.emplace(heads[index].at, index);
   }
 }
 
--- /dev/null
+++ b/src/audit/segment_reader.h
@@ -0,0 +1,40 @@
+// Reads the records of one audit log segment in bounded memory and verifies their checksums. After damage it
+// continues at the next record mark. Not thread-safe; owns the open file.
+#pragma once
+
+#include <fstream>
+#include <memory>
+#include <string>
+
+#include "../core/json_fields.h"
+
+namespace grademux::audit {
+
+class SegmentReader {
+ public:
+  enum class Status {
+    record,      ///< `record` was read.
+    unreadable,  ///< A record with a correct checksum is not an object.
+    damaged,     ///< Bytes were skipped.
+    torn,        ///< The segment ends within a record.
+    end
+  };
+
+  /// Continues with this segment, whether or not the file exists.
+  void open(const std::string& path, std::int64_t segment);
+  /// Whether next() may return more.
+  bool isOpen() const { return file_ != nullptr; }
+  Status next(json& record);
+
+ private:
+  std::size_t available() const { return buffer_.size() - position_; }
+  bool fill(std::size_t bytes);
+  Status skipToNextMark();
+
+  std::unique_ptr<std::ifstream> file_;
+  std::string buffer_;
+  std::size_t position_ = 0;
+  std::uint64_t checksum_ = 0;  // of the record before
+};
+
+}  // namespace grademux::audit
--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -1,4 +1,3 @@
-// grademux fleet: the store by Consul's HTTP interface; see consul.h.
 #include "consul.h"
 
 #include <boost/archive/iterators/binary_from_base64.hpp>
@@ -13,11 +12,11 @@
 
 namespace {
 
-constexpr Micros kConnect = 1'000'000;
-constexpr std::size_t kBody = 16u << 20;  // bytes: reports of some 20,000 senders
+constexpr Micros kConnectTimeout = 1'000'000;
+constexpr std::size_t kMaxAnswerBytes = 16u << 20;  // reports of about 20,000 senders
 
-// RFC 4648, section 4. Throws what the library throws for other characters.
-std::string decoded(std::string text) {
+// RFC 4648, section 4. Throws for characters outside the alphabet.
+std::string decodeBase64(std::string text) {
   using namespace boost::archive::iterators;
   using Bytes = transform_width<binary_from_base64<std::string::const_iterator>, 8, 6>;
   while (!text.empty() && text.back() == '=')
@@ -30,171 +29,192 @@
   return out;
 }
 
-std::string encoded(const std::string& path) {  // RFC 3986, section 2.1; a slash stays
+// RFC 3986, section 2.3.
+bool isUnreserved(char character) {
+  const bool is_letter = (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z');
+  const bool is_digit = character >= '0' && character <= '9';
+  return is_letter || is_digit || character == '-' || character == '.' || character == '_' ||
+         character == '~';
+}
+
+// RFC 3986, section 2.1; slashes are not encoded.
+std::string percentEncode(const std::string& path) {
   static const char* kHex = "0123456789ABCDEF";
   std::string out;
-  for (const char c : path) {
-    const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                       c == '-' || c == '.' || c == '_' || c == '~' || c == '/';
+  for (const char character : path) {
+    const bool plain = isUnreserved(character) || character == '/';
     if (plain) {
-      out.push_back(c);
+      out.push_back(character);
       continue;
     }
-    const auto b = static_cast<unsigned char>(c);
-    out += {'%', kHex[b >> 4], kHex[b & 15]};
+    const auto byte = static_cast<unsigned char>(character);
+    out += {'%', kHex[byte >> 4], kHex[byte & 15]};
   }
   return out;
 }
 
-Micros dateOf(const HttpAnswer& a) {  // RFC 9110, section 5.6.7
-  const std::string* told = a.field("date");
-  std::tm t{};
-  if (!told || !::strptime(told->c_str(), "%a, %d %b %Y %H:%M:%S GMT", &t))
+Micros dateOf(const HttpAnswer& answer) {  // RFC 9110, section 5.6.7
+  const std::string* header = answer.field("date");
+  std::tm time{};
+  if (!header || !::strptime(header->c_str(), "%a, %d %b %Y %H:%M:%S GMT", &time))
     return 0;
-  return static_cast<Micros>(::timegm(&t)) * 1'000'000;
+  return static_cast<Micros>(::timegm(&time)) * 1'000'000;
 }
 
-std::int64_t indexOf(const HttpAnswer& a) {
-  const std::string* told = a.field("x-consul-index");
-  std::int64_t n = 0;
-  if (told)
-    std::from_chars(told->data(), told->data() + told->size(), n);
-  return std::max<std::int64_t>(0, n);
+std::int64_t indexOf(const HttpAnswer& answer) {
+  const std::string* header = answer.field("x-consul-index");
+  std::int64_t index = 0;
+  if (header)
+    std::from_chars(header->data(), header->data() + header->size(), index);
+  return std::max<std::int64_t>(0, index);
 }
 
-void readEntries(const HttpAnswer& a, StoreResult& to) {
-  to.index = indexOf(a);
-  if (a.status == 404)
+void readEntries(const HttpAnswer& answer, StoreReply& reply) {
+  reply.index = indexOf(answer);
+  if (answer.status == 404)
     return;
-  const json all = json::parse(a.body);
+  const json all = json::parse(answer.body);
   if (!all.is_array())
     bad("a list of entries is expected");
-  for (const json& e : all) {
+  for (const json& item : all) {
     StoreEntry entry;
-    entry.key = text(e, "Key");
-    entry.value = absent(e, "Value") ? "" : decoded(text(e, "Value"));
-    entry.session = text(e, "Session", "");
-    entry.modify_index = integer(e, "ModifyIndex");
-    to.entries.push_back(std::move(entry));
+    entry.key = text(item, "Key");
+    entry.value = absent(item, "Value") ? "" : decodeBase64(text(item, "Value"));
+    entry.session = text(item, "Session", "");
+    entry.modify_index = integer(item, "ModifyIndex");
+    reply.entries.push_back(std::move(entry));
   }
 }
 
-void readTruth(const HttpAnswer& a, StoreResult& to) {
-  to.applied = a.status == 200 && a.body.compare(0, 4, "true") == 0;
+void readApplied(const HttpAnswer& answer, StoreReply& reply) {
+  reply.applied = answer.status == 200 && answer.body.compare(0, 4, "true") == 0;
+}
+
+std::string describeFailure(const HttpAnswer& answer, const std::string& address) {
+  if (answer.how != Exchanged::answered)
+    return address + " does not answer";
+  constexpr std::size_t kShownBytes = 120;
+  return address + " answers " + std::to_string(answer.status) + " " + answer.body.substr(0, kShownBytes);
 }
 
 }  // namespace
 
-Consul::Consul(boost::asio::io_context& io, std::vector<std::string> addresses, Micros limit)
-    : io_(io), addresses_(std::move(addresses)), limit_(limit) {
+Consul::Consul(boost::asio::io_context& io, std::vector<std::string> addresses, Micros timeout)
+    : io_(io), addresses_(std::move(addresses)), timeout_(timeout) {
   if (addresses_.empty())
     throw std::invalid_argument("an address of the store is expected");
-  for (const std::string& a : addresses_)
-    parseAddress(a);
+  for (const std::string& address : addresses_)
+    parseAddress(address);
 }
 
-void Consul::ask(Line& line, const std::string& method, const std::string& target, const std::string& body,
-                 Micros limit, Read read, Callback done) {
+void Consul::enqueue(Channel& channel, const std::string& method, const std::string& target,
+                     const std::string& body, Micros timeout, ReadAnswer read_answer, Callback done) {
   Call call;
   call.request.method = method;
   call.request.target = target;
   call.request.body = body;
-  call.limit = limit;
-  call.read = std::move(read);
+  call.timeout = timeout;
+  call.read_answer = std::move(read_answer);
   call.done = std::move(done);
-  line.calls.push_back(std::move(call));
-  next(line);
+  channel.queue.push_back(std::move(call));
+  startNext(channel);
 }
 
-void Consul::next(Line& line) {
-  if (line.busy || line.calls.empty())
+void Consul::startNext(Channel& channel) {
+  if (channel.busy || channel.queue.empty())
     return;
-  line.busy = true;
-  Call call = std::move(line.calls.front());
-  line.calls.pop_front();
-  const std::string& address = addresses_[line.at % addresses_.size()];
-  if (!line.connection || !line.connection->reusable())
-    line.connection = std::make_unique<HttpConnection>(io_, parseAddress(address), address, kBody);
-  const Micros connect = std::min(kConnect, limit_);
-  line.connection->exchange(
-      std::move(call.request), connect, call.limit,
-      [this, &line, read = std::move(call.read), done = std::move(call.done), address](const HttpAnswer& a) {
-        StoreResult to;
-        to.store_time = dateOf(a);
-        const bool sound = a.how == Exchanged::answered && a.whole && (a.status == 200 || a.status == 404);
-        if (sound) {
-          try {
-            read(a, to);
-            to.ok = true;
-          } catch (const std::exception& e) {
-            to.error = address + ": " + e.what();
-          }
-        } else {
-          to.error = address + (a.how == Exchanged::answered
-                                    ? " answers " + std::to_string(a.status) + " " + a.body.substr(0, 120)
-                                    : " does not answer");
-        }
-        if (!to.ok) {
-          ++line.at;
-          line.connection.reset();
-        }
-        line.busy = false;
-        done(to);
-        next(line);
-      });
-}
-
-void Consul::read(const std::string& key, std::int64_t after, Micros wait, Callback done) {
-  std::string target = "/v1/kv/" + encoded(key) + "?consistent";
-  const bool held = after > 0;
-  if (held)
-    target += "&index=" + std::to_string(after) + "&wait=" + std::to_string(wait / 1000) + "ms";
-  // A held answer is late by up to a sixteenth of its wait, by the specification.
-  ask(held_, "GET", target, "", limit_ + (held ? wait + wait / 16 : 0), readEntries, std::move(done));
+  channel.busy = true;
+  Call call = std::move(channel.queue.front());
+  channel.queue.pop_front();
+  const std::string& address = addresses_[channel.address_index % addresses_.size()];
+  if (!channel.connection || !channel.connection->reusable())
+    channel.connection =
+        std::make_unique<HttpConnection>(io_, parseAddress(address), address, kMaxAnswerBytes);
+  const Micros connect_timeout = std::min(kConnectTimeout, timeout_);
+  channel.connection->exchange(std::move(call.request), connect_timeout, call.timeout,
+                               [this, &channel, read_answer = std::move(call.read_answer),
+                                done = std::move(call.done), address](const HttpAnswer& answer) {
+                                 const StoreResult result = readResult(answer, read_answer, address);
+                                 if (!result.has_value()) {
+                                   ++channel.address_index;
+                                   channel.connection.reset();
+                                 }
+                                 channel.busy = false;
+                                 done(result);
+                                 startNext(channel);
+                               });
+}
+
+StoreResult Consul::readResult(const HttpAnswer& answer, const ReadAnswer& read_answer,
+                               const std::string& address) {
+  if (answer.how != Exchanged::answered || !answer.whole)
+    return StoreError{describeFailure(answer, address)};
+  if (answer.status != 200 && answer.status != 404)
+    return StoreError{describeFailure(answer, address)};
+  StoreReply reply;
+  reply.store_time = dateOf(answer);
+  try {
+    read_answer(answer, reply);
+  } catch (const std::exception& error) {
+    return StoreError{address + ": " + error.what()};
+  }
+  return reply;
+}
+
+void Consul::read(const std::string& key, std::int64_t index, Micros wait, Callback done) {
+  std::string target = "/v1/kv/" + percentEncode(key) + "?consistent";
+  const bool blocking = index > 0;
+  if (blocking)
+    target += "&index=" + std::to_string(index) + "&wait=" + std::to_string(wait / 1000) + "ms";
+  // The store may exceed the wait by a sixteenth (Consul, "Blocking Queries").
+  enqueue(blocking_reads_, "GET", target, "", timeout_ + (blocking ? wait + wait / 16 : 0), readEntries,
+          std::move(done));
 }
 
 void Consul::listPrefix(const std::string& prefix, Callback done) {
-  ask(quick_, "GET", "/v1/kv/" + encoded(prefix) + "?consistent&recurse", "", limit_, readEntries,
-      std::move(done));
+  enqueue(other_requests_, "GET", "/v1/kv/" + percentEncode(prefix) + "?consistent&recurse", "", timeout_,
+          readEntries, std::move(done));
 }
 
-void Consul::compareAndSwap(const std::string& key, const std::string& value, std::int64_t changed,
+void Consul::compareAndSwap(const std::string& key, const std::string& value, std::int64_t modify_index,
                             Callback done) {
-  ask(quick_, "PUT", "/v1/kv/" + encoded(key) + "?cas=" + std::to_string(changed), value, limit_, readTruth,
-      std::move(done));
+  enqueue(other_requests_, "PUT", "/v1/kv/" + percentEncode(key) + "?cas=" + std::to_string(modify_index),
+          value, timeout_, readApplied, std::move(done));
 }
 
 void Consul::openSession(const std::string& name, Micros ttl, Callback done) {
-  // What a session held stays to be read: who was there, and as what.
-  const json o = {{"Name", name},
-                  {"TTL", std::to_string(ttl / 1'000'000) + "s"},
-                  {"Behavior", "release"},
-                  {"LockDelay", "0s"}};
-  ask(
-      quick_, "PUT", "/v1/session/create", o.dump(), limit_,
-      [](const HttpAnswer& a, StoreResult& to) {
-        if (a.status != 200)
+  // Reports remain readable after their session has ended.
+  const json request = {{"Name", name},
+                        {"TTL", std::to_string(ttl / 1'000'000) + "s"},
+                        {"Behavior", "release"},
+                        {"LockDelay", "0s"}};
+  enqueue(
+      other_requests_, "PUT", "/v1/session/create", request.dump(), timeout_,
+      [](const HttpAnswer& answer, StoreReply& reply) {
+        if (answer.status != 200)
           bad("no session is given");
-        to.session = text(json::parse(a.body), "ID");
-        to.applied = true;
+        reply.session = text(json::parse(answer.body), "ID");
+        reply.applied = true;
       },
       std::move(done));
 }
 
 void Consul::renewSession(const std::string& session, Callback done) {
-  ask(
-      quick_, "PUT", "/v1/session/renew/" + encoded(session), "", limit_,
-      [](const HttpAnswer& a, StoreResult& to) { to.applied = a.status == 200; }, std::move(done));
+  enqueue(
+      other_requests_, "PUT", "/v1/session/renew/" + percentEncode(session), "", timeout_,
+      [](const HttpAnswer& answer, StoreReply& reply) { reply.applied = answer.status == 200; },
+      std::move(done));
 }
 
 void Consul::destroySession(const std::string& session, Callback done) {
-  ask(quick_, "PUT", "/v1/session/destroy/" + encoded(session), "", limit_, readTruth, std::move(done));
+  enqueue(other_requests_, "PUT", "/v1/session/destroy/" + percentEncode(session), "", timeout_, readApplied,
+          std::move(done));
 }
 
 void Consul::acquireKey(const std::string& key, const std::string& value, const std::string& session,
                         Callback done) {
-  ask(quick_, "PUT", "/v1/kv/" + encoded(key) + "?acquire=" + encoded(session), value, limit_, readTruth,
-      std::move(done));
+  enqueue(other_requests_, "PUT", "/v1/kv/" + percentEncode(key) + "?acquire=" + percentEncode(session),
+          value, timeout_, readApplied, std::move(done));
 }
 
 }  // namespace grademux::fleet
--- a/src/fleet/consul.h
+++ b/src/fleet/consul.h
@@ -1,5 +1,6 @@
-// grademux fleet: the store by Consul's HTTP interface (its API documentation, "KV Store", "Sessions",
-// "Blocking Queries", "Consistency Modes"): `?consistent` reads, `cas`, `acquire`, sessions with TTL.
+// Store client for Consul's HTTP API ("KV Store", "Sessions", "Blocking Queries", "Consistency Modes"):
+// consistent reads, check-and-set, lock acquisition, sessions with a TTL. Used on the loop thread only; owns
+// its connections.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -13,13 +14,13 @@
 
 class Consul : public Store {
  public:
-  // `addresses`: HOST:PORT of nodes or agents, tried in turn. Throws std::invalid_argument for one that can't
-  // be read. `limit`: for an answer that is not held back.
-  Consul(boost::asio::io_context& io, std::vector<std::string> addresses, Micros limit = 2'000'000);
+  /// `addresses`: HOST:PORT of nodes or agents, tried in turn; throws std::invalid_argument if one is
+  /// malformed. `timeout`: for an answer that the store does not hold.
+  Consul(boost::asio::io_context& io, std::vector<std::string> addresses, Micros timeout = 2'000'000);
 
-  void read(const std::string& key, std::int64_t after, Micros wait, Callback done) override;
+  void read(const std::string& key, std::int64_t index, Micros wait, Callback done) override;
   void listPrefix(const std::string& prefix, Callback done) override;
-  void compareAndSwap(const std::string& key, const std::string& value, std::int64_t changed,
+  void compareAndSwap(const std::string& key, const std::string& value, std::int64_t modify_index,
                       Callback done) override;
   void openSession(const std::string& name, Micros ttl, Callback done) override;
   void renewSession(const std::string& session, Callback done) override;
@@ -28,28 +29,32 @@
                   Callback done) override;
 
  private:
-  using Read = std::function<void(const HttpAnswer&, StoreResult&)>;  // of an answer with status 200 or 404
+  // Reads an answer with status 200 or 404; throws if it is malformed.
+  using ReadAnswer = std::function<void(const HttpAnswer&, StoreReply&)>;
   struct Call {
     HttpRequest request;
-    Micros limit = 0;
-    Read read;
+    Micros timeout = 0;
+    ReadAnswer read_answer;
     Callback done;
   };
-  // One exchange at a time, the others wait in line.
-  struct Line {
-    std::size_t at = 0;  // which address
+  // One request at a time; the others are queued.
+  struct Channel {
+    std::size_t address_index = 0;  // modulo the number of addresses
     std::unique_ptr<HttpConnection> connection;
-    std::deque<Call> calls;
+    std::deque<Call> queue;
     bool busy = false;
   };
-  void ask(Line& line, const std::string& method, const std::string& target, const std::string& body,
-           Micros limit, Read read, Callback done);
-  void next(Line& line);
+  void enqueue(Channel& channel, const std::string& method, const std::string& target,
+               const std::string& body, Micros timeout, ReadAnswer read_answer, Callback done);
+  void startNext(Channel& channel);
+  static StoreResult readResult(const HttpAnswer& answer, const ReadAnswer& read_answer,
+                                const std::string& address);
 
   boost::asio::io_context& io_;
   std::vector<std::string> addresses_;
-  Micros limit_;
-  Line held_, quick_;  // reads that may be held back, and all else
+  Micros timeout_;
+  Channel blocking_reads_;
+  Channel other_requests_;
 };
 
 }  // namespace grademux::fleet
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -1,155 +1,149 @@
-// grademux fleet: one sender's part in its fleet. It reads the plan, takes it over, reports, has the sender
-// brought up, and tells it when it may act and when not. What follows from what is `Standing`'s; this carries
-// it out over the store, the trail and a file.
+// One sender's membership in a fleet: reads the plan from the store, adopts and follows it, reports its
+// state, and allows or stops actions accordingly. PlanCompliance decides; FleetMember carries the decisions
+// out. Used on the loop thread only; owns the store client, the audit log and its parts.
 //
-// Calls to the store, of one sender: a read of the plan that is held back for a fifth of the lease (300 a
-// minute at a lease of 1 s, 30 at 10 s, 10 at 30 s), a renewal each third of the session's time (6 a minute),
-// a report for each change. So N senders at a lease of 30 s ask 0.27 N times a second.
+// Store requests of one sender: a blocking read of the plan that the store holds for a fifth of the lease
+// (300 a minute at a lease of 1 s, 30 at 10 s, 10 at 30 s), a session renewal each third of the session's TTL
+// (6 a minute), and a report for each change. N senders at a lease of 30 s make 0.27 N requests per second.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
+#include <map>
 #include <memory>
+#include <string>
+#include <vector>
 
 #include "../audit/audit_log.h"
 #include "../core/action_guard.h"
 #include "../core/backoff.h"
 #include "../core/worker.h"
-#include "../zones/zone_traffic_controller.h"
-#include "../zones/zone_transitions.h"
+#include "callback_scope.h"
+#include "fleet_config.h"
 #include "plan_compliance.h"
+#include "report_publisher.h"
 #include "store.h"
+#include "zone_coordinator.h"
 
 namespace grademux::fleet {
 
-struct FleetConfig {  // [fleet] of the daemon file
-  std::string name;
-  std::vector<std::string> store;  // HOST:PORT each
-  std::string prefix = "grademux";
-  Micros session_ttl = 30'000'000;   // without a renewal it ends after this
-  bool send_version_header = false;  // calls carry X-Fleet-Version
-  bool evacuate_zones = false;       // leaves zones and comes back by itself, not by words alone
-  Micros min_evacuation_time =
-      10'000'000;  // that a zone is left for at least; doubles with each return that failed
-  audit::AuditBudget audit_budget;
-
-  std::string planKey() const { return prefix + "/plan"; }
-  std::string sendersPrefix() const { return prefix + "/senders/"; }
-};
-
 class FleetMember : public ActionGuard {
  public:
-  // What it asks of the sender and has it do; all on the loop thread.
+  /// What the member reads from the sender and has it do; all on the loop thread.
   struct Callbacks {
-    std::function<std::int64_t()> list_version;  // the version of its list
-    // Reads again what is missing, whole and at once. What it can't use it tells by brought().
+    std::function<std::int64_t()> list_version;  ///< Of the sender's endpoint list.
+    /// Reads again, completely and at once, what is missing. Problems are reported by onConfigApplied().
     std::function<void(const std::vector<MissingRequirement>&)> catch_up;
-    // Endpoints that the module is to see otherwise.
-    std::function<void(const std::vector<std::string>&)> refresh_endpoints;
+    std::function<void(const std::vector<std::string>&)> refresh_endpoints;  ///< Their visible state changed.
     std::function<const zones::ZonePolicy&()> zone_policy;
-    std::function<int()> sender_count;  // about how many there are
-    // Whether it may act has changed. Before the first call it may not.
-    std::function<void(bool may, const std::string& why)> set_allowed;
+    std::function<int()> sender_count;  ///< Approximate size of the fleet.
+    /// Whether actions are allowed has changed. Before the first call they are not.
+    std::function<void(bool allowed, const std::string& reason)> set_allowed;
   };
-  // `folder`: where the plan that was taken over and the trail are kept. `epoch`: of this process.
-  FleetMember(boost::asio::io_context& io, Worker& worker, FleetConfig spec, std::unique_ptr<Store> store,
-              const std::string& folder, std::int64_t epoch, std::uint64_t seed, Callbacks sender);
+  /// `folder`: where the adopted plan, the traffic baseline and the audit log are stored. `epoch`: of this
+  /// process.
+  FleetMember(boost::asio::io_context& io, Worker& worker, FleetConfig config, std::unique_ptr<Store> store,
+              const std::string& folder, std::int64_t epoch, std::uint64_t seed, Callbacks callbacks);
   ~FleetMember() override;
   FleetMember(const FleetMember&) = delete;
   FleetMember& operator=(const FleetMember&) = delete;
 
-  // `own`: program and digests. `cause` is for the trail. `versions`: that the journal has, by number: a
-  // process that was killed may have used one that its trail does not name.
-  void start(const RunningVersions& own, const std::string& cause,
+  /// Starts reading the plan. `running`: program version and digests. `cause`: for the audit log. `versions`:
+  /// the versions in the journal, by number; a killed process may have used one that its audit log lacks.
+  void start(const RunningVersions& running, const std::string& cause,
              const std::map<std::uint32_t, std::string>& versions);
-  // Program, settings or daemon file are others now, or were looked at; `refused`: why a file can't be used.
-  void onConfigApplied(const RunningVersions& own, const std::string& refused);
-  // This process ends soon: the store is to know at once. It still acts, as far as it may.
+  /// Program, settings or daemon file were read again. `error`: why a file can't be used; empty if all can.
+  void onConfigApplied(const RunningVersions& running, const std::string& error);
+  /// This process ends soon: ends its session at the store. Actions stay allowed while the lease lasts.
   void announceShutdown();
-  // Another process of this sender goes on, or this one ends: nothing is asked or written any more.
+  /// Ends the membership because another process of this sender continues or this one ends. Nothing is read
+  /// or written afterwards. Blocks until the audit log is closed.
   void release(const std::string& cause);
 
   bool isActionAllowed() override;
   const std::string& version() override;
   std::string versionStamp(std::int64_t number) override;
-  EndpointState visibleState(const Endpoint& e) override;
-  bool admitAttempt(const AttemptId& id, const Endpoint& e, bool repeatable) override;
+  EndpointState visibleState(const Endpoint& endpoint) override { return zones_.visibleState(endpoint); }
+  bool admitAttempt(const AttemptId& id, const Endpoint& endpoint, bool idempotent) override;
   bool isSendAllowed(const std::string& endpoint) override;
-  void onAttemptFinished(const AttemptOutcome& o) override;
+  void onAttemptFinished(const AttemptOutcome& outcome) override { zones_.onAttemptFinished(outcome); }
 
  private:
   using Timer = boost::asio::steady_timer;
-  void after(Timer& timer, Micros span, std::function<void()> then);
+  ReportPublisher::Callbacks reportCallbacks();
+  ZoneCoordinator::Callbacks zoneCallbacks();
+
   void readPlan();
-  void onPlanRead(const StoreResult& a, Micros asked);
+  void onPlanRead(const StoreResult& result, Micros requested_at);
+  void updateStoreClock(Micros store_time);
+  bool receivePlan(const std::vector<StoreEntry>& entries, Micros requested_at);
+  void updateStoreReachable(const std::string& error);
+  void scheduleNextRead(bool failed, bool received, Micros requested_at);
+
   void updateCompliance();
+  void updateAllowed(const PlanCompliance::Decision& decision);
+  void updateActionHistory(std::int64_t plan);
+  void updateReason(const PlanCompliance::Decision& decision, const RunningVersions& running);
+  void scheduleNextUpdate();
+
   void adoptPlan();
+  void onPlanStored(const Plan& plan, const std::string& error);
+  void startCatchUp(const RunningVersions& running);
   void catchUp();
   void haltPlanIfTooManyLag();
-  void applyZoneStates();
-  void storeTrafficBaseline();
-  void onZoneTimer();
-  void evaluateZones();
-  void evaluateZones(const StoreResult& a, const Plan& plan, std::int64_t changed);
-  void publishReport();
-  void writeReport();
-  void claimName();
-  void endSession();
-  void onReportPublished(bool kept);
-  void renewSession();
+  void onReportsForHalt(const StoreResult& result, const Plan& plan, std::int64_t modify_index);
+  void endHaltAttempt();
+
   SenderReport report() const;
-  void writeAuditRecord(json record);
   RunningVersions runningVersions() const;
+  void writeAuditRecord(json record);
 
-  boost::asio::io_context& io_;
   Worker& worker_;
-  FleetConfig spec_;
+  FleetConfig config_;
   std::unique_ptr<Store> store_;
   std::string plan_path_;
   std::int64_t epoch_;
-  Callbacks sender_;
+  Callbacks callbacks_;
+  CallbackScope scope_;
   PlanCompliance compliance_;
-  RunningVersions running_versions_;  // but for the list
-  Backoff pauses_, tries_;
-  std::string process_;  // tells this one from another with the same name
+  RunningVersions running_versions_;  // without the list and the plan
+  Backoff store_backoff_;
+  Backoff catch_up_backoff_;
+  std::string process_;  // distinguishes processes with the same name
   std::shared_ptr<audit::AuditLog> audit_log_;
-  Timer ask_timer_, look_timer_, bring_timer_, renew_timer_, halt_timer_, zone_timer_, judge_timer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what comes back later looks at it
-  bool released_ = false, leaving_ = false;
-
-  std::int64_t index_ = 0, plan_changed_ = 0;
-  std::int64_t lost_ = -1;  // the older plan that the store has, once it went back
-  bool silent_ = false;
-  bool allowed_ = false, allowed_reported_ = false;
-  Micros allowed_until_ = 0;
-  Compliance kind_ = Compliance::fenced;
-  std::vector<ActionPeriod> action_history_;
-  std::string reason_, refused_;
-  Micros compliant_since_ = 0;
-  std::int64_t taking_ = 0;  // the plan that is being written
-  bool bringing_ = false, halting_ = false;
-
-  std::string traffic_baseline_path_;
-  zones::ZoneTrafficController zone_traffic_;
-  zones::TrafficBaseline traffic_baseline_;  // as they are kept
-  std::map<std::string, zones::ZoneVote> votes_;
-  bool judging_ = false, pulse_due_ = false;
-
-  std::string session_, reported_;
-  bool publishing_ = false, publish_again_ = false;
-  Micros store_clock_offset_ = 0;
+  Timer read_timer_;
+  Timer update_timer_;
+  Timer catch_up_timer_;
+  Timer halt_timer_;
+  bool released_ = false;
+  bool shutting_down_ = false;
+
+  std::int64_t read_index_ = 0;
+  std::int64_t plan_modify_index_ = 0;
+  std::int64_t older_plan_ = -1;  // number of the older plan that the store shows since it lost data
+  bool store_silent_ = false;
   bool store_clock_known_ = false;
+  Micros store_clock_offset_ = 0;
 
-  RunningVersions version_of_;
-  std::string version_;
-  std::int64_t version_number_ = 0, version_calls_ = 0;
-  Micros version_last_ = 0;
+  bool allowed_ = false;
+  bool allowed_reported_ = false;
+  Micros allowed_until_ = 0;
+  Compliance current_compliance_ = Compliance::fenced;
+  Micros compliance_since_ = 0;  // Unix time
+  std::vector<ActionPeriod> action_history_;
+  std::string reason_;
+  std::string config_error_;
+  std::int64_t storing_plan_ = 0;  // number of the plan that is being stored; 0: none
+  bool catching_up_ = false;
+  bool halting_ = false;
+
+  RunningVersions stamped_versions_;
+  std::string version_;  // stamped_versions_ as JSON
+  std::int64_t version_number_ = 0;
+  std::int64_t version_attempts_ = 0;
+  Micros version_last_used_at_ = 0;  // Unix time
+
+  ReportPublisher reports_;
+  ZoneCoordinator zones_;
 };
 
-// The plan that an earlier process had taken over; nothing if there is none that can be trusted.
-std::optional<Plan> loadPlan(const std::string& path);
-std::string serializePlanFile(const Plan& plan);
-// What this sender used to send to zones that are left; empty if there is none that can be trusted.
-zones::TrafficBaseline loadTrafficBaseline(const std::string& path);
-std::string serializeTrafficBaseline(const zones::TrafficBaseline& parts);
-
 }  // namespace grademux::fleet
--- a/src/fleet/plan.cpp
+++ b/src/fleet/plan.cpp
@@ -1,4 +1,3 @@
-// grademux fleet: the plan; see plan.h.
 #include "plan.h"
 
 #include <xxhash.h>
@@ -11,30 +10,50 @@
 
 namespace {
 
-json shownNeeds(const PlanRequirements& n) {
-  json o = json::object();
-  if (!n.settings.empty())
-    o["settings"] = n.settings;
-  if (!n.daemon.empty())
-    o["daemon"] = n.daemon;
-  if (!n.program.empty())
-    o["program"] = n.program;
-  if (n.list_version >= 0)
-    o["list"] = n.list_version;
-  return o;
+// Names of the stored fields.
+constexpr const char* kRequirementFields[] = {"settings", "daemon", "program", "list"};
+
+json requirementsToJson(const PlanRequirements& requirements) {
+  json object = json::object();
+  if (!requirements.settings.empty())
+    object["settings"] = requirements.settings;
+  if (!requirements.daemon.empty())
+    object["daemon"] = requirements.daemon;
+  if (!requirements.program.empty())
+    object["program"] = requirements.program;
+  if (requirements.list_version >= 0)
+    object["list"] = requirements.list_version;
+  return object;
+}
+
+template <std::size_t N>
+void appendUnknownFields(const json& object, const char* const (&known)[N], const std::string& prefix,
+                         std::vector<std::string>& unknown) {
+  for (const auto& [key, value] : object.items())
+    if (std::find(std::begin(known), std::end(known), key) == std::end(known))
+      unknown.push_back(prefix + key);
+}
+
+PlanRequirements parseRequirements(const json& object) {
+  PlanRequirements requirements;
+  requirements.settings = text(object, "settings", "");
+  requirements.daemon = text(object, "daemon", "");
+  requirements.program = text(object, "program", "");
+  if (!absent(object, "list"))
+    requirements.list_version = integer(object, "list");
+  return requirements;
 }
 
-PlanRequirements readNeeds(const json& o, const std::string& path, std::vector<std::string>& unknown) {
-  PlanRequirements n;
-  n.settings = text(o, "settings", "");
-  n.daemon = text(o, "daemon", "");
-  n.program = text(o, "program", "");
-  if (!absent(o, "list"))
-    n.list_version = integer(o, "list");
-  for (const auto& [key, value] : o.items())
-    if (key != "settings" && key != "daemon" && key != "program" && key != "list")
-      unknown.push_back(path + "." + key);
-  return n;
+std::set<std::string> parseFenced(const json& object) {
+  std::set<std::string> fenced;
+  if (absent(object, "shut_out"))
+    return fenced;
+  for (const json& name : array(object, "shut_out")) {
+    if (!name.is_string())
+      bad("shut_out: names are expected");
+    fenced.insert(name.get<std::string>());
+  }
+  return fenced;
 }
 
 constexpr const char* kFields[] = {"number", "needs",    "before", "strict", "lease_ms", "binds_after_ms",
@@ -50,222 +69,262 @@
   return hex;
 }
 
-Plan parsePlan(const json& o) {
-  if (!o.is_object())
+Plan parsePlan(const json& object) {
+  if (!object.is_object())
     bad("the plan is not an object");
-  Plan p;
-  p.number = integer(o, "number");
-  if (p.number < 1)
+  Plan plan;
+  plan.number = integer(object, "number");
+  if (plan.number < 1)
     bad("number: 1 or more is expected");
-  p.requirements = readNeeds(object(o, "needs"), "needs", p.unknown_fields);
-  std::vector<std::string> past;  // what a plan that is over asked for binds nobody
-  p.previous_requirements = readNeeds(optionalObject(o, "before"), "before", past);
-  p.strict = truth(o, "strict");
-  p.lease = span(o, "lease_ms");
-  p.effective_after = span(o, "binds_after_ms");
-  if (p.lease < kLeastLease || p.lease > kMostLease)
+  const json& requirements = grademux::object(object, "needs");
+  plan.requirements = parseRequirements(requirements);
+  appendUnknownFields(requirements, kRequirementFields, "needs.", plan.unknown_fields);
+  // Unknown requirements of the plan before do not apply any more.
+  plan.previous_requirements = parseRequirements(optionalObject(object, "before"));
+  plan.strict = truth(object, "strict");
+  plan.lease = span(object, "lease_ms");
+  plan.effective_after = span(object, "binds_after_ms");
+  if (plan.lease < kLeastLease || plan.lease > kMostLease)
     bad("lease_ms: 1000 to 3600000 is expected");
-  if (p.effective_after < 0)
+  if (plan.effective_after < 0)
     bad("binds_after_ms: no less than 0 is expected");
-  p.max_fenced_fraction = number(o, "most_shut_out", 0.25);
-  if (!(p.max_fenced_fraction >= 0 && p.max_fenced_fraction <= 1))
+  plan.max_fenced_fraction = number(object, "most_shut_out", 0.25);
+  if (!(plan.max_fenced_fraction >= 0 && plan.max_fenced_fraction <= 1))
     bad("most_shut_out: 0 to 1 is expected");
-  if (!absent(o, "shut_out"))
-    for (const json& name : array(o, "shut_out")) {
-      if (!name.is_string())
-        bad("shut_out: names are expected");
-      p.fenced.insert(name.get<std::string>());
-    }
-  p.halted = truth(o, "halted", false);
-  for (const auto& [zone, state] : optionalObject(o, "zones").items())
-    p.zones[zone] = zones::parseState(state);
-  p.author = text(o, "by", "");
-  p.reason = text(o, "why", "");
-  if (!absent(o, "at_us"))
-    p.changed_at = integer(o, "at_us");
-  for (const auto& [key, value] : o.items())
-    if (std::none_of(std::begin(kFields), std::end(kFields), [&](const char* f) { return key == f; }))
-      p.unknown_fields.push_back(key);
-  return p;
+  plan.fenced = parseFenced(object);
+  plan.halted = truth(object, "halted", false);
+  for (const auto& [zone, state] : optionalObject(object, "zones").items())
+    plan.zones[zone] = zones::parseState(state);
+  plan.author = text(object, "by", "");
+  plan.reason = text(object, "why", "");
+  if (!absent(object, "at_us"))
+    plan.changed_at = integer(object, "at_us");
+  appendUnknownFields(object, kFields, "", plan.unknown_fields);
+  return plan;
 }
 
-json toJson(const Plan& p) {
+json toJson(const Plan& plan) {
   json states = json::object();
-  for (const auto& [zone, s] : p.zones)
-    states[zone] = zones::toJson(s);
-  return {{"number", p.number},
-          {"needs", shownNeeds(p.requirements)},
-          {"before", shownNeeds(p.previous_requirements)},
-          {"strict", p.strict},
-          {"lease_ms", p.lease / 1000},
-          {"binds_after_ms", p.effective_after / 1000},
-          {"most_shut_out", p.max_fenced_fraction},
-          {"shut_out", p.fenced},
-          {"halted", p.halted},
+  for (const auto& [zone, state] : plan.zones)
+    states[zone] = zones::toJson(state);
+  return {{"number", plan.number},
+          {"needs", requirementsToJson(plan.requirements)},
+          {"before", requirementsToJson(plan.previous_requirements)},
+          {"strict", plan.strict},
+          {"lease_ms", plan.lease / 1000},
+          {"binds_after_ms", plan.effective_after / 1000},
+          {"most_shut_out", plan.max_fenced_fraction},
+          {"shut_out", plan.fenced},
+          {"halted", plan.halted},
           {"zones", std::move(states)},
-          {"by", p.author},
-          {"why", p.reason},
-          {"at_us", p.changed_at}};
+          {"by", plan.author},
+          {"why", plan.reason},
+          {"at_us", plan.changed_at}};
 }
 
-std::string planDigest(const Plan& p) {
-  return planDigest(toJson(p).dump());
+std::string planDigest(const Plan& plan) {
+  return planDigest(toJson(plan).dump());
 }
 
-std::string transitionError(const Plan& now, const Plan& next) {
+Result<void, PlanTransitionError> checkTransition(const Plan& now, const Plan& next) {
   if (next.number != now.number + 1)
-    return "its number is " + std::to_string(next.number) + ", " + std::to_string(now.number + 1) +
-           " would follow";
-  // Whoever acts by a lenient plan does not stop: there is no lease to wait for.
+    return PlanTransitionError{PlanTransitionError::Kind::wrong_number,
+                               "its number is " + std::to_string(next.number) + ", " +
+                                   std::to_string(now.number + 1) + " would follow"};
+  // Under a lenient plan senders do not stop: there is no lease to wait for.
   if (next.strict && now.strict && next.effective_after < now.lease)
-    return "it would bind after " + std::to_string(next.effective_after / 1000) +
-           " ms: a sender that is cut off acts on for the " + std::to_string(now.lease / 1000) +
-           " ms of its lease";
-  return "";
+    return PlanTransitionError{PlanTransitionError::Kind::effective_before_lease_ends,
+                               "it would bind after " + std::to_string(next.effective_after / 1000) +
+                                   " ms: a sender that is cut off acts on for the " +
+                                   std::to_string(now.lease / 1000) + " ms of its lease"};
+  return ok();
 }
 
-Plan nextPlan(const Plan& now, const std::string& by, const std::string& why, Micros at) {
-  Plan p = now;
-  ++p.number;
+Plan nextPlan(const Plan& now, const std::string& author, const std::string& reason, Micros changed_at) {
+  Plan next = now;
+  ++next.number;
   if (!now.halted)
-    p.previous_requirements = now.requirements;
-  p.halted = false;
-  p.effective_after = std::max(now.effective_after, now.strict ? now.lease : 0);
-  p.author = by;
-  p.reason = why;
-  p.changed_at = at;
-  p.unknown_fields.clear();
-  return p;
+    next.previous_requirements = now.requirements;
+  next.halted = false;
+  next.effective_after = std::max(now.effective_after, now.strict ? now.lease : 0);
+  next.author = author;
+  next.reason = reason;
+  next.changed_at = changed_at;
+  next.unknown_fields.clear();
+  return next;
 }
 
-Plan haltedPlan(const Plan& now, const std::string& by, const std::string& why, Micros at) {
-  Plan p = nextPlan(now, by, why, at);
-  p.requirements = p.previous_requirements = now.previous_requirements;
-  p.halted = true;
-  return p;
+Plan haltedPlan(const Plan& now, const std::string& author, const std::string& reason, Micros changed_at) {
+  Plan halted = nextPlan(now, author, reason, changed_at);
+  halted.previous_requirements = now.previous_requirements;
+  halted.requirements = now.previous_requirements;
+  halted.halted = true;
+  return halted;
 }
 
-json toJson(const RunningVersions& o) {
-  return {{"program", o.program},
-          {"settings", o.settings},
-          {"daemon", o.daemon},
-          {"list", o.list_version},
-          {"plan", o.plan}};
+json toJson(const RunningVersions& versions) {
+  return {{"program", versions.program},
+          {"settings", versions.settings},
+          {"daemon", versions.daemon},
+          {"list", versions.list_version},
+          {"plan", versions.plan}};
 }
-RunningVersions parseRunningVersions(const json& o) {
-  return {text(o, "program", ""), text(o, "settings", ""), text(o, "daemon", ""),
-          absent(o, "list") ? -1 : integer(o, "list"), absent(o, "plan") ? 0 : integer(o, "plan")};
+
+RunningVersions parseRunningVersions(const json& object) {
+  RunningVersions versions;
+  versions.program = text(object, "program", "");
+  versions.settings = text(object, "settings", "");
+  versions.daemon = text(object, "daemon", "");
+  versions.list_version = absent(object, "list") ? -1 : integer(object, "list");
+  versions.plan = absent(object, "plan") ? 0 : integer(object, "plan");
+  return versions;
 }
 
-bool isOlderVersion(const std::string& a, const std::string& b) {
-  std::size_t i = 0, j = 0;
-  const auto part = [](const std::string& s, std::size_t& at) {
-    std::int64_t n = 0;
-    for (; at < s.size() && s[at] >= '0' && s[at] <= '9'; ++at)
-      n = n * 10 + (s[at] - '0');
-    while (at < s.size() && (s[at] < '0' || s[at] > '9'))
-      ++at;
-    return n;
-  };
-  while (i < a.size() || j < b.size()) {
-    const std::int64_t x = part(a, i), y = part(b, j);
-    if (x != y)
-      return x < y;
+namespace {
+
+bool isDigit(char character) {
+  return character >= '0' && character <= '9';
+}
+
+// Reads the number at `position` and skips what separates it from the next one; 0 at the end.
+std::int64_t nextVersionPart(const std::string& version, std::size_t& position) {
+  std::int64_t part = 0;
+  for (; position < version.size() && isDigit(version[position]); ++position)
+    part = part * 10 + (version[position] - '0');
+  while (position < version.size() && !isDigit(version[position]))
+    ++position;
+  return part;
+}
+
+}  // namespace
+
+bool isOlderVersion(const std::string& version, const std::string& other) {
+  std::size_t position = 0;
+  std::size_t other_position = 0;
+  while (position < version.size() || other_position < other.size()) {
+    const std::int64_t part = nextVersionPart(version, position);
+    const std::int64_t other_part = nextVersionPart(other, other_position);
+    if (part != other_part)
+      return part < other_part;
   }
   return false;
 }
 
-std::vector<MissingRequirement> missingRequirements(const RunningVersions& own, const Plan& plan,
+std::vector<MissingRequirement> missingRequirements(const RunningVersions& running, const Plan& plan,
                                                     const std::string& name) {
-  std::vector<MissingRequirement> all;
-  const auto add = [&](MissingRequirement::Kind what, std::string says) {
-    all.push_back({what, std::move(says)});
+  using Kind = MissingRequirement::Kind;
+  std::vector<MissingRequirement> missing;
+  const auto add = [&](Kind kind, std::string description) {
+    missing.push_back({kind, std::move(description)});
   };
   if (plan.fenced.count(name))
-    add(MissingRequirement::Kind::word, "shut out by " + plan.author + ": " + plan.reason);
-  for (const std::string& f : plan.unknown_fields)
-    add(MissingRequirement::Kind::field, "program " + own.program + " does not know " + f);
-  const PlanRequirements& n = plan.requirements;
-  if (!n.program.empty() && isOlderVersion(own.program, n.program))
-    add(MissingRequirement::Kind::program,
-        "program " + own.program + ", " + n.program + " or newer is asked for");
-  if (!n.settings.empty() && n.settings != own.settings)
-    add(MissingRequirement::Kind::settings, "settings " + own.settings + ", " + n.settings + " is asked for");
-  if (!n.daemon.empty() && n.daemon != own.daemon)
-    add(MissingRequirement::Kind::daemon, "daemon file " + own.daemon + ", " + n.daemon + " is asked for");
-  if (n.list_version > own.list_version)
-    add(MissingRequirement::Kind::list_version, "list " + std::to_string(own.list_version) + ", " +
-                                                    std::to_string(n.list_version) +
-                                                    " or newer is asked for");
-  return all;
+    add(Kind::word, "shut out by " + plan.author + ": " + plan.reason);
+  for (const std::string& field : plan.unknown_fields)
+    add(Kind::field, "program " + running.program + " does not know " + field);
+  const PlanRequirements& required = plan.requirements;
+  if (!required.program.empty() && isOlderVersion(running.program, required.program))
+    add(Kind::program, "program " + running.program + ", " + required.program + " or newer is asked for");
+  if (!required.settings.empty() && required.settings != running.settings)
+    add(Kind::settings, "settings " + running.settings + ", " + required.settings + " is asked for");
+  if (!required.daemon.empty() && required.daemon != running.daemon)
+    add(Kind::daemon, "daemon file " + running.daemon + ", " + required.daemon + " is asked for");
+  if (required.list_version > running.list_version)
+    add(Kind::list_version, "list " + std::to_string(running.list_version) + ", " +
+                                std::to_string(required.list_version) + " or newer is asked for");
+  return missing;
 }
 
-std::string toString(const std::vector<MissingRequirement>& lacks) {
-  std::string all;
-  for (const MissingRequirement& l : lacks)
-    all += (all.empty() ? "" : "; ") + l.description;
-  return all;
+std::string toString(const std::vector<MissingRequirement>& missing) {
+  std::string text;
+  for (const MissingRequirement& requirement : missing)
+    text += (text.empty() ? "" : "; ") + requirement.description;
+  return text;
 }
 
-json toJson(const SenderReport& r) {
-  json past = json::array(), votes = json::object();
-  for (const auto& [zone, v] : r.zones)
-    votes[zone] = zones::toJson(v);
-  for (const ActionPeriod& a : r.action_history)
-    past.push_back({a.from, a.plan, a.allowed});
-  json all{{"name", r.name},
-           {"standing", r.compliance},
-           {"why", r.reason},
-           {"host", r.host},
-           {"own", toJson(r.versions)},
-           {"heard", r.newest_plan},
-           {"lease_ms", r.lease / 1000},
-           {"strict", r.strict},
-           {"since_us", r.since},
-           {"at_us", r.at},
-           {"epoch", r.epoch},
-           {"process", r.process},
-           {"zones", std::move(votes)},
-           {"past", std::move(past)}};
-  if (!r.regions.empty())
-    all["regions"] = r.regions;
-  return all;
+// ---- Reports
+
+json toJson(const SenderReport& report) {
+  json votes = json::object();
+  for (const auto& [zone, vote] : report.zones)
+    votes[zone] = zones::toJson(vote);
+  json history = json::array();
+  for (const ActionPeriod& period : report.action_history)
+    history.push_back({period.from, period.plan, period.allowed});
+  json object{{"name", report.name},
+              {"standing", report.compliance},
+              {"why", report.reason},
+              {"host", report.host},
+              {"own", toJson(report.versions)},
+              {"heard", report.newest_plan},
+              {"lease_ms", report.lease / 1000},
+              {"strict", report.strict},
+              {"since_us", report.since},
+              {"at_us", report.at},
+              {"epoch", report.epoch},
+              {"process", report.process},
+              {"zones", std::move(votes)},
+              {"past", std::move(history)}};
+  if (!report.regions.empty())
+    object["regions"] = report.regions;
+  return object;
 }
-SenderReport parseReport(const json& o) {
-  if (!o.is_object())
-    bad("a report is not an object");
-  SenderReport r;
-  r.name = text(o, "name");
-  r.compliance = text(o, "standing", "");
-  r.reason = text(o, "why", "");
-  r.host = text(o, "host", "");
-  r.process = text(o, "process", "");
-  r.versions = parseRunningVersions(object(o, "own"));
-  r.newest_plan = absent(o, "heard") ? 0 : integer(o, "heard");
-  r.strict = truth(o, "strict", false);
-  r.lease = absent(o, "lease_ms") ? 0 : span(o, "lease_ms");
-  r.since = absent(o, "since_us") ? 0 : integer(o, "since_us");
-  r.at = absent(o, "at_us") ? 0 : integer(o, "at_us");
-  r.epoch = absent(o, "epoch") ? 0 : integer(o, "epoch");
-  for (const auto& [zone, v] : optionalObject(o, "zones").items())
-    r.zones[zone] = zones::parseVote(v);
-  for (const auto& [zone, region] : optionalObject(o, "regions").items()) {
+
+namespace {
+
+std::int64_t optionalInteger(const json& object, const char* name) {
+  return absent(object, name) ? 0 : integer(object, name);
+}
+
+std::map<std::string, std::string> parseRegions(const json& report) {
+  std::map<std::string, std::string> regions;
+  for (const auto& [zone, region] : optionalObject(report, "regions").items()) {
     if (!region.is_string())
       bad("not a text: regions." + zone);
-    r.regions[zone] = region;
+    regions[zone] = region;
   }
-  if (absent(o, "past"))
-    return r;
-  const json& past = field(o, "past");
-  if (!past.is_array())
+  return regions;
+}
+
+std::vector<ActionPeriod> parseActionHistory(const json& report) {
+  std::vector<ActionPeriod> history;
+  if (absent(report, "past"))
+    return history;
+  const json& periods = field(report, "past");
+  if (!periods.is_array())
     bad("not a list: past");
-  for (const json& a : past) {
-    if (!a.is_array() || a.size() != 3 || !a[0].is_number_integer() || !a[1].is_number_integer() ||
-        !a[2].is_boolean())
+  for (const json& period : periods) {
+    const bool valid = period.is_array() && period.size() == 3 && period[0].is_number_integer() &&
+                       period[1].is_number_integer() && period[2].is_boolean();
+    if (!valid)
       bad("past: [time, plan, may] are expected");
-    r.action_history.push_back({a[0], a[1], a[2]});
+    history.push_back({period[0], period[1], period[2]});
   }
-  return r;
+  return history;
+}
+
+}  // namespace
+
+SenderReport parseReport(const json& object) {
+  if (!object.is_object())
+    bad("a report is not an object");
+  SenderReport report;
+  report.name = text(object, "name");
+  report.compliance = text(object, "standing", "");
+  report.reason = text(object, "why", "");
+  report.host = text(object, "host", "");
+  report.process = text(object, "process", "");
+  report.versions = parseRunningVersions(grademux::object(object, "own"));
+  report.newest_plan = optionalInteger(object, "heard");
+  report.strict = truth(object, "strict", false);
+  report.lease = absent(object, "lease_ms") ? 0 : span(object, "lease_ms");
+  report.since = optionalInteger(object, "since_us");
+  report.at = optionalInteger(object, "at_us");
+  report.epoch = optionalInteger(object, "epoch");
+  for (const auto& [zone, vote] : optionalObject(object, "zones").items())
+    report.zones[zone] = zones::parseVote(vote);
+  report.regions = parseRegions(object);
+  report.action_history = parseActionHistory(object);
+  return report;
 }
 
 std::string probeRank(std::int64_t plan, const std::string& name) {
@@ -273,21 +332,25 @@
 }
 
 bool tooManyLagging(const Plan& plan, const std::vector<SenderReport>& senders, std::string& names) {
-  // What a halt asks for was in force: one that can't be followed either is the operator's to mend.
+  // A halted plan requires what was in force before. If senders can't follow that either, the operator
+  // decides.
   if (!plan.strict || plan.halted)
     return false;
-  std::size_t all = 0, behind = 0;
-  for (const SenderReport& r : senders) {
-    const bool out = r.compliance == kFencedName && r.newest_plan >= plan.number;  // and holds no session
-    if ((!r.live && !out) || plan.fenced.count(r.name))
-      continue;  // a word is the operator's to count
-    ++all;
-    if (r.versions.plan >= plan.number || missingRequirements(r.versions, plan, r.name).empty())
+  std::size_t counted = 0;
+  std::size_t lagging = 0;
+  for (const SenderReport& sender : senders) {
+    const bool is_fenced = sender.compliance == kFencedName && sender.newest_plan >= plan.number;
+    // A fenced sender holds no session. Senders fenced by an operator are not counted.
+    if ((!sender.live && !is_fenced) || plan.fenced.count(sender.name))
+      continue;
+    ++counted;
+    if (sender.versions.plan >= plan.number ||
+        missingRequirements(sender.versions, plan, sender.name).empty())
       continue;
-    ++behind;
-    names += (names.empty() ? "" : ", ") + r.name;
+    ++lagging;
+    names += (names.empty() ? "" : ", ") + sender.name;
   }
-  return static_cast<double>(behind) > plan.max_fenced_fraction * static_cast<double>(all);
+  return static_cast<double>(lagging) > plan.max_fenced_fraction * static_cast<double>(counted);
 }
 
 }  // namespace grademux::fleet
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "../core/json_fields.h"
+#include "../core/result.h"
 #include "../zones/zone_state.h"
 
 namespace grademux::fleet {
@@ -44,8 +45,14 @@
 std::string planDigest(const Plan& p);
 std::string planDigest(const std::string& canonical);
 
-// Why `next` can't follow `now`; empty: it can.
-std::string transitionError(const Plan& now, const Plan& next);
+/// Why a plan can't follow another.
+struct PlanTransitionError {
+  enum class Kind { wrong_number, effective_before_lease_ends };
+  Kind kind;
+  std::string description;
+};
+/// Whether `next` may follow `now`.
+Result<void, PlanTransitionError> checkTransition(const Plan& now, const Plan& next);
 // The plan that follows, with a number of its own, made by somebody for a reason.
 Plan nextPlan(const Plan& now, const std::string& by, const std::string& why, Micros at);
 // Takes the needs of the last plan that was not halted: for when too many would be shut out, or an operator
--- a/src/fleet/store.h
+++ b/src/fleet/store.h
@@ -1,11 +1,9 @@
-// grademux fleet: the seam of where the fleet's plan and the senders' reports live: an existing agreement
-// engine with compare-and-swap and sessions that expire. Consul stands behind it (consul.h); etcd's or a
-// database's interface would be one file more.
+// Interface to the store of the fleet's plan and the senders' reports: an existing consensus store with
+// compare-and-swap and sessions that expire. Consul implements it (consul.h).
 //
 // All functions are called on the loop thread. Each calls `done` once, from the loop and never from within
-// the call, unless the store object is gone first. `ok` false: no answer that can be trusted came (no
-// connection, silence, 5xx); a change may have been made or not, and the caller reads to know. A caller waits
-// and tries again; the next try goes to the next address.
+// the call, unless the store object is destroyed first. After an error a change may have been made or not;
+// the caller reads to find out. The caller retries after a pause; the next request goes to the next address.
 #pragma once
 
 #include <cstdint>
@@ -13,45 +11,60 @@
 #include <string>
 #include <vector>
 
+#include "../core/result.h"
 #include "grademux/sender.h"
 
 namespace grademux::fleet {
 
 struct StoreEntry {
-  std::string key, value, session;  // session: that holds it; empty: nobody
-  std::int64_t modify_index = 0;    // pass it to swap()
+  std::string key;
+  std::string value;
+  std::string session;            ///< That holds the key; empty: none.
+  std::int64_t modify_index = 0;  ///< For compareAndSwap().
 };
 
-struct StoreResult {
-  bool ok = false;
-  std::string error;                // not ok: for people
-  std::vector<StoreEntry> entries;  // of read(), in the order of keys; none: there is no such key
-  std::int64_t index = 0;           // of read(): to wait for what comes after it
-  bool applied = false;             // of what changes something: it was done; else somebody came first
-  std::string session;              // of open()
-  Micros store_time = 0;            // Unix time of the store, to the second; 0: not told
+/// What a request returned; each field belongs to the requests that it names.
+struct StoreReply {
+  std::vector<StoreEntry> entries;  ///< read(), listPrefix(): in the order of keys; empty: no such key.
+  std::int64_t index = 0;           ///< read(): from which a blocking read waits for changes.
+  bool applied = false;             ///< Changes: whether it was made; else another change came first.
+  std::string session;              ///< openSession().
+  Micros store_time = 0;            ///< Unix time of the store, to the second; 0: unknown.
 };
 
+/// The store gave no usable answer: no connection, a timeout or a server error.
+struct StoreError {
+  std::string description;
+};
+
+using StoreResult = Result<StoreReply, StoreError>;
+
+/// Whether the change is known to have been made.
+inline bool wasApplied(const StoreResult& result) {
+  return result.has_value() && result.value().applied;
+}
+
 class Store {
  public:
   using Callback = std::function<void(const StoreResult&)>;
   virtual ~Store() = default;
 
-  // The key as it is now: what was changed before the call was made is seen, whichever node answers (a read
-  // that a lagging node may answer is no use: a lease hangs on it). With `after` above 0 the answer may be
-  // held back for `wait` until there is something newer than that index. One such read at a time.
-  virtual void read(const std::string& key, std::int64_t after, Micros wait, Callback done) = 0;
-  // All keys that begin so.
+  /// Linearizable read of a key: changes made before the call are seen, whichever node answers. With `index`
+  /// above 0 the store may hold the answer for up to `wait` until there is a change after that index. One
+  /// such read at a time.
+  virtual void read(const std::string& key, std::int64_t index, Micros wait, Callback done) = 0;
+  /// All keys that start with `prefix`.
   virtual void listPrefix(const std::string& prefix, Callback done) = 0;
-  // Puts the value in place if the key was last changed at `changed`; 0: if there is no such key.
-  virtual void compareAndSwap(const std::string& key, const std::string& value, std::int64_t changed,
+  /// Writes the value if the key was last changed at `modify_index`; 0: if there is no such key.
+  virtual void compareAndSwap(const std::string& key, const std::string& value, std::int64_t modify_index,
                               Callback done) = 0;
-  // A session that ends by itself when it is not renewed for `ttl`; renew() answers not done when it has.
+  /// Opens a session that ends when it is not renewed for `ttl`.
   virtual void openSession(const std::string& name, Micros ttl, Callback done) = 0;
+  /// Not applied: the session has ended.
   virtual void renewSession(const std::string& session, Callback done) = 0;
-  // Ends it, whoever's it is: what it holds is held by nobody, and it can hold nothing more.
+  /// Ends any session: the keys that it holds are released, and it can hold none any more.
   virtual void destroySession(const std::string& session, Callback done) = 0;
-  // Puts the value in place and holds the key, if nobody else does and the session stands.
+  /// Writes the value and holds the key, if no other session does and this one has not ended.
   virtual void acquireKey(const std::string& key, const std::string& value, const std::string& session,
                           Callback done) = 0;
 };
--- a/tests/audit/audit_log_test.cpp
+++ b/tests/audit/audit_log_test.cpp
@@ -1,4 +1,4 @@
-// The trail: chained, bounded, and honest about what it can't vouch for.
+// The audit log: records chained by hash, a bounded size, and gaps reported.
 #include "../../src/audit/audit_log.h"
 
 #include <gtest/gtest.h>
@@ -9,6 +9,7 @@
 #include "../../src/audit/audit_reader.h"
 #include "../../src/core/clock.h"
 #include "../support/loopback.h"
+#include "../support/program_paths.h"
 
 namespace grademux::audit {
 namespace {
@@ -42,7 +43,7 @@
   return {std::istreambuf_iterator<char>(f), {}};
 }
 
-TEST(Trail, ComesBackInOrderOverRestarts) {
+TEST(AuditLogTest, ReadsRecordsInOrderAfterRestarts) {
   TempFolder f;
   write(f.path() + "/t", 1, 3);
   write(f.path() + "/t", 4, 5);
@@ -58,7 +59,7 @@
 
 // A bit in any place of the file: either the reading says that something is not known, or nothing but what
 // was written is told.
-TEST(Trail, AFlippedBitAnywhereIsNeverTakenForFine) {
+TEST(AuditLogTest, ReportsAGapForAFlippedBitAnywhere) {
   TempFolder f;
   const std::string folder = f.path() + "/t";
   write(folder, 1, 4);
@@ -79,7 +80,7 @@
   }
 }
 
-TEST(Trail, ATornEndAndAMissingSegmentAreGaps) {
+TEST(AuditLogTest, ReportsGapsForATornEndAndAMissingSegment) {
   TempFolder f;
   const std::string folder = f.path() + "/t";
   write(folder, 1, 3);
@@ -101,7 +102,7 @@
   EXPECT_EQ(r.gaps[0].from, 0);
 }
 
-TEST(Trail, KeepsWithinItsBytesAndSaysWhatIsGone) {
+TEST(AuditLogTest, StaysWithinItsBudgetAndReportsDroppedRecords) {
   TempFolder f;
   const std::string folder = f.path() + "/t";
   AuditBudget budget;
@@ -121,7 +122,7 @@
   EXPECT_EQ(r.gaps.size(), 1u);
 }
 
-TEST(Trail, AFolderOfAnotherSenderIsSetAside) {
+TEST(AuditLogTest, SetsAsideTheFolderOfAnotherSender) {
   TempFolder f;
   const std::string folder = f.path() + "/t";
   write(folder, 1, 3, {}, "s1");
@@ -136,7 +137,7 @@
 }
 
 // The segment of another sender among one's own.
-TEST(Trail, ASegmentCopiedInIsAGap) {
+TEST(AuditLogTest, ReportsAGapForACopiedSegment) {
   TempFolder f;
   write(f.path() + "/a", 1, 3, {}, "s1");
   write(f.path() + "/a", 4, 5, {}, "s1");
@@ -149,7 +150,7 @@
   EXPECT_NE(r.gaps[0].reason.find("s2"), std::string::npos);
 }
 
-TEST(Trail, WhatCouldNotBeWrittenIsCounted) {
+TEST(AuditLogTest, CountsRecordsThatCouldNotBeWritten) {
   TempFolder f;
   const std::string folder = f.path() + "/t";
   AuditLog t(folder, "s1", {});
@@ -173,7 +174,7 @@
 }
 
 // Clocks that differ by minutes: the order is that of the store's clock, where the senders know it.
-TEST(Trail, SeveralAreOrderedByTheStoresClock) {
+TEST(AuditLogTest, OrdersSeveralLogsByTheStoresClock) {
   TempFolder f;
   const Micros minute = 60'000'000;
   {
@@ -194,5 +195,43 @@
   EXPECT_EQ(order, (std::vector<int>{1, 2, 3, 4}));
 }
 
+// The fixture was written by version 0.4.0 before the rename of its types; its form must not change.
+TEST(AuditLogTest, ReadsTheSegmentOfAnEarlierVersion) {
+  const std::string folder = sourceFolder() + "/tests/audit/fixtures/trail";
+  constexpr Micros kWrittenAt = 1'700'000'000'000'000;
+  const Read log = all(folder, "s1");
+  EXPECT_EQ("s1", log.reading.sender);
+  EXPECT_TRUE(log.gaps.empty());
+  ASSERT_EQ(3u, log.entries.size());
+  EXPECT_EQ((json{{"kind", "start"}, {"cause", "start"}, {"epoch", 3}, {"at", kWrittenAt}, {"seq", 1}}),
+            log.entries[0].record);
+  EXPECT_FALSE(log.entries[0].store_clock_known);
+  EXPECT_EQ("standing", log.entries[1].record["kind"]);
+  EXPECT_EQ("current", log.entries[1].record["standing"]);
+  EXPECT_EQ(7, log.entries[1].record["own"]["plan"]);
+  EXPECT_TRUE(log.entries[1].store_clock_known);
+  EXPECT_EQ(kWrittenAt + 1'000'250, log.entries[1].storeTime());
+  EXPECT_EQ("end", log.entries[2].record["kind"]);
+  EXPECT_EQ(40, log.entries[2].record["calls"]);
+  EXPECT_EQ(3, log.entries[2].sequence);
+  EXPECT_EQ(kWrittenAt + 2'000'000, log.entries[2].at);
+}
+
+TEST(AuditLogTest, WritesTheSegmentOfAnEarlierVersionByteForByte) {
+  constexpr Micros kWrittenAt = 1'700'000'000'000'000;
+  TempFolder folder;
+  const std::string path = folder.path() + "/trail";
+  {
+    AuditLog log(path, "s1", {});
+    EXPECT_TRUE(log.write({{"kind", "start"}, {"cause", "start"}, {"epoch", 3}}, kWrittenAt));
+    EXPECT_TRUE(log.write(
+        {{"kind", "standing"}, {"standing", "current"}, {"why", ""}, {"own", {{"plan", 7}}}, {"ahead", 250}},
+        kWrittenAt + 1'000'000));
+    EXPECT_TRUE(log.write({{"kind", "end"}, {"cause", "stop"}, {"epoch", 3}, {"version", 2}, {"calls", 40}},
+                          kWrittenAt + 2'000'000));
+  }
+  EXPECT_EQ(bytesOf(segment(sourceFolder() + "/tests/audit/fixtures/trail", 1)), bytesOf(segment(path, 1)));
+}
+
 }  // namespace
 }  // namespace grademux::audit
--- a/tests/fleet/plan_test.cpp
+++ b/tests/fleet/plan_test.cpp
@@ -90,13 +90,13 @@
 TEST(FleetPlan, StrictBindsNoSoonerThanTheLeaseBefore) {
   const Plan now = plan(4, "aa");
   Plan next = nextPlan(now, "b", "w", 1);
-  EXPECT_EQ(transitionError(now, next), "");
+  EXPECT_TRUE(checkTransition(now, next).has_value());
   next.effective_after = now.lease - 1000;
-  EXPECT_NE(transitionError(now, next), "");
+  EXPECT_FALSE(checkTransition(now, next).has_value());
   next.strict = false;
-  EXPECT_EQ(transitionError(now, next), "");
+  EXPECT_TRUE(checkTransition(now, next).has_value());
   next.number = 6;
-  EXPECT_NE(transitionError(now, next), "");
+  EXPECT_FALSE(checkTransition(now, next).has_value());
 }
 
 TEST(FleetPlan, HaltingAsksForWhatWasInForceBefore) {
