--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -39,7 +39,7 @@
 
 // RFC 3986, section 2.1; slashes are not encoded.
 std::string percentEncode(const std::string& path) {
-  static const char* kHex = "0123456789ABCDEF";
+  constexpr const char* kHex = "0123456789ABCDEF";
   std::string out;
   for (const char character : path) {
     const bool plain = isUnreserved(character) || character == '/';
