--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
-// grademux: discovery: the watch that brings the list of endpoints, and the notices that tell the platform
-// how messages ended.
+// Discovery: the watch that keeps the endpoint list current, and the notices that report final outcomes to
+// the platform. Loop thread only, but for the parsing of long lists on the worker.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -17,7 +17,7 @@
 
 namespace grademux {
 
-// The agent on this machine: one connection, made anew when the old one is no longer good.
+// One connection to the agent on this machine, replaced when it is no longer usable.
 class Agent {
  public:
   Agent(boost::asio::io_context& io, tcp::endpoint peer, std::string host);
@@ -39,16 +39,16 @@
 // The platform's membership.
 class EndpointWatcher : public Membership {
  public:
-  // The loop must not run on once this is gone. `senders`: how many of them ask the same discovery.
+  // The loop must not run on once this is gone. `senders`: how many poll the same discovery.
   EndpointWatcher(Agent agent, Worker& worker, OnAnswer on_answer, int senders, std::uint64_t seed)
       : agent_(std::move(agent)),
         worker_(worker),
         on_answer_(std::move(on_answer)),
         schedule_(senders, seed) {}
   void start(std::int64_t from) override;
-  void refresh() override {}                          // it is told at once of all that changes
-  void moveTo(tcp::endpoint peer, std::string host);  // asks there, for the whole list
-  // Asks no more, until it is started again.
+  void refresh() override {}                          // the watch reports changes at once
+  void moveTo(tcp::endpoint peer, std::string host);  // requests a snapshot there
+  // Stops polling until start().
   void pause() {
     ++generation_;
     agent_.stop();
@@ -58,35 +58,38 @@
  private:
   void poll();
   void schedulePoll(Micros pause);
-  void take(const std::function<EndpointListAnswer()>& read);
+  void applyAnswer(const std::function<EndpointListAnswer()>& read);
 
   Agent agent_;
   Worker& worker_;
   OnAnswer on_answer_;
   PollSchedule schedule_;
   std::int64_t from_ = -1;
-  bool silent_ = false;           // the last call broke off or was not answered
-  std::uint64_t generation_ = 0;  // counts starts: a list of before one that is read still is ignored
+  bool last_poll_failed_ = false;  // the last call broke off or was not answered
+  std::uint64_t generation_ = 0;   // counts starts: a list of before one that is read still is ignored
 };
 
-// Sends notices until each has been answered, however often that takes.
+// Sends notices, in batches, until each has been answered.
 class NoticeClient : public DeliveryNotifier {
  public:
-  using OnTold = std::function<void(const std::string& id)>;
-  NoticeClient(Agent agent, OnTold on_told) : agent_(std::move(agent)), on_told_(std::move(on_told)) {}
+  using OnDelivered = std::function<void(const std::string& id)>;
+  NoticeClient(Agent agent, OnDelivered on_delivered)
+      : agent_(std::move(agent)), on_delivered_(std::move(on_delivered)) {}
   void enqueueNotice(const std::string& id, const Notice& notice) override;
-  void moveTo(tcp::endpoint peer, std::string host);  // all that is owed is told there
-  std::size_t pendingNotices() const override { return owed_.size(); }
+  void moveTo(tcp::endpoint peer, std::string host);  // sends all pending notices there
+  std::size_t pendingNotices() const override { return pending_.size(); }
 
  private:
+  static constexpr std::size_t kMaxNotices = 64;  // in one batch
+
   void send();
 
   Agent agent_;
-  OnTold on_told_;
-  std::deque<std::pair<std::string, Notice>> owed_;
-  std::size_t out_ = 0;    // the first so many are being told
-  std::size_t most_ = 64;  // at once; one by one after a batch that could not be read
-  bool waiting_ = false;
+  OnDelivered on_delivered_;
+  std::deque<std::pair<std::string, Notice>> pending_;
+  std::size_t in_flight_ = 0;            // the first so many have been sent
+  std::size_t max_batch_ = kMaxNotices;  // 1 after a batch that could not be read
+  bool backing_off_ = false;
 };
 
 }  // namespace grademux
--- a/tests/discovery/poll_schedule_test.cpp
+++ b/tests/discovery/poll_schedule_test.cpp
@@ -49,7 +49,7 @@
 
 // herd+vast 932159627858: 39 of 100 were answered, and nobody after that. All ask at once first: what waits
 // is not told of drains.
-TEST(Asking, AllOfAFleetThatStartsAtOnceAreAnswered) {
+TEST(PollSchedule, AnswersAllSendersOfAFleetThatStartsAtOnce) {
   for (const int senders : {30, 100, 200}) {
     for (const double all_in : {2.0, 5.0, 8.0}) {  // seconds in which discovery can serve a call of each
       std::vector<PollSchedule> fleet;
@@ -69,30 +69,30 @@
   EXPECT_GT(calls, 4000);
 }
 
-TEST(Asking, OneAloneAsksAtOnceAndSoonAgain) {
+TEST(PollSchedule, RetriesSoonForASingleSender) {
   for (const int senders : {-3, 0, 1}) {
     PollSchedule a(senders, 5);
-    EXPECT_LE(a.delayAfterRejection(), 2 * PollSchedule::kPause);
+    EXPECT_LE(a.delayAfterRejection(), 2 * PollSchedule::kInitialBackoff);
     for (int i = 0; i < 50; ++i) {
       const Micros pause = a.delayAfterRejection();
-      EXPECT_GE(pause, PollSchedule::kPause);
-      EXPECT_LE(pause, PollSchedule::kBrokenMost);
+      EXPECT_GE(pause, PollSchedule::kInitialBackoff);
+      EXPECT_LE(pause, PollSchedule::kMaxBackoff);
     }
     a.onAnswered();
-    EXPECT_LE(a.delayAfterFailure(), 2 * PollSchedule::kPause);
+    EXPECT_LE(a.delayAfterFailure(), 2 * PollSchedule::kInitialBackoff);
   }
 }
 
 // A call that broke off says nothing of how many ask: drains have to be heard in time, whatever the fleet.
-TEST(Asking, ABrokenCallIsSoonMadeAgainInAnyFleet) {
+TEST(PollSchedule, RetriesSoonAfterAFailureInAnyFleet) {
   PollSchedule a(100'000, 5);
   for (int i = 0; i < 50; ++i)
-    EXPECT_LE(a.delayAfterFailure(), PollSchedule::kBrokenMost);
+    EXPECT_LE(a.delayAfterFailure(), PollSchedule::kMaxBackoff);
 }
 
 // What the agent has counts as told, whether or not it was asked: a sender that starts, or whose discovery
 // has moved, asks at once, however many there are; turned away it asks again before news count as told.
-TEST(Asking, TheFirstCallIsMadeAtOnceAndNoneIsLaterThanNewsCountAsTold) {
+TEST(PollSchedule, PollsAtOnceFirstAndNeverLaterThanTheListMustBeKnown) {
   loopback::Listener first, moved;
   const auto called = [](const loopback::Listener& l) {
     pollfd p{l.fd, POLLIN, 0};
@@ -114,14 +114,14 @@
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls
 // before. Each order of failures, by the longest that each can take, has the next call begin before that.
-TEST(Asking, NoOrderOfFailuresOutlastsTheTimeAfterWhichNewsCountAsTold) {
+TEST(PollSchedule, EndsEachOrderOfFailuresBeforeTheListMustBeKnown) {
   constexpr Micros kCountsAsTold = 6 * kSecond, kAnswer = kSecond / 2;
-  const Micros silent_watch = PollSchedule::kHold + PollSchedule::kSilence,
-               silent_call = PollSchedule::kSilence;
+  const Micros silent_watch = PollSchedule::kLongPollTime + PollSchedule::kResponseGrace,
+               silent_call = PollSchedule::kResponseGrace;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     PollSchedule fresh(300, seed);
-    EXPECT_LE(silent_watch + fresh.delayAfterFailure() + PollSchedule::kConnect + fresh.delayAfterFailure() +
-                  kAnswer,
+    EXPECT_LE(silent_watch + fresh.delayAfterFailure() + PollSchedule::kConnectTimeout +
+                  fresh.delayAfterFailure() + kAnswer,
               kCountsAsTold);
     PollSchedule refused(300, seed);
     EXPECT_LE(kAnswer + refused.delayAfterRejection() + kAnswer + refused.delayAfterRejection() + kAnswer,
@@ -129,7 +129,7 @@
     PollSchedule outage(300, seed);
     for (int i = 0; i < 20; ++i)
       outage.delayAfterFailure();  // it was long; the last call began as it ended
-    EXPECT_LE(PollSchedule::kConnect + silent_call + outage.delayAfterFailure() + silent_call +
+    EXPECT_LE(PollSchedule::kConnectTimeout + silent_call + outage.delayAfterFailure() + silent_call +
                   outage.delayAfterFailure() + kAnswer,
               kCountsAsTold);
   }
@@ -137,7 +137,7 @@
 
 // Risk: an agent that fell silent is asked with a call that may wait, and 3 s more go by if it is silent
 // still.
-TEST(Asking, TheCallAfterASilentOneWaitsForNothing) {
+TEST(PollSchedule, PollsWithoutWaitingAfterATimeout) {
   std::mutex mutex;
   std::vector<std::string> targets;
   loopback::Server server([&](const loopback::Seen& seen) {
@@ -169,7 +169,7 @@
 }
 
 // The watch waits as it is told: its calls come no sooner than these pauses, which 100 ms would be.
-TEST(Asking, TheWatchKeepsThePauses) {
+TEST(PollSchedule, AppliesItsDelaysToTheWatch) {
   using Clock = std::chrono::steady_clock;
   constexpr int kSenders = 12;
   std::mutex mutex;
@@ -186,7 +186,7 @@
   Micros least = 0;
   for (int i = 0; i < 3; ++i)
     least += same.delayAfterRejection();
-  ASSERT_GT(least, 4 * PollSchedule::kPause);  // more than pauses of 100 ms make
+  ASSERT_GT(least, 4 * PollSchedule::kInitialBackoff);  // more than pauses of 100 ms make
   boost::asio::io_context io(1);
   Worker worker(io);
   std::int64_t heard = -1;
