--- a/include/grademux/sender.h
+++ b/include/grademux/sender.h
@@ -1,6 +1,6 @@
-// grademux: the interface of the decision module. Types only: no decision and no tuned value stands here.
-// One Sender decides for one sending process. It does no I/O and reads no clock: the host hands it what
-// happened (events) and carries out what it answers (actions).
+// Interface of the decision module. One Sender decides for one sending process: which messages are attempted
+// where and when, retried, rejected or failed. It does no I/O and reads no clock: the caller passes events
+// with the time, and carries out the actions. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -23,11 +23,12 @@
   std::string kind;
   std::int64_t destination = 0;
   EndpointState state = EndpointState::ready;
-  double weight = 0;  // calls a second that the destination (or route) takes, see WeightKind
+  double weight = 0;  // calls a second of the destination (or route), see WeightKind
 };
 
-struct LimitReport {              // what an answer told of the destination's limit
-  double remaining_fraction = 0;  // share of the allowance left
+// The destination's limit as an answer reports it.
+struct LimitReport {
+  double remaining_fraction = 0;  // share of the allowance that is left
   double rate_limit = 0;          // calls a second; 0: no limit
 };
 
@@ -38,37 +39,37 @@
   std::string id, message_class, tenant, ordering_key;
   std::int64_t destination = 0;
   Micros deadline = 0;
-  Micros estimated_work = 0;  // guess of its own work, 0: none
-  bool resubmitted = false;   // a client's next try, or held before by a sender that died
+  Micros estimated_work = 0;  // estimated execution time; 0: unknown
+  bool resubmitted = false;   // submitted before by the client, or accepted before by a process that ended
 };
-// A message that this sender had taken on before its process ended, with its attempts.
+// A message that an earlier process of this sender accepted, with its attempts.
 struct PastAttempt {
-  std::string endpoint;                         // may be listed no more, or unknown
-  Micros sent_at = 0;                           // may be before the first turn
-  bool may_have_run = true, in_flight = false;  // out: its outcome is still to come
+  std::string endpoint;                         // may be removed from the list, or unknown
+  Micros sent_at = 0;                           // may be before the first call of decide()
+  bool may_have_run = true, in_flight = false;  // in_flight: the outcome is still to come
 };
 struct RecoveredMessage {
   MessageArrival message;
   std::vector<PastAttempt> attempts;
-  ClassVersion class_version;  // that it was taken on under; null: its class as it is now
+  ClassVersion class_version;  // at its acceptance; null: its class as the settings have it now
 };
-// This process ends at `at`: an outcome that comes later is not heard.
+// This process ends at `at`: outcomes that arrive later are lost.
 struct ShutdownScheduled {
   Micros at = 0;
 };
+// The submitter no longer wants the message: no action names it from now on.
 struct MessageWithdrawn {
   std::string id;
-};  // nobody wants it any more
+};
 struct AttemptOutcome {
   std::string id;
   int attempt = 0;
   AttemptResult result = AttemptResult::ok;
   bool already_finished = false;
-  Micros retry_after = 0;  // with any result: nothing to this destination for so long; 0: none told
+  Micros retry_after = 0;  // with any result: no attempt to this destination for so long; 0: none
   Micros round_trip = 0;
   std::optional<LimitReport> limit_report;
-  bool stale_connection =
-      false;  // reset, on a kept connection, with no byte answered: it may have been dead before
+  bool stale_connection = false;  // reset of a reused connection without a byte of the answer
 };
 enum class EndpointListKind { delta, snapshot, cached, failed };
 struct EndpointListUpdate {
@@ -84,19 +85,21 @@
 struct StartAttempt {
   std::string id, endpoint;
   Micros timeout = 0;
-  Micros write_within = 0;  // a repeat: its last byte is written by then, or it is not made; 0: no limit
+  Micros write_within = 0;  // a retry that is not fully written by then is dropped; 0: no limit
 };
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
+// Final outcome: the message may be submitted again without a second effect.
 struct RejectMessage {
   std::string id;
   Micros retry_after = 0;
-};  // final: handing it in again is harmless
+};
+// Final outcome: the message may have been executed.
 struct FailMessage {
   std::string id;
-};                         // final: no such promise
+};
 struct WatchEndpoints {};  // subscribe to membership changes
 struct CloseIdleConnections {
   std::string endpoint;
@@ -110,13 +113,15 @@
 
 class Sender {
  public:
-  // Throws std::invalid_argument naming the field when the settings can't be.
+  // Throws std::invalid_argument that names the field if the settings are impossible. Equal seeds and events
+  // give equal actions.
   Sender(Settings settings, std::uint64_t seed);
   ~Sender();
   Sender(Sender&&) noexcept;
   Sender& operator=(Sender&&) noexcept;
 
-  // All that happened at `now`, in order; answers what to do at the same moment. `now` never goes back.
+  // Takes the events at `now`, in order, and returns the actions for the same moment. `now` must not
+  // decrease.
   std::vector<Action> decide(Micros now, const std::vector<Event>& events);
 
  private:
--- a/src/decision/class_versions.h
+++ b/src/decision/class_versions.h
@@ -1,4 +1,5 @@
-// grademux, decision: the classes of the settings as versions that messages keep. It decides nothing.
+// The message classes of the settings as immutable versions: an open message keeps the version under which it
+// was accepted.
 #pragma once
 
 #include <algorithm>
@@ -9,22 +10,23 @@
 
 namespace grademux::decision {
 
-// Each whole by itself: what the settings say of all classes alike stands in it too.
-inline std::vector<ClassVersion> makeClassVersions(const Settings& set) {
-  std::vector<ClassVersion> all;
-  for (MessageClass message_class : set.classes) {
+// One version for each class of the settings, with Settings::max_attempts where the class has none.
+inline std::vector<ClassVersion> makeClassVersions(const Settings& settings) {
+  std::vector<ClassVersion> versions;
+  for (MessageClass message_class : settings.classes) {
     if (message_class.max_attempts == 0)
-      message_class.max_attempts = set.max_attempts;
-    all.push_back(std::make_shared<const MessageClass>(std::move(message_class)));
+      message_class.max_attempts = settings.max_attempts;
+    versions.push_back(std::make_shared<const MessageClass>(std::move(message_class)));
   }
-  return all;
+  return versions;
 }
 
-inline double shortestLatencyObjective(const Settings& set) {  // microseconds
-  double least = 1e300;
-  for (const MessageClass& message_class : set.classes)
-    least = std::min(least, static_cast<double>(message_class.latency_objective));
-  return least;
+// Microseconds.
+inline double shortestLatencyObjective(const Settings& settings) {
+  double shortest = 1e300;
+  for (const MessageClass& message_class : settings.classes)
+    shortest = std::min(shortest, static_cast<double>(message_class.latency_objective));
+  return shortest;
 }
 
 }  // namespace grademux::decision
--- a/src/decision/containers.h
+++ b/src/decision/containers.h
@@ -1,5 +1,5 @@
-// grademux: containers that the decision module keeps its state in, so that a turn costs what has changed.
-// They hold and order; they decide nothing.
+// Containers of the decision module's state, indexed so that the cost of decide() follows the number of
+// changes. They order items and make no decisions. Pointers in them belong to the caller.
 #pragma once
 
 #include <algorithm>
@@ -55,7 +55,7 @@
   Order first_, second_;
 };
 
-// The median of the latest number of each key, of those that are not too old. Each change takes O(log n).
+// The median of the latest value of each key, without expired ones. Each change takes O(log n).
 template <class Key>
 class RecentMedian {
  public:
@@ -70,7 +70,7 @@
     balance();
     order_.emplace_back(at, key);
   }
-  // Numbers of `until` and from before go.
+  // Removes the values set at `until` or earlier.
   void expire(std::int64_t until) {
     for (; !order_.empty() && order_.front().first <= until; order_.pop_front()) {
       const auto known = latest_.find(order_.front().second);
@@ -80,7 +80,7 @@
       latest_.erase(known);
     }
   }
-  // The number at place size / 2 of all in order, counted from 0; there must be one.
+  // The value at index size / 2 in ascending order; size() must not be 0.
   double median() const { return *high_.begin(); }
 
  private:
@@ -101,7 +101,8 @@
   std::deque<std::pair<std::int64_t, Key>> order_;
 };
 
-// Events a second, decayed by e over a span. Times in microseconds, the span in seconds.
+// Events a second, as an average that decays by the factor e in one span. Times in microseconds, spans in
+// seconds.
 class Rate {
  public:
   double perSecond(std::int64_t now, double span) const {
@@ -122,8 +123,8 @@
   std::int64_t at_ = 0;
 };
 
-// Items in the order of a rising number of theirs. Adding is O(1), removal a search by halves and a move of
-// pointers: a list would be O(1), but its walk was measured at half the pace.
+// Items in the order of an ascending member. Adding takes O(1), removal a binary search and a move of
+// pointers; a linked list removes in O(1), but is slower to traverse.
 template <class T, std::uint64_t T::*Place>
 class OrderedList {
  public:
@@ -142,7 +143,7 @@
   std::vector<T*> items_;
 };
 
-// Keys to look at again, each at its time and but once: a later call for one that waits changes nothing.
+// Keys that are due at a time, each scheduled once: scheduling a key again before it is due changes nothing.
 template <class Key>
 class RevisitQueue {
  public:
@@ -150,7 +151,7 @@
     if (waiting_.insert(key).second)
       order_.insert({when, key});
   }
-  // Takes out the first whose time has come.
+  // Removes the first key that is due at `now`, and returns it in `key`; false: none is due.
   bool takeDue(std::int64_t now, Key& key) {
     if (order_.empty() || order_.begin()->first > now)
       return false;
--- a/src/decision/settings_check.h
+++ b/src/decision/settings_check.h
@@ -1,4 +1,4 @@
-// grademux: the check of the decision module's settings: errors name the field.
+// Check of the decision module's settings.
 #pragma once
 
 #include <set>
@@ -14,6 +14,7 @@
     throw std::invalid_argument(std::string("settings: ") + field);
 }
 
+// Throws std::invalid_argument that names the first field with an impossible value.
 inline void validate(const Settings& settings) {
   require(!settings.classes.empty(), "classes");
   std::set<std::string> names;
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_control_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-TEST(Admission, NearMaxOpenTheLeastWorthIsRefused) {
+TEST(AdmissionControl, RejectsLowestPriorityNearMaxOpenMessages) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   s.max_open_messages = 10;
@@ -28,7 +28,7 @@
     EXPECT_EQ(refused[i].substr(0, 5), "cheap");
 }
 
-TEST(Admission, AMessageWhoseTimeIsOverIsAnsweredAndNeverSent) {
+TEST(AdmissionControl, FailsExpiredMessageWithoutSending) {
   Rig r;
   r.list({makeEndpoint("e1", 1)});
   r.at(kS);
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(Admission, AWithdrawnMessageIsNeitherSentNorAnsweredAndItsLateOutcomeDoesNoHarm) {
+TEST(AdmissionControl, IgnoresWithdrawnMessageAndItsLateOutcome) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   Rig r(s);
@@ -60,7 +60,7 @@
 
 // debrecen-kelet-later big-2: busy senders held four seconds of messages for their few slots, and each was
 // late. Of many senders one refuses what would come late while its slots are busy; of two it holds them.
-TEST(Admission, WithAllSlotsBusyLateMessagesAreRefusedDownToAShortQueue) {
+TEST(AdmissionControl, RejectsLateMessagesWhenAllCallsAreInUse) {
   auto refused = [](int senders, bool busy) {
     Settings s = makeSettings();
     s.sender_count = senders;
--- a/tests/decision/containers_test.cpp
+++ b/tests/decision/containers_test.cpp
@@ -10,7 +10,7 @@
 namespace grademux {
 namespace {
 
-TEST(RecentMedian, IsThatOfASortedListOfWhatIsRecent) {
+TEST(RecentMedian, EqualsMedianOfSortedRecentValues) {
   std::mt19937 random(7);
   RecentMedian<int> median;
   std::map<int, std::pair<double, std::int64_t>> plain;
@@ -38,7 +38,7 @@
   }
 }
 
-TEST(TwoKeyIndex, KeepsBothOrdersAsSortedListsDo) {
+TEST(TwoKeyIndex, EqualsSortedListsInBothOrders) {
   std::mt19937 random(8);
   TwoKeyIndex<int> index;
   std::map<std::int64_t, std::pair<double, double>> plain;
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/endpoint_table_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-TEST(Membership, NothingNewToADrainingEndpoint) {
+TEST(EndpointTable, SendsNothingToDrainingEndpoint) {
   Rig r;
   r.list({makeEndpoint("e1", 1)});
   Endpoint e = makeEndpoint("e1", 1);
@@ -20,7 +20,7 @@
   EXPECT_EQ(r.got<FailMessage>().size() + r.got<RejectMessage>().size(), 1u);
 }
 
-TEST(Membership, AFailedSubscriptionIsAskedForAgain) {
+TEST(EndpointTable, PollsAgainAfterFailedPoll) {
   Settings s = makeSettings();
   s.list_mode = ListMode::poll;
   Rig r(s);
@@ -36,7 +36,7 @@
   EXPECT_EQ(asked, 1u);
 }
 
-TEST(Membership, EventsThatNameNothingChangeNothing) {
+TEST(EndpointTable, IgnoresEventsWithUnknownIds) {
   Rig r;
   r.list({makeEndpoint("e1", 1)});
   EXPECT_TRUE(r.run({AttemptOutcome{}, MessageWithdrawn{"nobody"}}).empty());
--- a/tests/decision/reference_tags_test.cpp
+++ b/tests/decision/fair_queue_reference_test.cpp
@@ -83,7 +83,7 @@
   }
 };
 
-TEST(ReferenceTags, TheSameDestinationGetsEachSlot) {
+TEST(FairQueueReference, ChoosesSameDestinationAsPlainImplementation) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     Settings s = makeSettings();
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/fair_queue_test.cpp
@@ -10,7 +10,7 @@
 
 // The paper's Table 3: M1 = 20, M2 = 40 a second, w1:w2 = 3:1, one server of 100 a second. Each 50 ms three
 // starts go to c1 and two to c2.
-TEST(Tags, PaperTable3) {
+TEST(FairQueue, FollowsTable3OfThePaper) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   s.weight_kind = WeightKind::nominal;
@@ -41,7 +41,7 @@
   }
 }
 
-TEST(Tags, DueLocalTagGoesBeforeSmallerGlobalTag) {
+TEST(FairQueue, ServesDueLocalTagBeforeSmallerGlobalTag) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   s.weight_kind = WeightKind::nominal;
@@ -55,7 +55,7 @@
 }
 
 // Risk: after a told wait a destination takes all slots for as long as the others were served without it.
-TEST(Tags, WhoCouldNotSendTakesNoMoreThanItsShareAfterwards) {
+TEST(FairQueue, LimitsClaimOfDestinationThatCouldNotSend) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   s.weight_kind = WeightKind::nominal;
@@ -84,7 +84,7 @@
   EXPECT_GE(second, 15);
 }
 
-TEST(Tags, EndpointWithTheFewestCallsOut) {
+TEST(Dispatcher, ChoosesEndpointWithFewestCallsInFlight) {
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("m1", "safe", 1);
@@ -92,7 +92,7 @@
   EXPECT_NE(r.where["m1"], r.where["m2"]);
 }
 
-TEST(Tags, IdleCreditIsAtMostSigmaStarts) {
+TEST(FairQueue, LimitsIdleCreditToSigmaStarts) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   s.weight_kind = WeightKind::nominal;
@@ -122,7 +122,7 @@
 
 // Tag adjustment: global tags of a backlog that ran ahead of real time move back so that the smallest is now;
 // else a newly active destination would starve the backlogged one until its tags had caught up.
-TEST(Tags, ArrivalShiftsGlobalTagsSoThatTheSmallestIsNow) {
+TEST(FairQueue, ShiftsGlobalTagsOnArrivalSoThatSmallestIsNow) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   Rig r(s);
--- a/tests/decision/golden_test.cpp
+++ b/tests/decision/golden_test.cpp
@@ -13,9 +13,9 @@
   std::uint64_t digest, sends, refusals, failures;
   friend void PrintTo(const Golden& g, std::ostream* out) { *out << g.name; }
 };
-class SameActions : public ::testing::TestWithParam<Golden> {};
+class RecordedDecisions : public ::testing::TestWithParam<Golden> {};
 
-TEST_P(SameActions, AsTheWalkThroughAllOfTheBacklog) {
+TEST_P(RecordedDecisions, MatchRecordedDigest) {
   const Golden& g = GetParam();
   Stream s(streamShape(g.name), 1);
   const std::uint64_t digest = s.run();
@@ -25,7 +25,7 @@
   EXPECT_EQ(g.digest, digest) << std::hex << digest;
 }
 
-INSTANTIATE_TEST_SUITE_P(Streams, SameActions,
+INSTANTIATE_TEST_SUITE_P(Streams, RecordedDecisions,
                          ::testing::Values(Golden{"calm", 0xb282a2345d6d68b5u, 4097, 0, 45},
                                            Golden{"outage", 0x8a01f49b80bc34afu, 5892, 164, 59},
                                            Golden{"overload", 0xae6d2c3703b7599du, 9662, 44565, 89},
--- a/tests/decision/recall_test.cpp
+++ b/tests/decision/learned_state_test.cpp
@@ -37,7 +37,7 @@
   return {makeEndpoint("e" + std::to_string(dest), dest), makeEndpoint("f" + std::to_string(dest), dest)};
 }
 
-TEST(Recall, ASurveyTellsEachDestinationOnceInSlices) {
+TEST(LearnedState, ExportsEachDestinationOnceInBatches) {
   Rig r;
   r.at(100 * kS);
   std::vector<Endpoint> all;
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(Recall, TheNextProcessActsOnIt) {
+TEST(LearnedState, AppliesStateOfEarlierProcess) {
   Rig first;
   first.at(100 * kS).list(twoOf(1));
   teach(first, 1, 100);
@@ -101,7 +101,7 @@
   EXPECT_LT(sentInRamp(lessons), 40u);  // it is a ramp nevertheless
 }
 
-TEST(Recall, AToldWaitOutlastsTheProcess) {
+TEST(LearnedState, RestoresRetryAfterInNextProcess) {
   Rig first;
   first.at(100 * kS).list(twoOf(1));
   first.arrive("m", "safe", 1);
@@ -118,7 +118,7 @@
   EXPECT_EQ(next.arrive("n", "safe", 1).size(), 1u);
 }
 
-TEST(Recall, WhatTheProcessKnowsItselfOrCantPlaceIsNotReplaced) {
+TEST(LearnedState, IgnoresStateOfKnownOrUnlistedEndpoints) {
   Rig r;
   r.at(100 * kS).list(twoOf(1));
   teach(r, 1, 10);
@@ -141,7 +141,7 @@
   }
 }
 
-TEST(Recall, ALimitThatChangedMeanwhileIsLearnedFromTheNextAnswers) {
+TEST(LearnedState, CorrectsRestoredLimitFromLaterAnswers) {
   Rig r;
   r.at(100 * kS).list(twoOf(1));
   LearnedEndpoint l;
@@ -221,7 +221,7 @@
   }
   return over;
 }
-TEST(Recall, AllSendersRestartedAtOnceDoNotPushOverWhatIsCold) {
+TEST(LearnedState, LimitsRateToColdDestinationAfterAllSendersRestart) {
   EXPECT_FALSE(pushedOver(true));
   EXPECT_TRUE(pushedOver(false));  // what they would do as if nothing were known
 }
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -9,7 +9,7 @@
 
 // Incident i98b5a8: idle connections died unseen at every destination; each call on a reused one was lost,
 // the next, on a fresh one, answered. After a few such signs idle connections are closed before a call.
-TEST(Health, IdleConnectionsThatDieUnseenAreClosedBeforeTheNextCall) {
+TEST(ConnectionPolicy, ClosesIdleConnectionsOnceTheyGoStaleSilently) {
   Settings s = makeSettings();
   s.idle_connection_timeout = 60 * kS;
   Rig r(s);
@@ -46,7 +46,7 @@
 
 // i0e42b8: the same among many senders, that see each endpoint too rarely for the signs to meet there: a call
 // lost on one endpoint's reused connection and the next answered on another's fresh one is a sign as well.
-TEST(Health, SignsOfDeadIdleConnectionsMeetByDestination) {
+TEST(ConnectionPolicy, CombinesStaleEvidencePerDestination) {
   Settings s = makeSettings();
   s.sender_count = 200;
   s.idle_connection_timeout = 60 * kS;
@@ -86,7 +86,7 @@
 // rough-2 of budapest-kozpont, ie55d22: several destinations hang together; calls that were out when they
 // fell sick held all slots. Those beyond the lane are called off, repeatable ones first, and the healthy get
 // slots.
-TEST(Health, OverdueCallsBeyondTheLaneAreCalledOffWhenNoSlotIsLeft) {
+TEST(OutlierDetector, CancelsOverdueAttemptsWhenNoCallIsFree) {
   Settings s = makeSettings();
   s.max_in_flight = 4;
   s.cancel_allowed = true;
@@ -112,7 +112,7 @@
 
 // rough-2 of budapest-kozpont: nine destinations hung with one call each; none counted as sick, all slots
 // went.
-TEST(Health, OneOverdueCallEachIsEnoughForTheLane) {
+TEST(OutlierDetector, LimitsOutlierCallsAfterOneOverdueAttemptEach) {
   Settings s = makeSettings();
   s.max_in_flight = 4;
   Rig r(s);
@@ -133,7 +133,7 @@
 
 // Risk: a wait is told by a head whose body breaks off, or lies unread as the call is called off, and is
 // broken by the next message.
-TEST(Health, AToldWaitIsHeededWhateverBecameOfTheCall) {
+TEST(OutlierDetector, AppliesRetryAfterWithAnyResult) {
   for (const AttemptResult result :
        {AttemptResult::rejected, AttemptResult::reset, AttemptResult::timeout, AttemptResult::cancelled}) {
     for (const bool stale : {false, true}) {
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -285,7 +285,7 @@
   std::map<std::string, Micros> waits_, quiet_, off_;
 };
 
-TEST(Property, RulesHoldUnderLongRandomButLegalSequences) {
+TEST(DecisionProperties, HoldForRandomEventSequences) {
   for (int variant = 0; variant < 12; ++variant) {
     SCOPED_TRACE(variant);
     Settings s = makeSettings();
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-TEST(Bound, ToldToWaitNothingGoesBeforeTheWaitIsOver) {
+TEST(RateLimiter, SendsNothingBeforeRetryAfterIsOver) {
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("m1", "safe", 1);
@@ -24,7 +24,7 @@
 
 // The fail-back rule: after an outage what this sender sends within FallMs stays inside cold share x factor x
 // its even part of the limit, however much is held.
-TEST(Bound, BudgetOfAReturningDestination) {
+TEST(RateLimiter, LimitsRateDuringSlowStart) {
   Settings s = makeSettings();
   s.sender_count = 2;
   s.max_in_flight = 50;
@@ -60,7 +60,7 @@
 }
 
 // A refusal that told no wait cuts this sender's part: the next calls come further apart.
-TEST(Bound, RefusalsCutThisSendersPart) {
+TEST(RateLimiter, ReducesQuotaAfterRejection) {
   Settings s = makeSettings();
   s.max_in_flight = 50;
   s.weight_kind = WeightKind::nominal;
@@ -80,7 +80,7 @@
 }
 
 // "Floor plus every spare slot" (an objection to the design): a told limit caps due local tags as well.
-TEST(Bound, AToldLimitCapsFloorAndSpareSlots) {
+TEST(RateLimiter, KeepsReportedLimitWithFreeCalls) {
   Settings s = makeSettings();
   s.max_in_flight = 100;
   s.weight_kind = WeightKind::nominal;
@@ -98,7 +98,7 @@
 // fresh-big of budapest-kozpont-later: the first tries of rare senders passed all pacing of a destination
 // that they had seen fail; together they pushed it over when it came back. While it is down they are paced
 // too.
-TEST(Bound, FirstTriesOfARareSenderArePacedWhileADestinationIsDown) {
+TEST(RateLimiter, PacesFirstAttemptsOfRareSenderWhileDestinationIsDown) {
   Settings s = makeSettings();
   s.sender_count = 200;
   s.weight_kind = WeightKind::nominal;
@@ -114,7 +114,7 @@
 
 // Calls that passed the pacing must leave no debt: their tags ran ahead until every pacing outlasted every
 // message, so that all passed.
-TEST(Bound, ACallThatPassedThePacingLeavesNoDebt) {
+TEST(RateLimiter, LeavesLaterCallsUndelayedAfterFirstAttemptIgnoredPacing) {
   Settings s = makeSettings();
   s.sender_count = 200;
   s.weight_kind = WeightKind::nominal;
@@ -141,7 +141,7 @@
 
 // rough-1 of debrecen-kelet-later: clients with little patience; pacing that outlasts a message only loses
 // it.
-TEST(Bound, AFirstTryGoesWhenPacingWouldOutlastTheMessage) {
+TEST(RateLimiter, SendsFirstAttemptWhenPacingWouldOutlastDeadline) {
   Settings s = makeSettings();
   s.sender_count = 200;
   s.weight_kind = WeightKind::nominal;
@@ -158,7 +158,7 @@
 }
 
 // herd+vast 359820571784: where refused calls use a limit up, those that pass keep it used up for all.
-TEST(Bound, NoFirstTryPassesAfterTwoRefusalsInARow) {
+TEST(RateLimiter, PacesFirstAttemptAfterTwoConsecutiveRejections) {
   Settings s = makeSettings();
   s.sender_count = 200;
   s.weight_kind = WeightKind::nominal;
@@ -179,7 +179,7 @@
 }
 
 // gyor-nyugat-later big-1: told waits of a shut destination end for all at one moment, and it fell over.
-TEST(Bound, SendersThatWereToldALongWaitComeBackSpread) {
+TEST(RateLimiter, SpreadsSendersAfterLongRetryAfter) {
   Settings s = makeSettings();
   s.sender_count = 200;
   std::vector<Micros> back;
@@ -200,7 +200,7 @@
 
 // hf6a5a4: many senders each tried a hanging destination three times before they called it an outage;
 // together the further tries pushed it over when it came back. One of many paces after its first failure.
-TEST(Bound, AmongManySendersOneFailurePacesFurtherTries) {
+TEST(RateLimiter, PacesRetriesAfterOneFailureInLargeFleet) {
   Settings s = makeSettings();
   s.sender_count = 200;
   s.weight_kind = WeightKind::nominal;
@@ -217,7 +217,7 @@
 
 // h263b28: each of many senders that had seen a hang tried it once more at once, and together they pushed it
 // over when it came back. The first trial is spread as well.
-TEST(Bound, AmongManySendersTheFirstTrialIsSpread) {
+TEST(RateLimiter, SpreadsFirstTrialInLargeFleet) {
   Settings s = makeSettings();
   s.sender_count = 200;
   int at_once = 0;
@@ -263,13 +263,13 @@
   return calls;
 }
 
-TEST(Bound, AmongManySendersARefusalLeavesOneEvenPartAtMost) {
+TEST(RateLimiter, ReducesQuotaToOneShareAfterRejectionInLargeFleet) {
   EXPECT_LE(callsWithin4s(100, AttemptResult::rejected, 0.5), 80);  // 129 with two parts to begin with
   EXPECT_GE(callsWithin4s(100, AttemptResult::rejected, 0.5), 40);  // half an even part stays
   EXPECT_GE(callsWithin4s(3, AttemptResult::rejected, 0.5), 90);    // few hear of a limit soon enough
 }
 
-TEST(Bound, AmongManySendersALimitThatIsNearlyUsedUpIsEasedOff) {
+TEST(RateLimiter, ReducesQuotaAtLowAllowanceInLargeFleet) {
   const int plenty = callsWithin4s(100, AttemptResult::rejected, 0.5),
             none = callsWithin4s(100, AttemptResult::rejected, 0.05);
   EXPECT_LE(none, 0.8 * plenty);
@@ -277,7 +277,7 @@
 }
 
 // A destination that is cold is not full: what it takes then says nothing of its limit.
-TEST(Bound, ThePartOfALimitDoesNotGrowWhileItIsCold) {
+TEST(RateLimiter, KeepsQuotaWhileCold) {
   Settings s = makeSettings();
   s.sender_count = 3;
   s.weight_kind = WeightKind::nominal;
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/recovered_messages_test.cpp
@@ -17,7 +17,7 @@
   return r;
 }
 
-TEST(Restart, WhatMayHaveRunGoesAgainOnlyAsItsClassAllows) {
+TEST(RecoveredMessages, RetriesOnlyAsIdempotencyAllows) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   const PastAttempt old{"e", 90 * kS, true}, young{"e", 99 * kS, true}, none{"e", 99 * kS, false};
@@ -40,7 +40,7 @@
 }
 
 // Risk: calls that stayed with the process that was replaced are made again, or take no slot.
-TEST(Restart, WhatIsOutStillTakesItsSlotAndEndsByItsOutcome) {
+TEST(RecoveredMessages, CountsAttemptInFlightUntilItsOutcome) {
   Settings set = makeSettings();
   set.max_in_flight = 1;
   Rig rig(set);
@@ -61,7 +61,7 @@
 }
 
 // Risk: a class that is altered while messages are open binds these too.
-TEST(Retune, OpenMessagesKeepTheClassTheyCameUnder) {
+TEST(SettingsUpdate, KeepsClassVersionOfOpenMessages) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   EXPECT_EQ(rig.run({rig.arrival("old", "unsafe", 1)}).size(), 1u);
@@ -92,7 +92,7 @@
   EXPECT_EQ(rig.got<FailMessage>()[0].id, "resumed");
 }
 
-TEST(Restart, PastAttemptsCountTowardsTheMost) {
+TEST(RecoveredMessages, CountsPastAttemptsTowardsMaxAttempts) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   const std::vector<PastAttempt> past(static_cast<std::size_t>(rig.set.max_attempts - 1),
@@ -104,7 +104,7 @@
 }
 
 // The next process resumes a backlog: it must pace what it heard failing as the one before would have.
-TEST(Restart, AilmentsAreGivenOutAndKeptByTheNextProcess) {
+TEST(RecoveredMessages, RestoresExportedHealth) {
   Rig first;
   first.at(100 * kS).list({makeEndpoint("e", 1, "shared", 10)});
   std::vector<DestinationHealth> kept;
@@ -136,7 +136,7 @@
 
 // Risk: the next process hears a success first, takes the outage for a moment's and sends as to one that was
 // never away. Several senders started together pushed over what returned.
-TEST(Restart, AnOutageOfTheLastProcessEndsInARampThoughTheFirstCallIsAnswered) {
+TEST(RecoveredMessages, StartsSlowlyAfterOutageOfEarlierProcess) {
   const auto burst = [](std::vector<Event> first) {
     Rig next;
     next.at(100 * kS).list({makeEndpoint("e", 1, "shared", 10)});
@@ -157,7 +157,7 @@
   EXPECT_GT(burst({}), 3u);
 }
 
-TEST(Restart, BeforeTheEndOnlyWhatCanBeHeardIsStarted) {
+TEST(RecoveredMessages, StartsOnlyAttemptsThatEndBeforeShutdown) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   rig.arrive("warm", "safe", 1);
@@ -177,7 +177,7 @@
   EXPECT_TRUE(rig.got<RejectMessage>().empty());  // it is left to the next process
 }
 
-TEST(Restart, MoreThanMayBeHeldIsRefusedOnArrival) {
+TEST(RecoveredMessages, RejectsArrivalsAboveMaxOpenMessages) {
   Settings s = makeSettings();
   s.max_open_messages = 3;
   Rig rig(s);
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-TEST(Attempts, UnsafeThatMayHaveRunIsNeverSentOrRefusedAgain) {
+TEST(RetryPolicy, NeverRetriesNonIdempotentMessageThatMayHaveExecuted) {
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   EXPECT_EQ(r.arrive("p", "unsafe", 1), Ids{"p"});
@@ -20,7 +20,7 @@
 
 // Risk: payments are lost to connections that died idle, and destinations taken for sick that only ended
 // those.
-TEST(Attempts, DeadKeptConnectionsAreNoSicknessAndUnsafeMessagesAvoidThem) {
+TEST(ConnectionPolicy, AvoidsReuseForNonIdempotentMessagesAfterStaleConnections) {
   Rig r;
   r.list({makeEndpoint("e1", 1)});
   const auto play = [&](const std::string& id, const std::string& cls) {
@@ -56,7 +56,7 @@
   EXPECT_FALSE(play("p2", "unsafe"));  // long ago
 }
 
-TEST(Attempts, UnsafeThatProvablyNeverRanGoesAgain) {
+TEST(RetryPolicy, RetriesNonIdempotentMessageThatNeverExecuted) {
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("p", "unsafe", 1);
@@ -66,7 +66,7 @@
   EXPECT_EQ(sent, Ids{"p"});
 }
 
-TEST(Attempts, MessagesThatMayShareACallUseOneSlot) {
+TEST(Dispatcher, BatchesMessagesIntoOneCall) {
   Settings s = makeSettings();
   s.max_in_flight = 1;
   Rig r(s);
@@ -83,7 +83,7 @@
 
 // big-1 of debrecen-kelet-later: all senders chose the endpoint that the list names first, and its
 // connections ran out while the others idled.
-TEST(Attempts, SendersDoNotCrowdTheEndpointListedFirst) {
+TEST(Dispatcher, SpreadsSendersOverEndpointsWhenAllAreUnused) {
   std::map<std::string, int> chosen;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Rig r(makeSettings(), seed);
@@ -98,7 +98,7 @@
 // quiet of gyor-nyugat-later: 66% of the attempts got no connection, since 67 senders kept an idle one each.
 // join+vast 397371456577: 10 to 16 of 100 senders with 1.5 messages a second each held the table of the
 // busiest endpoint, and all others were refused there all day.
-TEST(Attempts, AmongManySendersAConnectionWithoutAUseToExpectIsClosed) {
+TEST(ConnectionPolicy, ClosesIdleConnectionInLargeFleetWithoutExpectedReuse) {
   auto closed = [](int senders, Micros gap) {
     Settings s = makeSettings();
     s.sender_count = senders;
@@ -122,7 +122,7 @@
 }
 
 // rough-2 of budapest-kozpont-later: further tries of many took the place of first ones still in time.
-TEST(Attempts, AmongManySendersAFurtherTryComesAnAimLaterAtLeast) {
+TEST(OutcomeHandler, DelaysRetryByOneLatencyObjectiveInLargeFleet) {
   Settings s = makeSettings();
   s.sender_count = 200;
   Rig r(s);
@@ -138,7 +138,7 @@
 
 // overload of budapest-kozpont-later: endpoints take few connections, and the idle ones of many senders
 // filled their tables; to all others that looked like an outage. Where a connect failed none is kept.
-TEST(Attempts, AmongManySendersNoConnectionIsKeptWhereAConnectFailed) {
+TEST(ConnectionPolicy, ClosesIdleConnectionsInLargeFleetAfterFailedConnect) {
   auto kept_after_a_failure = [](int senders) {
     Settings s = makeSettings();
     s.sender_count = senders;
@@ -170,7 +170,7 @@
 // fresh-big 2598684461 of budapest-kozpont-later: what failed in an outage came again one aim later at all
 // senders, as one, and pushed over the destination that was just coming back. Among many such further tries
 // are spread.
-TEST(Attempts, FurtherTriesAtADestinationThatIsAwayAreSpread) {
+TEST(OutcomeHandler, SpreadsRetriesToDestinationThatIsDown) {
   Settings s = makeSettings();
   s.sender_count = 200;
   std::set<Micros> back;
--- a/tests/decision/retention_test.cpp
+++ b/tests/decision/state_retention_test.cpp
@@ -42,7 +42,7 @@
 }
 
 // Risk: an id that comes back soon is met as if it were new, in full, while it is cold.
-TEST(Retention, AnIdThatReturnsInTimeFindsItsHealth) {
+TEST(StateRetention, KeepsHealthOfEndpointThatReturnsInTime) {
   for (const bool soon : {true, false}) {
     Rig r;
     r.at(kS).list({makeEndpoint("e1", 1)});
@@ -62,7 +62,7 @@
 }
 
 // Risk: the outcome of a call at what is gone meets freed state.
-TEST(Retention, ACallOutlivesItsEndpointsListing) {
+TEST(StateRetention, AcceptsOutcomeFromRemovedEndpoint) {
   Rig r;
   r.at(kS).list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   MessageArrival a = r.arrival("m", "keyed", 1);
@@ -79,7 +79,7 @@
 }
 
 // Risk: while one message holds on to an endpoint that is gone, the zone rule forgets where it ran.
-TEST(Retention, AMessageRemembersWhereItRanThoughThatIsGone) {
+TEST(StateRetention, KeepsRemovedEndpointOfOpenMessage) {
   Settings s = makeSettings();
   s.classes[1].idempotency_scope = IdempotencyScope::zone;
   s.classes[1].deadline = s.classes[1].idempotency_window = 1000 * kS;
@@ -96,7 +96,7 @@
 }
 
 // Risk: a destination comes back under a new id within a wait that it told.
-TEST(Retention, AToldWaitOutlastsTheEndpointThatToldIt) {
+TEST(StateRetention, KeepsRetryAfterOfRemovedEndpoint) {
   Rig r;
   r.at(kS).list({makeEndpoint("e1", 1)});
   r.arrive("a", "safe", 1);
@@ -110,7 +110,7 @@
 }
 
 // Risk: a drain is forgotten with the id, and what returns as draining is sent to.
-TEST(Retention, WhatReturnsDrainingGetsNothing) {
+TEST(StateRetention, SendsNothingToEndpointThatReturnsDraining) {
   Rig r;
   r.at(kS).list({makeEndpoint("e1", 1)});
   r.list({with(makeEndpoint("e1", 1), EndpointState::draining)}, EndpointListKind::delta);
@@ -122,7 +122,7 @@
 }
 
 // Risk: what was given to the host to keep stays there for ever.
-TEST(Retention, KeptHealthIsTakenBackWithTheDestination) {
+TEST(StateRetention, WithdrawsExportedHealthWithDestination) {
   Rig r;
   r.at(kS).list({makeEndpoint("e1", 1)});
   ASSERT_TRUE(fellDown(r));
@@ -140,7 +140,7 @@
 
 // 100,000 ids pass through a list of 1,000, each with a message and some with an order key of its own: what
 // the allocator has given out stays flat over the second half.
-TEST(Retention, ManyIdsThroughAShortListKeepMemoryFlat) {
+TEST(StateRetention, KeepsMemoryConstantWithManyRemovedIds) {
 #if defined(__GLIBC__) && !defined(__SANITIZE_ADDRESS__)
   Settings s = makeSettings();
   for (MessageClass& c : s.classes)
