--- a/bench/audit_bench.cpp
+++ b/bench/audit_bench.cpp
@@ -93,7 +93,8 @@
       j.recordAccepted(m);
       j.recordAttempt(m.id, {"e0", 1'700'000'000'000'000, false, version});
     }
-    j.flush();
+    if (!j.flush())
+      return state.SkipWithError("the journal could not be written");
     journals += std::filesystem::file_size(q.folders.back() + "/journal");
   }
   q.message = "m" + std::to_string(senders - 1) + "-500";
--- a/src/core/delivery_engine.h
+++ b/src/core/delivery_engine.h
@@ -1,21 +1,24 @@
-// grademux: the host of the decision module: hands it events in turns, carries out its actions, and has the
-// journal written before what it promises. It owns no policy.
+// The engine around the decision module: hands it events in iterations, carries out its actions, and writes
+// the journal before anything that the journal promises is done. It knows the order of things and has no
+// policy of its own.
+//
+// Used from the loop thread alone. What the constructor is given must outlive the engine.
 #pragma once
 
-#include <boost/asio/steady_timer.hpp>
-#include <deque>
+#include <boost/asio/io_context.hpp>
 #include <functional>
-#include <map>
 #include <set>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
-#include "../knowledge/learned_state_file.h"
-#include "../membership/endpoint_list.h"
 #include "action_guard.h"
 #include "delivery_notifier.h"
+#include "endpoint_updates.h"
+#include "final_outcomes.h"
+#include "iteration_scheduler.h"
 #include "journal.h"
+#include "learned_state.h"
+#include "message_registry.h"
 #include "settings.h"
 #include "transport.h"
 
@@ -23,120 +26,124 @@
 
 class DeliveryEngine : public SubmissionHandler {
  public:
-  // Sees each turn of the decision module, after it: the events, and what they were answered with.
+  // Called after each iteration with the events that the decision module got and the actions that it
+  // returned.
   using Observer = std::function<void(Micros now, const std::vector<Event>&, const std::vector<Action>&)>;
   DeliveryEngine(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
-                 Transport& transport, DeliveryNotifier& notices);
-
-  // Takes over what the journal, the configuration and an earlier process's book know, each as far as it is
-  // still trusted: before clients are served.
-  // `out`: attempts whose outcome is still to come from the earlier process.
-  void recover(const json& known, const knowledge::LearnedStateFile& learned = {},
-               const std::set<AttemptId>& out = {});
-  // This process decides no more: what waits has its last turn, and the journal is given up. What comes later
-  // is refused, or kept for resume().
+                 Transport& transport, DeliveryNotifier& notifier);
+
+  // Takes over what the journal, the configured endpoint list and an earlier process's learned state hold, as
+  // far as `policy` still trusts it. To be called before clients are served. `in_flight`: attempts whose
+  // outcome is still to come from the earlier process.
+  void recover(const json& configured_list, const TrustPolicy& policy, const LearnedState& learned = {},
+               const std::set<AttemptId>& in_flight = {});
+
+  // Runs a last iteration and releases the journal. From then on submissions are rejected and events wait for
+  // resume().
   void suspend();
-  void resume();  // the journal was taken back
-  bool isSuspended() const { return suspended_; }
-  // Where the right to act can end; null: it can't. It outlives the host's turns.
-  void setActionGuard(ActionGuard* right);
-  // The right has ended: nothing new is taken on or called until open(). The module hears that all endpoints
-  // drain, so that what is held waits, and ends as its class says.
+  // To be called once the journal is reacquired.
+  void resume();
+  bool isSuspended() const { return scheduler_.isSuspended(); }
+
+  // `guard` can forbid actions at any time; null: nothing does.
+  void setActionGuard(ActionGuard* guard);
+  // Acting is forbidden: no message is accepted and no attempt started until open(). The decision module sees
+  // all endpoints as draining, so that open messages wait, and fail at their deadlines.
   void close();
   void open();
   bool isClosed() const { return closed_; }
-  // The right shows these endpoints otherwise than before.
+  // The guard shows these endpoints in other states than before.
   void refreshEndpoints(const std::vector<std::string>& endpoints);
-  // What the module has learned, in Unix time and with the addresses of endpoints, of `most` destinations
-  // above `after`: in one of the next turns. One survey at a time.
-  using Learned = std::function<void(std::vector<knowledge::LearnedRecord>, const LearnedExported&)>;
-  void exportLearned(std::int64_t after, int most, Learned then);
-  // The same of all, at once: when the process ends.
-  knowledge::LearnedStateFile learnedState();
-  // Called when health or waits were given to be kept.
-  void onHealthChanged(std::function<void()> then) { on_health_changed_ = std::move(then); }
-  // An answer of the source of membership; gives the version to go on from. The module hears of a long one in
-  // slices, one a turn, so that calls go on meanwhile.
+
+  // Exports what the decision module has learned, in Unix time, of at most `max_destinations` destinations
+  // above `after`; `callback` is called in one of the next iterations. One export at a time.
+  using ExportCallback = std::function<void(std::vector<LearnedRecord>, const LearnedExported&)>;
+  void exportLearned(std::int64_t after, int max_destinations, ExportCallback callback);
+  // All that the decision module has learned, at once: for the end of the process.
+  LearnedState learnedState();
+  // `callback` is called when the health of a destination was recorded.
+  void onHealthChanged(std::function<void()> callback) { on_health_changed_ = std::move(callback); }
+
+  // An answer of the membership source. Returns the version to continue from. The decision module gets a long
+  // answer in slices, one an iteration, so that deliveries continue meanwhile.
   std::int64_t onEndpointList(EndpointListAnswer answer);
-  std::int64_t listVersion() const { return endpoint_list_.index(); }
-  bool hasEndpoints() const { return endpoint_list_.size() > 0; }  // any endpoint
-  void submit(Submission s, SubmissionCallback reply) override;
-  MessageStatus status(const std::string& id) const override;
-  void notifyWhenFinished(const std::string& id, std::function<void(const FinalOutcome&)> then) override;
-  void onAttemptFinished(AttemptOutcome o);
-  // The endpoints with the same name here are bound by each other's waits: all of a destination, or one alone
-  // where its kind has routes apart.
+  std::int64_t listVersion() const { return endpoints_.list().index(); }
+  bool hasEndpoints() const { return endpoints_.list().size() > 0; }
+  // Endpoints with the same scope share a Retry-After: all of a destination, or one alone where its kind has
+  // separate routes.
   std::string retryAfterScope(const std::string& endpoint) const;
-  void onNoticeDelivered(const std::string& id);  // a notice was answered
-  void setObserver(Observer tap) { observer_ = std::move(tap); }
-  // Other settings, which have been checked, hold for what is handed in from now on, and for all decisions;
-  // messages that are open keep the class they came under.
+
+  void submit(Submission submission, SubmissionCallback reply) override;
+  MessageStatus status(const std::string& id) const override { return registry_.status(id); }
+  void notifyWhenFinished(const std::string& id, FinalOutcomeCallback callback) override {
+    registry_.notifyWhenFinished(id, std::move(callback));
+  }
+  void onAttemptFinished(AttemptOutcome outcome);
+  void onNoticeDelivered(const std::string& id) { outcomes_.onNoticeDelivered(id, max_lifetime_); }
+
+  void setObserver(Observer observer) { observer_ = std::move(observer); }
+  // New settings, already validated, for submissions from now on and for all decisions. Open messages keep
+  // their class version.
   void applySettings(Settings settings);
-  void scheduleStop(Micros at);  // the process ends then, on the monotonic clock
-  bool isIdle() const { return events_.empty() && open_messages_.empty(); }
+  // The process ends at this moment of the monotonic clock.
+  void scheduleStop(Micros at);
+  bool isIdle() const { return events_.empty() && !registry_.hasOpen(); }
 
  private:
-  struct OpenMessage {  // taken on and not over
-    AcceptedMessage message;
-    std::uint64_t digest = 0;
-    int attempts = 0;
-    std::vector<SubmissionCallback>
-        replies;  // not answered yet; several if it was handed in at several doors at once
-    std::vector<std::function<void(const FinalOutcome&)>> watchers;
+  static constexpr std::size_t kListSliceChanges = 1000;  // of the endpoint list, in one iteration
+
+  // An attempt that is recorded in the journal and not started yet.
+  struct PlannedAttempt {
+    const StartAttempt* action;
+    int attempt;
+    std::uint32_t version;
   };
-  void enqueueEvent(Event e);
+
+  // Submissions
+  Result<ClassVersion, SubmissionResult> classOf(const Submission& submission) const;
+  void acceptSubmission(Submission submission, std::uint64_t digest, SubmissionCallback reply);
+
+  // Iterations
+  void enqueueEvent(Event event);
   void runIteration();
   void applyActions(const std::vector<Action>& actions);
-  void finishMessage(const std::string& id, bool handed_back, Micros pause);
-  void armTimer();
-  void completeExport(const std::vector<Action>& actions);
-  void restoreLearned(const knowledge::LearnedStateFile& learned, Micros ahead);
-  knowledge::LearnedRecord shown(const LearnedEndpoint& lesson) const;
-  void forwardListSlice(std::size_t most, EndpointListKind kind);
-  bool knowsDestination(std::int64_t destination) const;
-  EndpointState shown(const Endpoint& e) const;
-  bool isAttemptAllowed(const AttemptId& id, const OpenMessage& h, const std::string& endpoint);
+  void applyFinalActions(const std::vector<Action>& actions);
+  void rejectOrFail(const std::string& id, FinalStatus status, Micros retry_after);
+  void recordHealth(DestinationHealth health);
   std::set<std::string> rejectNewArrivals();
+  std::vector<PlannedAttempt> recordAttempts(const std::vector<Action>& actions,
+                                             const std::set<std::string>& rejected);
+  void answerNewArrivals(bool journaled);
+  void performActions(const std::vector<Action>& actions, const std::vector<PlannedAttempt>& planned,
+                      bool journaled);
+  void startAttempt(const PlannedAttempt& planned, bool journaled);
+  bool isAttemptAllowed(const AttemptId& id, const OpenMessage& open, const std::string& endpoint);
   void reportNotSent(const std::string& id, int attempt);
-  void recordFinalOutcome(const std::string& id, const FinalOutcome& end);
-  void logIfOrphaned(const AcceptedMessage& m, const FinalOutcome& end) const;
-  void publishFinished();
-  const FinishedMessage* findFinished(
-      const std::string& id) const;  // its end, told or not; null if it has none
+  void completeExport(const std::vector<Action>& actions);
+
+  // Endpoints
+  void enqueueListSlice(std::size_t max_changes, EndpointListKind kind);
+  void enqueueEndpointSnapshot();
+  EndpointState visibleState(const Endpoint& endpoint) const;
+
+  void raiseMaxLifetime();
 
-  boost::asio::io_context& io_;
   Settings settings_;
-  std::vector<ClassVersion> classes_;  // of these
+  std::vector<ClassVersion> classes_;  // of the settings
   Sender sender_;
-  Observer observer_;
-  Learned export_callback_;
-  std::function<void()> on_health_changed_;
   Journal& journal_;
   Transport& transport_;
-  DeliveryNotifier& notices_;
-  EndpointList endpoint_list_;
-  bool slice_pending_ = false;  // a slice waits for its turn
-  std::unordered_map<std::string, OpenMessage> open_messages_;
-  std::set<std::string> new_arrivals_;  // arrived since the last turn
-  // Destinations that are listed no more, and since when: they are known as long as a message that was meant
-  // for them may last. In the order of leaving, too; one that left again stands there twice.
-  std::unordered_map<std::int64_t, Micros> unlisted_since_;
-  std::deque<std::pair<Micros, std::int64_t>> unlisted_order_;
-  Micros max_deadline_ = 0;  // that a message may last
-  // Ended since the last write: open to all outside until that is on record, then their watchers hear of it.
-  struct Ended {
-    FinalOutcome end;
-    std::vector<std::function<void(const FinalOutcome&)>> watchers;
-  };
-  std::unordered_map<std::string, Ended> finished_unwritten_;
-  // Their notice is owed; what is remembered of them goes to the journal once it was told.
-  std::unordered_map<std::string, FinishedMessage> pending_notifications_;
-  std::vector<Event> events_;
-  std::set<Micros> timers_;
-  boost::asio::steady_timer iteration_timer_, decision_timer_;
-  Micros last_iteration_ = INT64_MIN / 4;
+  MessageRegistry registry_;
+  EndpointUpdates endpoints_;
+  FinalOutcomes outcomes_;
+  IterationScheduler scheduler_;
+  std::vector<Event> events_;  // for the next iteration
+  Micros max_lifetime_ = 0;    // the longest that a message may last; never lowered
   ActionGuard* action_guard_ = nullptr;
-  bool iteration_due_ = false, suspended_ = false, closed_ = false;
+  bool closed_ = false;
+  Observer observer_;
+  ExportCallback export_callback_;
+  std::function<void()> on_health_changed_;
 };
 
 }  // namespace grademux
--- a/src/membership/endpoint_list.h
+++ b/src/core/endpoint_list.h
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "../core/json_fields.h"
 #include "grademux/sender.h"
+#include "json_fields.h"
 
 namespace grademux {
 
--- /dev/null
+++ b/src/core/final_outcomes.h
@@ -0,0 +1,43 @@
+// Records the final outcomes of accepted messages: in the journal, in the registry and, for messages that
+// were not delivered, as notices. On the loop thread.
+#pragma once
+
+#include <string>
+
+#include "delivery_notifier.h"
+#include "endpoint_list.h"
+#include "grademux/settings.h"
+#include "journal.h"
+#include "message_registry.h"
+
+namespace grademux {
+
+class FinalOutcomes {
+ public:
+  // All must outlive this object.
+  FinalOutcomes(MessageRegistry& registry, Journal& journal, DeliveryNotifier& notifier)
+      : registry_(registry), journal_(journal), notifier_(notifier) {}
+
+  // The endpoint reported that the message is finished. Its id is remembered for `remember_for`.
+  void recordReported(const std::string& id, AttemptResult result, Micros remember_for);
+  // An accepted message was not delivered: its notice is due. `status` is `returned` or `failed`.
+  void recordUndelivered(const std::string& id, FinalStatus status, Micros retry_after);
+  // The notice was delivered. The record is written with the next iteration: a restart before that repeats
+  // the notice, which is harmless.
+  void onNoticeDelivered(const std::string& id, Micros remember_for);
+  // A notice of an earlier process that was not delivered.
+  void recoverNotice(const JournalEntry& entry);
+
+ private:
+  void finish(const std::string& id, const FinalOutcome& outcome);
+
+  MessageRegistry& registry_;
+  Journal& journal_;
+  DeliveryNotifier& notifier_;
+};
+
+// Logs why a message could not be delivered if its class or its destination is no longer configured.
+void logIfOrphaned(const AcceptedMessage& message, FinalStatus status, const Settings& settings,
+                   const EndpointList& endpoints);
+
+}  // namespace grademux
--- /dev/null
+++ b/src/core/message_registry.cpp
@@ -0,0 +1,104 @@
+#include "message_registry.h"
+
+#include <utility>
+
+namespace grademux {
+
+OpenMessage* MessageRegistry::findOpen(const std::string& id) {
+  const auto found = open_.find(id);
+  return found == open_.end() ? nullptr : &found->second;
+}
+
+const OpenMessage* MessageRegistry::findOpen(const std::string& id) const {
+  const auto found = open_.find(id);
+  return found == open_.end() ? nullptr : &found->second;
+}
+
+OpenMessage& MessageRegistry::addOpen(OpenMessage message) {
+  OpenMessage& added = open_[message.message.id];
+  added = std::move(message);
+  return added;
+}
+
+std::set<std::string> MessageRegistry::takeNewArrivals() {
+  return std::exchange(new_arrivals_, {});
+}
+
+const FinishedMessage* MessageRegistry::findFinished(const std::string& id) const {
+  const auto pending = pending_notices_.find(id);
+  return pending != pending_notices_.end() ? &pending->second : journal_.findFinished(id);
+}
+
+MessageRegistry::Known MessageRegistry::findSubmission(const AcceptedMessage& message, std::uint64_t digest,
+                                                       SubmissionCallback& reply, SubmissionResult& result) {
+  if (OpenMessage* open = findOpen(message.id)) {
+    if (open->digest != digest) {
+      result.kind = SubmissionResult::Kind::conflict;
+    } else if (!open->replies.empty()) {
+      open->replies.push_back(std::move(reply));
+      return Known::waiting;
+    }
+    return Known::answered;
+  }
+  const FinishedMessage* finished = findFinished(message.id);
+  if (!finished)
+    return Known::no;
+  if (finished->digest != (finished->legacy_digest ? legacyContentDigest(message) : digest))
+    result.kind = SubmissionResult::Kind::conflict;
+  else if (!finished_unwritten_.count(message.id))
+    result.final_outcome = finished->outcome;
+  return Known::answered;
+}
+
+MessageStatus MessageRegistry::status(const std::string& id) const {
+  MessageStatus status;
+  if (const OpenMessage* open = findOpen(id)) {
+    if (open->replies.empty())  // otherwise it is not written yet, and not known
+      status.state = MessageStatus::State::open;
+    return status;
+  }
+  const FinishedMessage* finished = findFinished(id);
+  if (!finished)
+    return status;
+  status.state = finished_unwritten_.count(id) ? MessageStatus::State::open : MessageStatus::State::finished;
+  status.outcome = finished->outcome;
+  return status;
+}
+
+void MessageRegistry::notifyWhenFinished(const std::string& id, FinalOutcomeCallback callback) {
+  if (OpenMessage* open = findOpen(id)) {
+    open->watchers.push_back(std::move(callback));
+    return;
+  }
+  const auto finished = finished_unwritten_.find(id);
+  if (finished != finished_unwritten_.end())
+    finished->second.watchers.push_back(std::move(callback));
+}
+
+void MessageRegistry::finish(const std::string& id, const FinalOutcome& outcome) {
+  const auto open = open_.find(id);
+  finished_unwritten_[id] = {outcome, std::move(open->second.watchers)};
+  open_.erase(open);
+}
+
+void MessageRegistry::publishFinished() {
+  const auto finished = std::exchange(finished_unwritten_, {});
+  for (const auto& [id, message] : finished)
+    for (const FinalOutcomeCallback& callback : message.watchers)
+      callback(message.outcome);
+}
+
+void MessageRegistry::addPendingNotice(const std::string& id, const FinishedMessage& finished) {
+  pending_notices_[id] = finished;
+}
+
+std::optional<FinishedMessage> MessageRegistry::takePendingNotice(const std::string& id) {
+  const auto pending = pending_notices_.find(id);
+  if (pending == pending_notices_.end())
+    return std::nullopt;
+  FinishedMessage finished = std::move(pending->second);
+  pending_notices_.erase(pending);
+  return finished;
+}
+
+}  // namespace grademux
--- a/src/core/result.h
+++ b/src/core/result.h
@@ -1,6 +1,6 @@
-// The one type for "a value or an error" in this program: Boost.Outcome's unchecked result. An error is a type of
-// its own that says what went wrong (JournalError, StoreError, ParseError, std::error_code for sockets). Exceptions
-// are kept for constructors and for a configuration that the program can't go on with.
+// The one type for "a value or an error" in this program: Boost.Outcome's unchecked result. An error is a
+// type of its own that says what went wrong (JournalError, StoreError, ParseError, std::error_code for
+// sockets). Exceptions are kept for constructors and for a configuration that the program can't go on with.
 #pragma once
 
 #include <boost/outcome/result.hpp>
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -16,6 +16,7 @@
 #include "../handover/handover_target.h"
 #include "../handover/inherited_attempts.h"
 #include "../knowledge/learned_state_store.h"
+#include "../knowledge/trust_decay.h"
 #include "../listener/resp/resp_listener.h"
 #include "../log/log.h"
 #include "../membership/partner_names.h"
@@ -228,7 +229,7 @@
     }
     if (given)
       calls_->inherit(given->in_flight);
-    host_->recover(config_.known, keeper_->load(), calls_->inherited());
+    host_->recover(config_.known, knowledge::TrustDecayPolicy(), keeper_->load(), calls_->inherited());
     if (given && given->standby)
       state_.inheritStandby();
     if (taker_) {
--- a/src/decision/classes.h
+++ b/src/decision/classes.h
@@ -5,19 +5,14 @@
 #include <utility>
 #include <vector>
 
+#include "grademux/class_versions.h"
 #include "grademux/settings.h"
 
 namespace grademux::decision {
 
 // Each whole by itself: what the settings say of all classes alike stands in it too.
 inline std::vector<ClassVersion> classesOf(const Settings& set) {
-  std::vector<ClassVersion> all;
-  for (MessageClass c : set.classes) {
-    if (c.max_attempts == 0)
-      c.max_attempts = set.max_attempts;
-    all.push_back(std::make_shared<const MessageClass>(std::move(c)));
-  }
-  return all;
+  return classVersionsOf(set);
 }
 
 inline double leastAim(const Settings& set) {  // microseconds
--- a/src/knowledge/learned_state_file.h
+++ b/src/knowledge/learned_state_file.h
@@ -11,22 +11,18 @@
 #include <string>
 #include <vector>
 
+#include "../core/learned_state.h"
 #include "grademux/sender.h"
 
 namespace grademux::knowledge {
 
 constexpr int kFormatVersion = 1;
 
-struct LearnedRecord {
-  LearnedEndpoint learned;
-  std::string address;  // of an endpoint when that was learned: another one is another machine
-};
+using grademux::LearnedRecord;
 
-struct LearnedStateFile {
+struct LearnedStateFile : LearnedState {
   std::string sender;
   Micros written = 0;
-  LearnedPool pool;
-  std::vector<LearnedRecord> records;
 };
 
 // With `most_bytes` as a bound, what was heard of longest ago is left out, and counted.
--- a/src/knowledge/learned_state_store.cpp
+++ b/src/knowledge/learned_state_store.cpp
@@ -150,13 +150,12 @@
   failing_ = !w.wrong.empty();
 }
 
-void LearnedStateStore::finish(LearnedStateFile book) {
+void LearnedStateStore::finish(LearnedState state) {
   stopped_ = true;
   timer_.cancel();
   if (!spec_.enabled || writing_)
     return;  // one that is under way is as new as this one, nearly
-  book.sender = sender_;
-  book.written = unixNow();
+  LearnedStateFile book{std::move(state), sender_, unixNow()};
   onWritten(writeFile(path_, book, mostBytes()));
 }
 
--- a/src/knowledge/learned_state_store.h
+++ b/src/knowledge/learned_state_store.h
@@ -41,7 +41,7 @@
   // A daemon file that was read again.
   void applyConfig(LearnedStateConfig spec);
   // The process ends, or gives its folder to another: writes this on the spot.
-  void finish(LearnedStateFile book);
+  void finish(LearnedState state);
   void resume();  // after finish(): the folder stayed with this process
   // The file goes, for the journal's sake. False while it is being written: it goes then.
   bool freeSpace();
--- a/src/knowledge/trust_decay.cpp
+++ b/src/knowledge/trust_decay.cpp
@@ -70,4 +70,16 @@
   return a.down || a.retry_after_until > 0 || now - a.warming_since < ramp;
 }
 
+LearnedEndpoint TrustDecayPolicy::trustedPart(const LearnedEndpoint& learned, Micros now) const {
+  return decayed(learned, now);
+}
+
+LearnedPool TrustDecayPolicy::trustedPart(const LearnedPool& pool, Micros now) const {
+  return decayed(pool, now);
+}
+
+bool TrustDecayPolicy::reduceToTrusted(DestinationHealth& health, Micros now, Micros slow_start_time) const {
+  return decayed(health, now, slow_start_time);
+}
+
 }  // namespace grademux::knowledge
--- a/src/knowledge/trust_decay.h
+++ b/src/knowledge/trust_decay.h
@@ -6,6 +6,7 @@
 // is set right by is of a clock that jumped: its age isn't known, and so it is unknown, too.
 #pragma once
 
+#include "../core/learned_state.h"
 #include "grademux/sender.h"
 
 namespace grademux::knowledge {
@@ -38,4 +39,12 @@
 // nothing of it holds any more.
 bool decayed(DestinationHealth& ailment, Micros now, Micros ramp);
 
+// The policy above, as the engine uses it.
+class TrustDecayPolicy : public TrustPolicy {
+ public:
+  LearnedEndpoint trustedPart(const LearnedEndpoint& learned, Micros now) const override;
+  LearnedPool trustedPart(const LearnedPool& pool, Micros now) const override;
+  bool reduceToTrusted(DestinationHealth& health, Micros now, Micros slow_start_time) const override;
+};
+
 }  // namespace grademux::knowledge
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <functional>
 
-#include "endpoint_list.h"
+#include "../core/endpoint_list.h"
 
 namespace grademux {
 
--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "endpoint_list.h"
+#include "../core/endpoint_list.h"
 #include "partners.h"
 
 namespace grademux {
--- a/tests/membership/endpoint_list_test.cpp
+++ b/tests/core/endpoint_list_test.cpp
@@ -1,5 +1,5 @@
 // The list of endpoints: what an answer changes, and in which slices the core hears of it.
-#include "../../src/membership/endpoint_list.h"
+#include "../../src/core/endpoint_list.h"
 
 #include <gtest/gtest.h>
 
