--- a/src/core/file.cpp
+++ b/src/core/file.cpp
@@ -1,4 +1,3 @@
-// grademux: files; see file.h.
 #include "file.h"
 
 #include <fcntl.h>
@@ -10,49 +9,53 @@
 
 namespace grademux {
 
-bool readAll(int fd, std::string& data, std::size_t most) {
-  char piece[65536];
-  while (data.size() <= most) {
-    const ssize_t n = ::read(fd, piece, sizeof piece);
-    if (n < 0 && errno == EINTR)
+namespace {
+
+// Removes the incomplete new file. Returns the error of the call that failed.
+std::string abandon(const std::string& new_path, int fd) {
+  std::string error = std::strerror(errno);
+  if (fd >= 0)
+    ::close(fd);
+  ::unlink(new_path.c_str());
+  return error;
+}
+
+}  // namespace
+
+bool readAll(int fd, std::string& data, std::size_t max_bytes) {
+  char buffer[65536];
+  while (data.size() <= max_bytes) {
+    const ssize_t count = ::read(fd, buffer, sizeof buffer);
+    if (count < 0 && errno == EINTR)
       continue;
-    if (n < 0)
+    if (count < 0)
       return false;
-    if (n == 0)
+    if (count == 0)
       break;
-    data.append(piece, static_cast<std::size_t>(n));
+    data.append(buffer, static_cast<std::size_t>(count));
   }
   return true;
 }
 
 bool writeAll(int fd, const std::string& data) {
-  for (std::size_t done = 0; done < data.size();) {
-    const ssize_t n = ::write(fd, data.data() + done, data.size() - done);
-    if (n < 0 && errno == EINTR)
+  for (std::size_t written = 0; written < data.size();) {
+    const ssize_t count = ::write(fd, data.data() + written, data.size() - written);
+    if (count < 0 && errno == EINTR)
       continue;
-    if (n < 0)
+    if (count < 0)
       return false;
-    done += static_cast<std::size_t>(n);
+    written += static_cast<std::size_t>(count);
   }
   return true;
 }
 
 std::string replaceFile(const std::string& path, const std::string& bytes) {
-  const std::string fresh = path + ".new";
-  const auto failed = [&](int fd) {
-    const std::string why = std::strerror(errno);
-    if (fd >= 0)
-      ::close(fd);
-    ::unlink(fresh.c_str());
-    return why;
-  };
-  const int fd = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-  if (fd < 0)
-    return failed(fd);
-  if (!writeAll(fd, bytes))
-    return failed(fd);
-  if (::close(fd) != 0 || std::rename(fresh.c_str(), path.c_str()) != 0)
-    return failed(-1);
+  const std::string new_path = path + ".new";
+  const int fd = ::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+  if (fd < 0 || !writeAll(fd, bytes))
+    return abandon(new_path, fd);
+  if (::close(fd) != 0 || std::rename(new_path.c_str(), path.c_str()) != 0)
+    return abandon(new_path, -1);
   return "";
 }
 
--- a/src/core/message.cpp
+++ b/src/core/message.cpp
@@ -1,4 +1,3 @@
-// grademux: messages; see message.h.
 #include "message.h"
 
 #define XXH_INLINE_ALL
@@ -6,59 +5,70 @@
 
 namespace grademux {
 
+namespace {
+
+constexpr std::uint64_t kFnvPrime = 1099511628211ull;
+
+}  // namespace
+
 std::uint64_t fnv1a(const void* data, std::size_t size, std::uint64_t from) {
-  const auto* p = static_cast<const unsigned char*>(data);
+  const auto* bytes = static_cast<const unsigned char*>(data);
   for (std::size_t i = 0; i < size; ++i)
-    from = (from ^ p[i]) * 1099511628211ull;
+    from = (from ^ bytes[i]) * kFnvPrime;
   return from;
 }
 
 namespace {
-// Hands on all that makes a message's content, piece by piece.
+
+// Calls `add` with the parts of the message's content in order. Each text is preceded by its size, so that no
+// two messages have the same bytes.
 template <class Add>
-void eachPiece(const AcceptedMessage& m, const Add& add) {
-  const auto number = [&add](std::uint64_t v) {
+void forEachPart(const AcceptedMessage& message, const Add& add) {
+  const auto number = [&add](std::uint64_t value) {
     unsigned char bytes[8];
     for (int i = 0; i < 8; ++i)
-      bytes[i] = static_cast<unsigned char>(v >> (8 * i));
+      bytes[i] = static_cast<unsigned char>(value >> (8 * i));
     add(bytes, sizeof bytes);
   };
-  for (const std::string* s : {&m.message_class, &m.ordering_key, &m.idempotency_key, &m.body}) {
-    number(s->size());  // so that no two texts can lend each other bytes
-    add(s->data(), s->size());
+  for (const std::string* text :
+       {&message.message_class, &message.ordering_key, &message.idempotency_key, &message.body}) {
+    number(text->size());
+    add(text->data(), text->size());
   }
-  number(static_cast<std::uint64_t>(m.destination));
+  number(static_cast<std::uint64_t>(message.destination));
 }
+
 }  // namespace
 
-std::uint64_t contentDigest(const AcceptedMessage& m) {
+std::uint64_t contentDigest(const AcceptedMessage& message) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
-  eachPiece(m, [&state](const void* data, std::size_t size) { XXH3_64bits_update(&state, data, size); });
+  forEachPart(message,
+              [&state](const void* data, std::size_t size) { XXH3_64bits_update(&state, data, size); });
   return XXH3_64bits_digest(&state);
 }
 
-std::uint64_t legacyContentDigest(const AcceptedMessage& m) {
-  std::uint64_t h = fnv1a(nullptr, 0);
-  eachPiece(m, [&h](const void* data, std::size_t size) { h = fnv1a(data, size, h); });
-  return h;
+std::uint64_t legacyContentDigest(const AcceptedMessage& message) {
+  std::uint64_t digest = fnv1a(nullptr, 0);
+  forEachPart(message, [&digest](const void* data, std::size_t size) { digest = fnv1a(data, size, digest); });
+  return digest;
 }
 
-bool isValidToken(const std::string& s) {
-  for (const char c : s)
-    if (c <= ' ' || c > '~')
+bool isValidToken(const std::string& token) {
+  for (const char character : token)
+    if (character <= ' ' || character > '~')
       return false;
-  return s.size() <= kMaxTokenBytes;
+  return token.size() <= kMaxTokenBytes;
 }
 
-const char* nameOf(AttemptResult r) {
+const char* nameOf(AttemptResult result) {
   static constexpr const char* kNames[] = {"ok",    "error",     "full",    "timeout", "connect_failed",
                                            "reset", "cancelled", "not_sent"};
-  return kNames[static_cast<std::size_t>(r)];
+  return kNames[static_cast<std::size_t>(result)];
 }
 
-const char* nameOf(FinalStatus e) {
-  switch (e) {
+const char* nameOf(FinalStatus status) {
+  switch (status) {
     case FinalStatus::delivered:
       return "delivered";
     case FinalStatus::returned:
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -1,102 +1,210 @@
-// grademux: reads the settings; see settings.h.
 #include "settings.h"
 
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <type_traits>
+#include <utility>
+#include <variant>
+
 namespace grademux {
+
 namespace {
 
-MessageClass readClass(const json& c) {
-  MessageClass m;
-  m.name = text(c, "Name");
-  m.latency_objective = span(c, "AimMs");
-  m.deadline = span(c, "DeadlineMs");
-  m.latency_objective_stretch = number(c, "AimStretch", 0);
-  m.priority_weight = number(c, "Worth", 1);
-  m.late_weight_fraction = number(c, "LateWorth", 0);
-  m.idempotency = oneOf<Idempotency>(text(c, "Idempotency"),
-                                     {{"idempotent", Idempotency::idempotent},
-                                      {"deduplicated", Idempotency::idempotency_key},
-                                      {"at_most_once", Idempotency::non_idempotent}},
-                                     "Idempotency");
-  m.idempotency_scope = oneOf<IdempotencyScope>(
-      text(c, "Group", "all"),
+// How one field of a JSON object is read into a member of `Owner`. The member's type gives the unit: Micros
+// are read from milliseconds, all else as it is.
+template <class Owner>
+struct Field {
+  using Reader = void (*)(const json& object, const char* name, Owner& owner);
+  using Target = std::variant<int Owner::*, double Owner::*, bool Owner::*, Micros Owner::*,
+                              std::string Owner::*, Reader>;
+
+  const char* name;
+  Target target;
+  std::optional<double> fallback =
+      std::nullopt;  // in the unit of the field; without it the field is required
+};
+
+void readValue(const json& object, const char* name, std::optional<double> fallback, int& value) {
+  value = static_cast<int>(fallback ? number(object, name, *fallback) : number(object, name));
+}
+
+void readValue(const json& object, const char* name, std::optional<double> fallback, double& value) {
+  value = fallback ? number(object, name, *fallback) : number(object, name);
+}
+
+void readValue(const json& object, const char* name, std::optional<double> fallback, bool& value) {
+  value = fallback ? truth(object, name, *fallback != 0) : truth(object, name);
+}
+
+void readValue(const json& object, const char* name, std::optional<double> fallback, Micros& value) {
+  value = fallback ? span(object, name, toMicros(*fallback)) : span(object, name);
+}
+
+void readValue(const json& object, const char* name, std::optional<double>, std::string& value) {
+  value = text(object, name);
+}
+
+template <class Owner>
+void readField(const json& object, const Field<Owner>& field, Owner& owner) {
+  const auto read = [&](const auto& target) {
+    if constexpr (std::is_same_v<std::decay_t<decltype(target)>, typename Field<Owner>::Reader>)
+      target(object, field.name, owner);
+    else
+      readValue(object, field.name, field.fallback, owner.*target);
+  };
+  std::visit(read, field.target);
+}
+
+template <class Owner, std::size_t size>
+void readFields(const json& object, const Field<Owner> (&fields)[size], Owner& owner) {
+  for (const Field<Owner>& field : fields)
+    readField(object, field, owner);
+}
+
+void readIdempotency(const json& object, const char* name, MessageClass& message_class) {
+  message_class.idempotency = oneOf<Idempotency>(text(object, name),
+                                                 {{"idempotent", Idempotency::idempotent},
+                                                  {"deduplicated", Idempotency::idempotency_key},
+                                                  {"at_most_once", Idempotency::non_idempotent}},
+                                                 name);
+}
+
+void readIdempotencyScope(const json& object, const char* name, MessageClass& message_class) {
+  message_class.idempotency_scope = oneOf<IdempotencyScope>(
+      text(object, name, "all"),
       {{"all", IdempotencyScope::all}, {"zone", IdempotencyScope::zone}, {"cell", IdempotencyScope::cell}},
-      "Group");
-  m.idempotency_window = span(c, "MemorySpanMs", 0);
-  m.ordered = truth(c, "KeepOrder", false);
-  return m;
-}
-
-void readDomain(const json& o, Settings& s) {
-  const json& d = optionalObject(o, "Domain");
-  s.max_in_flight = static_cast<int>(number(d, "CallSlots", 1));
-  s.lateness_penalty = oneOf<LatenessPenalty>(
-      text(d, "Late", "line"), {{"line", LatenessPenalty::linear}, {"halves", LatenessPenalty::halving}},
-      "Late");
-  if (!absent(d, "ZoneFee"))
-    for (const json& z : array(d, "ZoneFee"))
-      s.zone_cost.push_back(z.is_number() ? z.get<double>() : 0);
-  if (!absent(o, "Kinds"))
-    for (const json& k : array(o, "Kinds"))
-      s.kinds.push_back({k.is_string() ? k.get<std::string>() : "", false, 1});
-  for (std::size_t i = 0; i < s.kinds.size(); ++i) {
-    if (!absent(d, "RoutesApart") && i < array(d, "RoutesApart").size() && d["RoutesApart"][i].is_boolean())
-      s.kinds[i].has_separate_routes = d["RoutesApart"][i].get<bool>();
-    if (!absent(d, "PerCall") && i < array(d, "PerCall").size() && d["PerCall"][i].is_number())
-      s.kinds[i].messages_per_call = d["PerCall"][i].get<int>();
-  }
+      name);
 }
 
-void readLimits(const json& o, Settings& s) {
-  const json& c = optionalObject(o, "Ceilings");
-  s.max_open_messages = static_cast<int>(number(c, "MaxOpen", 20000));
-  s.max_attempts = static_cast<int>(number(c, "MaxAttempts", 1));
-  s.cancel_allowed = truth(c, "MayCancel", false);
-  s.hedging_allowed = truth(c, "ParallelTries", false);
-  s.retry_after_supported = truth(c, "RetryAfter", false);
-  s.connect_timeout = span(c, "DialTimeoutMs", 0);
-  s.idle_connection_timeout = span(c, "ConnIdleMs", 0);
-  s.max_retry_after = span(c, "MaxRetryAfterMs", 0);
-  const json& r = optionalObject(o, "Rules");
-  s.poll_notified_within = span(r, "AskWithinMs", 0);
-  s.drain_grace = span(r, "DrainGraceMs", 0);
-  s.overload_collapse_time = span(r, "FallMs", 0);
-  s.slow_start_time = span(r, "RampTimeMs", 0);
-  s.ordering_backoff = span(r, "OrderPauseMs", 0);
-  s.cold_capacity_fraction = number(r, "ColdShare", 1);
-  s.overload_factor = number(r, "OverloadFactor", 1);
+void readZones(const json& object, const char* name, Settings& settings) {
+  if (absent(object, name))
+    return;
+  for (const json& zone : array(object, name))
+    settings.zones.push_back(zone.is_string() ? zone.get<std::string>() : "");
 }
 
-}  // namespace
+void readWeightKind(const json& object, const char* name, Settings& settings) {
+  settings.weight_kind = oneOf<WeightKind>(text(object, name, "silent"),
+                                           {{"silent", WeightKind::none},
+                                            {"nominal", WeightKind::nominal},
+                                            {"rough", WeightKind::rough},
+                                            {"live", WeightKind::none}},
+                                           name);
+}
 
-Settings readSettings(const json& o) {
-  Settings s;
-  for (const json& c : array(o, "Categories")) {
+void readListMode(const json& object, const char* name, Settings& settings) {
+  settings.list_mode =
+      oneOf<ListMode>(text(object, name, "push"), {{"push", ListMode::push}, {"ask", ListMode::poll}}, name);
+}
+
+void readLatenessPenalty(const json& object, const char* name, Settings& settings) {
+  settings.lateness_penalty =
+      oneOf<LatenessPenalty>(text(object, name, "line"),
+                             {{"line", LatenessPenalty::linear}, {"halves", LatenessPenalty::halving}}, name);
+}
+
+void readZoneCosts(const json& object, const char* name, Settings& settings) {
+  if (absent(object, name))
+    return;
+  for (const json& cost : array(object, name))
+    settings.zone_cost.push_back(cost.is_number() ? cost.get<double>() : 0);
+}
+
+void readTenants(const json& object, const char* name, Settings& settings) {
+  if (absent(object, name))
+    return;
+  for (const json& tenant : array(object, name))
+    settings.tenants.push_back(
+        {text(tenant, "Name"), number(tenant, "QuotaRps", 0), number(tenant, "Share", 0)});
+}
+
+void readClasses(const json& object, const char* name, Settings& settings);
+
+// The platform's names of the settings, in the order in which they are read. Nothing past this file knows
+// them.
+
+constexpr Field<MessageClass> kClassFields[] = {
+    {"Name", &MessageClass::name},
+    {"AimMs", &MessageClass::latency_objective},
+    {"DeadlineMs", &MessageClass::deadline},
+    {"AimStretch", &MessageClass::latency_objective_stretch, 0},
+    {"Worth", &MessageClass::priority_weight, 1},
+    {"LateWorth", &MessageClass::late_weight_fraction, 0},
+    {"Idempotency", &readIdempotency},
+    {"Group", &readIdempotencyScope},
+    {"MemorySpanMs", &MessageClass::idempotency_window, 0},
+    {"KeepOrder", &MessageClass::ordered, 0},
+};
+
+constexpr Field<Settings> kTopLevelFields[] = {
+    {"Categories", &readClasses},
+    {"Tenants", &readTenants},
+    {"Azs", &readZones},
+    {"WeightKind", &readWeightKind},
+    {"Discovery", &readListMode},
+    {"Balancers", &Settings::sender_count, 1},
+    {"TickMs", &Settings::min_decide_interval, 0},
+    {"OverShareWorth", &Settings::over_quota_weight, 1},
+};
+
+constexpr Field<Settings> kDomainFields[] = {
+    {"CallSlots", &Settings::max_in_flight, 1},
+    {"Late", &readLatenessPenalty},
+    {"ZoneFee", &readZoneCosts},
+};
+
+constexpr Field<Settings> kCeilingFields[] = {
+    {"MaxOpen", &Settings::max_open_messages, 20000},      {"MaxAttempts", &Settings::max_attempts, 1},
+    {"MayCancel", &Settings::cancel_allowed, 0},           {"ParallelTries", &Settings::hedging_allowed, 0},
+    {"RetryAfter", &Settings::retry_after_supported, 0},   {"DialTimeoutMs", &Settings::connect_timeout, 0},
+    {"ConnIdleMs", &Settings::idle_connection_timeout, 0}, {"MaxRetryAfterMs", &Settings::max_retry_after, 0},
+};
+
+constexpr Field<Settings> kRuleFields[] = {
+    {"AskWithinMs", &Settings::poll_notified_within, 0}, {"DrainGraceMs", &Settings::drain_grace, 0},
+    {"FallMs", &Settings::overload_collapse_time, 0},    {"RampTimeMs", &Settings::slow_start_time, 0},
+    {"OrderPauseMs", &Settings::ordering_backoff, 0},    {"ColdShare", &Settings::cold_capacity_fraction, 1},
+    {"OverloadFactor", &Settings::overload_factor, 1},
+};
+
+void readClasses(const json& object, const char* name, Settings& settings) {
+  for (const json& entry : array(object, name)) {
     try {
-      s.classes.push_back(readClass(c));
-    } catch (const BadInput& e) {
-      bad("Categories[" + std::to_string(s.classes.size()) + "]: " + e.what());
+      MessageClass message_class;
+      readFields(entry, kClassFields, message_class);
+      settings.classes.push_back(std::move(message_class));
+    } catch (const BadInput& error) {
+      bad(std::string(name) + "[" + std::to_string(settings.classes.size()) + "]: " + error.what());
     }
   }
-  if (!absent(o, "Tenants"))
-    for (const json& t : array(o, "Tenants"))
-      s.tenants.push_back({text(t, "Name"), number(t, "QuotaRps", 0), number(t, "Share", 0)});
-  if (!absent(o, "Azs"))
-    for (const json& z : array(o, "Azs"))
-      s.zones.push_back(z.is_string() ? z.get<std::string>() : "");
-  s.weight_kind = oneOf<WeightKind>(text(o, "WeightKind", "silent"),
-                                    {{"silent", WeightKind::none},
-                                     {"nominal", WeightKind::nominal},
-                                     {"rough", WeightKind::rough},
-                                     {"live", WeightKind::none}},
-                                    "WeightKind");
-  s.list_mode = oneOf<ListMode>(text(o, "Discovery", "push"),
-                                {{"push", ListMode::push}, {"ask", ListMode::poll}}, "Discovery");
-  s.sender_count = static_cast<int>(number(o, "Balancers", 1));
-  s.min_decide_interval = span(o, "TickMs", 0);
-  s.over_quota_weight = number(o, "OverShareWorth", 1);
-  readDomain(o, s);
-  readLimits(o, s);
-  return s;
+}
+
+// The kinds are listed by name; their properties stand in arrays of the section `Domain`, in the same order.
+void readKinds(const json& settings_json, const json& domain, Settings& settings) {
+  if (!absent(settings_json, "Kinds"))
+    for (const json& kind : array(settings_json, "Kinds"))
+      settings.kinds.push_back({kind.is_string() ? kind.get<std::string>() : "", false, 1});
+  for (std::size_t i = 0; i < settings.kinds.size(); ++i) {
+    if (!absent(domain, "RoutesApart") && i < array(domain, "RoutesApart").size() &&
+        domain["RoutesApart"][i].is_boolean())
+      settings.kinds[i].has_separate_routes = domain["RoutesApart"][i].get<bool>();
+    if (!absent(domain, "PerCall") && i < array(domain, "PerCall").size() && domain["PerCall"][i].is_number())
+      settings.kinds[i].messages_per_call = domain["PerCall"][i].get<int>();
+  }
+}
+
+}  // namespace
+
+Settings readSettings(const json& settings_json) {
+  Settings settings;
+  readFields(settings_json, kTopLevelFields, settings);
+  const json& domain = optionalObject(settings_json, "Domain");
+  readFields(domain, kDomainFields, settings);
+  readKinds(settings_json, domain, settings);
+  readFields(optionalObject(settings_json, "Ceilings"), kCeilingFields, settings);
+  readFields(optionalObject(settings_json, "Rules"), kRuleFields, settings);
+  return settings;
 }
 
 }  // namespace grademux
--- a/src/knowledge/command.cpp
+++ b/src/knowledge/command.cpp
@@ -1,4 +1,3 @@
-// grademux: the command `knowledge`; see command.h.
 #include "command.h"
 
 #include <unistd.h>
@@ -9,6 +8,9 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 #include <sstream>
+#include <tuple>
+#include <utility>
+#include <vector>
 
 #include "../core/clock.h"
 #include "../core/file.h"
@@ -22,151 +24,207 @@
 
 using nlohmann::json;
 
-constexpr int kUnusable = 2;
+constexpr int kExitUnusable = 2;
 
-std::string since(Micros at, Micros now) {
+constexpr int kDestinationWidth = 13;
+constexpr int kEndpointWidth = 26;
+constexpr int kAgeWidth = 11;
+constexpr int kLimitWidth = 15;
+constexpr int kPartWidth = 15;
+constexpr int kLatencyWidth = 16;
+
+double toMilliseconds(Micros span) {
+  return static_cast<double>(span) / 1000;
+}
+
+double roundToThousandths(double value) {
+  return static_cast<double>(static_cast<std::int64_t>(value * 1000 + 0.5)) / 1000;
+}
+
+// The age of a moment in the largest unit that keeps two digits.
+std::string ageText(Micros at, Micros now) {
   if (at <= 0)
     return "-";
-  const double s = static_cast<double>(now - at) / 1e6;
+  const double seconds = static_cast<double>(now - at) / 1e6;
   std::ostringstream out;
   out << std::fixed << std::setprecision(0);
-  if (s < 0)
+  if (seconds < 0)
     out << "ahead";
-  else if (s < 120)
-    out << s << " s";
-  else if (s < 7200)
-    out << s / 60 << " min";
-  else if (s < 48 * 3600)
-    out << s / 3600 << " h";
+  else if (seconds < 120)
+    out << seconds << " s";
+  else if (seconds < 7200)
+    out << seconds / 60 << " min";
+  else if (seconds < 48 * 3600)
+    out << seconds / 3600 << " h";
   else
-    out << s / 86400 << " d";
+    out << seconds / 86400 << " d";
   return out.str();
 }
 
-json shown(const LearnedRecord& k, Micros now) {
-  const LearnedEndpoint& l = k.learned;
-  const LearnedEndpoint a = decayed(l, now);
-  const auto round = [](double x) {
-    return static_cast<double>(static_cast<std::int64_t>(x * 1000 + 0.5)) / 1000;
-  };
-  json j = {
-      {"destination", l.destination},
-      {"limit", round(l.rate_limit)},
-      {"told", l.limit_is_reported},
-      {"part", round(l.quota_fraction)},
-      {"usual_ms", round(static_cast<double>(l.typical_latency) / 1000)},
-      {"traffic", round(l.message_rate)},
-      {"risk", round(l.unknown_outcome_fraction)},
-      {"heard_ms_ago", l.last_outcome_at > 0 ? json((now - l.last_outcome_at) / 1000) : json()},
-      {"trust",
-       {{"limit", a.rate_limit > 0 ? round(trustFactor(l.last_outcome_at, now, kLimitTrust)) : 0},
-        {"part", a.quota_fraction > 0 ? round(trustFactor(l.last_outcome_at, now, kPartTrust)) : 0},
-        {"usual", a.samples > 0 ? round(trustFactor(l.last_outcome_at, now, kLatencyTrust)) : 0},
-        {"traffic", a.message_rate > 0 ? round(trustFactor(l.last_message_at, now, kTrafficTrust)) : 0}}}};
-  if (!l.endpoint.empty())
-    j["endpoint"] = l.endpoint, j["address"] = k.address;
-  return j;
-}
+// How far each value of a record is trusted now; 0: the value is no longer used.
+struct RecordTrust {
+  double limit = 0;
+  double part = 0;
+  double latency = 0;
+  double traffic = 0;
+};
 
-}  // namespace
+RecordTrust trustOf(const LearnedEndpoint& learned, Micros now) {
+  const LearnedEndpoint used = decayed(learned, now);
+  const Micros outcome_at = learned.last_outcome_at;
+  RecordTrust trust;
+  if (used.rate_limit > 0)
+    trust.limit = trustFactor(outcome_at, now, kLimitTrust);
+  if (used.quota_fraction > 0)
+    trust.part = trustFactor(outcome_at, now, kPartTrust);
+  if (used.samples > 0)
+    trust.latency = trustFactor(outcome_at, now, kLatencyTrust);
+  if (used.message_rate > 0)
+    trust.traffic = trustFactor(learned.last_message_at, now, kTrafficTrust);
+  return trust;
+}
 
-int show(const std::string& folder, bool as_json) {
-  const DecodedFile r = loadLearnedState(LearnedStateStore::pathIn(folder), "");
-  if (!r.found || !r.error.empty()) {
-    std::cerr << "grademux: " << LearnedStateStore::pathIn(folder) << ": "
-              << (r.found ? r.error : "nothing is kept there") << '\n';
-    return kUnusable;
+json toJson(const LearnedRecord& record, Micros now) {
+  const LearnedEndpoint& learned = record.learned;
+  const RecordTrust trust = trustOf(learned, now);
+  const bool has_outcome = learned.last_outcome_at > 0;
+  json object = {{"destination", learned.destination},
+                 {"limit", roundToThousandths(learned.rate_limit)},
+                 {"told", learned.limit_is_reported},
+                 {"part", roundToThousandths(learned.quota_fraction)},
+                 {"usual_ms", roundToThousandths(toMilliseconds(learned.typical_latency))},
+                 {"traffic", roundToThousandths(learned.message_rate)},
+                 {"risk", roundToThousandths(learned.unknown_outcome_fraction)},
+                 {"heard_ms_ago", has_outcome ? json((now - learned.last_outcome_at) / 1000) : json()},
+                 {"trust",
+                  {{"limit", roundToThousandths(trust.limit)},
+                   {"part", roundToThousandths(trust.part)},
+                   {"usual", roundToThousandths(trust.latency)},
+                   {"traffic", roundToThousandths(trust.traffic)}}}};
+  if (!learned.endpoint.empty()) {
+    object["endpoint"] = learned.endpoint;
+    object["address"] = record.address;
   }
-  const Micros now = unixNow();
-  std::vector<LearnedRecord> known = r.state.records;
-  std::sort(known.begin(), known.end(), [](const LearnedRecord& a, const LearnedRecord& b) {
-    return std::tie(a.learned.destination, a.learned.endpoint) <
-           std::tie(b.learned.destination, b.learned.endpoint);
-  });
-  if (as_json) {
-    json all = json::array();
-    for (const LearnedRecord& k : known)
-      all.push_back(shown(k, now));
-    std::cout << json{{"sender", r.state.sender},
-                      {"written_ms_ago", (now - r.state.written) / 1000},
-                      {"damaged", r.damaged},
-                      {"known", std::move(all)}}
-                     .dump()
-              << '\n';
-    return 0;
+  return object;
+}
+
+void printJson(const DecodedFile& decoded, const std::vector<LearnedRecord>& records, Micros now) {
+  json known = json::array();
+  for (const LearnedRecord& record : records)
+    known.push_back(toJson(record, now));
+  const json document = {{"sender", decoded.state.sender},
+                         {"written_ms_ago", (now - decoded.state.written) / 1000},
+                         {"damaged", decoded.damaged},
+                         {"known", std::move(known)}};
+  std::cout << document.dump() << '\n';
+}
+
+// A value with its trust in brackets, padded to `width`; blank if there is no value.
+std::string cell(double value, double trust, int width) {
+  std::ostringstream out;
+  if (value > 0) {
+    out << std::fixed << std::setprecision(value < 10 ? 2 : 0) << value << " (";
+    if (trust > 0)
+      out << std::setprecision(2) << trust;
+    else
+      out << "-";
+    out << ")";
   }
-  std::cout << "of " << r.state.sender << ", written " << since(r.state.written, now) << " ago, "
-            << known.size() << " records";
-  if (r.damaged > 0)
-    std::cout << ", " << r.damaged << " damaged";
+  std::string text = out.str();
+  if (text.size() < static_cast<std::size_t>(width))
+    text.resize(static_cast<std::size_t>(width), ' ');
+  return text;
+}
+
+void printRow(const LearnedRecord& record, Micros now) {
+  const LearnedEndpoint& learned = record.learned;
+  const RecordTrust trust = trustOf(learned, now);
+  std::cout << std::left << std::setw(kDestinationWidth) << learned.destination << std::setw(kEndpointWidth)
+            << (learned.endpoint.empty() ? "(all)" : learned.endpoint) << std::setw(kAgeWidth)
+            << ageText(learned.last_outcome_at, now) << cell(learned.rate_limit, trust.limit, kLimitWidth)
+            << cell(learned.quota_fraction, trust.part, kPartWidth)
+            << cell(toMilliseconds(learned.typical_latency), trust.latency, kLatencyWidth)
+            << cell(learned.message_rate, trust.traffic, 0) << '\n';
+}
+
+void printTable(const DecodedFile& decoded, const std::vector<LearnedRecord>& records, Micros now) {
+  std::cout << "of " << decoded.state.sender << ", written " << ageText(decoded.state.written, now)
+            << " ago, " << records.size() << " records";
+  if (decoded.damaged > 0)
+    std::cout << ", " << decoded.damaged << " damaged";
   std::cout
       << "\n  trust is in brackets: 1 as just learned, - not used any more\n"
       << "destination  endpoint                  heard      limit/s        part           latency ms      "
          "messages/s\n";
-  const auto cell = [](double value, double trusted, bool used, int width) {
-    std::ostringstream out;
-    if (value > 0) {
-      out << std::fixed << std::setprecision(value < 10 ? 2 : 0) << value << " (";
-      if (used)
-        out << std::setprecision(2) << trusted;
-      else
-        out << "-";
-      out << ")";
-    }
-    std::string s = out.str();
-    if (s.size() < static_cast<std::size_t>(width))
-      s.resize(static_cast<std::size_t>(width), ' ');
-    return s;
-  };
-  for (const LearnedRecord& k : known) {
-    const LearnedEndpoint& l = k.learned;
-    const LearnedEndpoint a = decayed(l, now);
-    std::cout << std::left << std::setw(13) << l.destination << std::setw(26)
-              << (l.endpoint.empty() ? "(all)" : l.endpoint) << std::setw(11) << since(l.last_outcome_at, now)
-              << cell(l.rate_limit, trustFactor(l.last_outcome_at, now, kLimitTrust), a.rate_limit > 0, 15)
-              << cell(l.quota_fraction, trustFactor(l.last_outcome_at, now, kPartTrust), a.quota_fraction > 0,
-                      15)
-              << cell(static_cast<double>(l.typical_latency) / 1000,
-                      trustFactor(l.last_outcome_at, now, kLatencyTrust), a.samples > 0, 16)
-              << cell(l.message_rate, trustFactor(l.last_message_at, now, kTrafficTrust), a.message_rate > 0,
-                      0)
-              << '\n';
+  for (const LearnedRecord& record : records)
+    printRow(record, now);
+}
+
+std::vector<LearnedRecord> sortedByDestination(std::vector<LearnedRecord> records) {
+  std::sort(records.begin(), records.end(), [](const LearnedRecord& left, const LearnedRecord& right) {
+    return std::tie(left.learned.destination, left.learned.endpoint) <
+           std::tie(right.learned.destination, right.learned.endpoint);
+  });
+  return records;
+}
+
+int reportUnusable(const std::string& path, const std::string& cause) {
+  std::cerr << "grademux: " << path << ": " << cause << '\n';
+  return kExitUnusable;
+}
+
+int forgetAll(const std::string& path) {
+  if (::unlink(path.c_str()) != 0) {
+    std::perror(("grademux: " + path).c_str());
+    return kExitUnusable;
   }
+  std::cout << "forgotten: all\n";
+  return 0;
+}
+
+int forgetDestination(const std::string& path, LearnedStateFile file, std::int64_t destination) {
+  std::vector<LearnedRecord>& records = file.records;
+  const std::size_t before = records.size();
+  const auto is_of_destination = [destination](const LearnedRecord& record) {
+    return record.learned.destination == destination;
+  };
+  records.erase(std::remove_if(records.begin(), records.end(), is_of_destination), records.end());
+  std::size_t left_out = 0;
+  const std::string error = replaceFile(path, encode(file, UINT64_MAX, left_out));
+  if (!error.empty())
+    return reportUnusable(path, error);
+  std::cout << "forgotten: " << before - records.size() << " records\n";
+  return before > records.size() ? 0 : kExitUnusable;
+}
+
+}  // namespace
+
+int show(const std::string& folder, bool as_json) {
+  const std::string path = LearnedStateStore::pathIn(folder);
+  const DecodedFile decoded = loadLearnedState(path, "");
+  if (!decoded.found)
+    return reportUnusable(path, "nothing is kept there");
+  if (!decoded.error.empty())
+    return reportUnusable(path, decoded.error);
+  const Micros now = unixNow();
+  const std::vector<LearnedRecord> records = sortedByDestination(decoded.state.records);
+  if (as_json)
+    printJson(decoded, records, now);
+  else
+    printTable(decoded, records, now);
   return 0;
 }
 
 int forget(const std::string& folder, std::optional<std::int64_t> destination) {
   const std::string path = LearnedStateStore::pathIn(folder);
-  DecodedFile r = loadLearnedState(path, "");
-  if (!r.found) {
-    std::cerr << "grademux: " << path << ": nothing is kept there\n";
-    return kUnusable;
-  }
-  if (!destination) {
-    if (::unlink(path.c_str()) != 0) {
-      std::perror(("grademux: " + path).c_str());
-      return kUnusable;
-    }
-    std::cout << "forgotten: all\n";
-    return 0;
-  }
-  if (!r.error.empty()) {
-    std::cerr << "grademux: " << path << ": " << r.error << '\n';
-    return kUnusable;
-  }
-  const std::size_t before = r.state.records.size();
-  auto& all = r.state.records;
-  all.erase(std::remove_if(all.begin(), all.end(),
-                           [&](const LearnedRecord& k) { return k.learned.destination == *destination; }),
-            all.end());
-  std::size_t left_out = 0;
-  const std::string wrong = replaceFile(path, encode(r.state, UINT64_MAX, left_out));
-  if (!wrong.empty()) {
-    std::cerr << "grademux: " << path << ": " << wrong << '\n';
-    return kUnusable;
-  }
-  std::cout << "forgotten: " << before - all.size() << " records\n";
-  return before > all.size() ? 0 : kUnusable;
+  DecodedFile decoded = loadLearnedState(path, "");
+  if (!decoded.found)
+    return reportUnusable(path, "nothing is kept there");
+  if (!destination)
+    return forgetAll(path);
+  if (!decoded.error.empty())
+    return reportUnusable(path, decoded.error);
+  return forgetDestination(path, std::move(decoded.state), *destination);
 }
 
 }  // namespace grademux::knowledge
--- a/src/knowledge/learned_state_file.cpp
+++ b/src/knowledge/learned_state_file.cpp
@@ -1,4 +1,3 @@
-// grademux: the file of what was learned; see book.h.
 #include "learned_state_file.h"
 
 #include <fcntl.h>
@@ -7,11 +6,13 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <cmath>
 #include <cstring>
 #include <nlohmann/json.hpp>
+#include <optional>
+#include <vector>
 
 #include "../core/file.h"
+#include "learned_record_codec.h"
 
 namespace grademux::knowledge {
 
@@ -19,201 +20,169 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kFrame = 12;            // bytes before a payload
-constexpr std::size_t kMostRecord = 1 << 16;  // a longer one is damage
-constexpr std::size_t kMostFile = 256u << 20;
-constexpr const char* kWhat = "grademux knowledge";
+constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kChecksumBytes = 8;
+constexpr std::size_t kFrameHeaderBytes = kLengthBytes + kChecksumBytes;
+constexpr std::size_t kMaxRecordBytes = 1 << 16;  // a longer record is damage
+constexpr std::size_t kMaxFileBytes = 256u << 20;
+constexpr const char* kFileType = "grademux knowledge";
 
-void number(std::string& out, std::uint64_t n, int bytes) {
-  for (int i = 0; i < bytes; ++i)
-    out.push_back(static_cast<char>(n >> (8 * i) & 0xff));
+void appendNumber(std::string& out, std::uint64_t value, std::size_t bytes) {
+  for (std::size_t i = 0; i < bytes; ++i)
+    out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
-std::uint64_t numberAt(const std::string& in, std::size_t at, int bytes) {
-  std::uint64_t n = 0;
-  for (int i = 0; i < bytes; ++i)
-    n |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[at + static_cast<std::size_t>(i)]))
-         << (8 * i);
-  return n;
+
+std::uint64_t numberAt(const std::string& data, std::size_t position, std::size_t bytes) {
+  std::uint64_t value = 0;
+  for (std::size_t i = 0; i < bytes; ++i)
+    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(data[position + i])) << (8 * i);
+  return value;
 }
 
-void frame(std::string& out, const json& record) {
+void appendFrame(std::string& out, const json& record) {
   std::string payload;
   json::to_msgpack(record, payload);
-  number(out, payload.size(), 4);
-  number(out, XXH3_64bits(payload.data(), payload.size()), 8);
+  appendNumber(out, payload.size(), kLengthBytes);
+  appendNumber(out, XXH3_64bits(payload.data(), payload.size()), kChecksumBytes);
   out += payload;
 }
 
-// A field of the right kind, or what stands for unknown.
-template <class T>
-T value(const json& j, const char* name, T otherwise) {
-  const auto at = j.find(name);
-  if (at == j.end())
-    return otherwise;
-  if constexpr (std::is_same_v<T, std::string>)
-    return at->is_string() ? at->get<std::string>() : otherwise;
-  else if constexpr (std::is_same_v<T, bool>)
-    return at->is_boolean() ? at->get<bool>() : otherwise;
-  else if constexpr (std::is_floating_point_v<T>) {
-    const double d = at->is_number() ? at->get<double>() : otherwise;
-    return std::isfinite(d) && d >= 0 ? d : otherwise;
-  } else
-    return at->is_number_integer() ? at->get<T>() : otherwise;
-}
-
-// A moment, or a span: never before 1970, so that differences fit.
-Micros moment(const json& j, const char* name) {
-  return std::max<Micros>(0, value<Micros>(j, name, 0));
+json encodeHeader(const LearnedStateFile& file) {
+  return {{"what", kFileType},
+          {"form", kFormatVersion},
+          {"sender", file.sender},
+          {"written", file.written},
+          {"pool", encodePool(file.pool)}};
 }
 
-json shown(const LearnedRecord& k) {
-  const LearnedEndpoint& l = k.learned;
-  json j = {{"d", l.destination}, {"heard", l.last_outcome_at}};
-  if (!l.endpoint.empty())
-    j["e"] = l.endpoint;
-  if (!k.address.empty())
-    j["at"] = k.address;
-  if (l.rate_limit > 0)
-    j["limit"] = l.rate_limit;
-  if (l.limit_is_reported)
-    j["told"] = true;
-  if (l.quota_fraction > 0)
-    j["part"] = l.quota_fraction;
-  if (l.samples > 0)
-    j["usual"] = l.typical_latency, j["n"] = l.samples;
-  if (l.unknown_outcome_fraction > 0)
-    j["risk"] = l.unknown_outcome_fraction;
-  if (l.message_rate > 0)
-    j["traffic"] = l.message_rate, j["came"] = l.last_message_at;
-  return j;
+std::vector<const LearnedRecord*> newestFirst(const std::vector<LearnedRecord>& records) {
+  std::vector<const LearnedRecord*> sorted;
+  for (const LearnedRecord& record : records)
+    sorted.push_back(&record);
+  const auto last_observed = [](const LearnedRecord* record) {
+    return std::max(record->learned.last_outcome_at, record->learned.last_message_at);
+  };
+  std::stable_sort(sorted.begin(), sorted.end(), [&](const LearnedRecord* left, const LearnedRecord* right) {
+    return last_observed(left) > last_observed(right);
+  });
+  return sorted;
 }
 
-LearnedRecord knownOf(const json& j) {
-  LearnedRecord k;
-  LearnedEndpoint& l = k.learned;
-  l.destination = value<std::int64_t>(j, "d", 0);
-  l.last_outcome_at = moment(j, "heard");
-  l.endpoint = value<std::string>(j, "e", "");
-  k.address = value<std::string>(j, "at", "");
-  l.rate_limit = value<double>(j, "limit", 0);
-  l.limit_is_reported = value<bool>(j, "told", false);
-  l.quota_fraction = value<double>(j, "part", 0);
-  l.typical_latency = moment(j, "usual");
-  l.samples = l.typical_latency > 0 ? std::max(0, value<int>(j, "n", 0)) : 0;
-  l.unknown_outcome_fraction = std::min(1.0, value<double>(j, "risk", 0));
-  l.message_rate = value<double>(j, "traffic", 0);
-  l.last_message_at = moment(j, "came");
-  return k;
-}
+// Reads the frames of a file one after another.
+class FrameReader {
+ public:
+  explicit FrameReader(const std::string& bytes) : bytes_(bytes) {}
+
+  bool atEnd() const { return position_ >= bytes_.size(); }
+  // Whether the next frame can be delimited; if not, nothing after it can be read.
+  bool hasFrame() const {
+    const std::size_t left = bytes_.size() - position_;
+    return left >= kFrameHeaderBytes && payloadSize() <= kMaxRecordBytes &&
+           payloadSize() <= left - kFrameHeaderBytes;
+  }
+  // The record of the next frame, or nothing if it is damaged.
+  std::optional<json> next() {
+    const std::uint64_t size = payloadSize();
+    const std::uint64_t checksum = numberAt(bytes_, position_ + kLengthBytes, kChecksumBytes);
+    const char* payload = bytes_.data() + position_ + kFrameHeaderBytes;
+    position_ += kFrameHeaderBytes + size;
+    if (XXH3_64bits(payload, size) != checksum)
+      return std::nullopt;
+    json record = json::from_msgpack(payload, payload + size, true, false);
+    if (!record.is_object())
+      return std::nullopt;
+    return record;
+  }
 
-json shown(const LearnedPool& p) {
-  return {{"heard", p.last_outcome_at},       {"typical", p.mean_latency},
-          {"n", p.latency_samples},           {"dead_score", p.stale_connection_score},
-          {"dead_least", p.stale_after_idle}, {"dead_at", p.stale_observed_at}};
-}
-LearnedPool experienceOf(const json& j) {
-  LearnedPool p;
-  p.last_outcome_at = moment(j, "heard");
-  p.mean_latency = value<double>(j, "typical", 0);
-  p.latency_samples = std::max(0, value<int>(j, "n", 0));
-  p.stale_connection_score = value<double>(j, "dead_score", 0);
-  p.stale_after_idle = moment(j, "dead_least");
-  p.stale_observed_at = moment(j, "dead_at");
-  return p;
+ private:
+  std::uint64_t payloadSize() const { return numberAt(bytes_, position_, kLengthBytes); }
+
+  const std::string& bytes_;
+  std::size_t position_ = 0;
+};
+
+// Reads the header into `state`. Returns why the file can't be used, or an empty text.
+std::string decodeHeader(const json& header, const std::string& sender, LearnedStateFile& state) {
+  state.sender = fieldOr<std::string>(header, "sender", "");
+  state.written = momentField(header, "written");
+  const int version = fieldOr<int>(header, "form", 0);
+  if (fieldOr<std::string>(header, "what", "") != kFileType)
+    return "not a file of knowledge";
+  if (version != kFormatVersion)
+    return "it has form " + std::to_string(version) + ", " + std::to_string(kFormatVersion) + " is read here";
+  if (!sender.empty() && state.sender != sender)
+    return "it is of " + state.sender + ", this is " + sender;
+  const auto pool = header.find("pool");
+  if (pool != header.end() && pool->is_object())
+    state.pool = decodePool(*pool);
+  return "";
 }
 
 }  // namespace
 
-std::string encode(const LearnedStateFile& book, std::uint64_t most_bytes, std::size_t& left_out) {
+std::string encode(const LearnedStateFile& file, std::uint64_t max_bytes, std::size_t& left_out) {
   std::string out;
-  frame(out, {{"what", kWhat},
-              {"form", kFormatVersion},
-              {"sender", book.sender},
-              {"written", book.written},
-              {"pool", shown(book.pool)}});
-  std::vector<const LearnedRecord*> newest;
-  for (const LearnedRecord& k : book.records)
-    newest.push_back(&k);
-  const auto at = [](const LearnedRecord* k) {
-    return std::max(k->learned.last_outcome_at, k->learned.last_message_at);
-  };
-  std::stable_sort(newest.begin(), newest.end(), [&](auto* a, auto* b) { return at(a) > at(b); });
+  appendFrame(out, encodeHeader(file));
+  const std::vector<const LearnedRecord*> records = newestFirst(file.records);
   left_out = 0;
-  for (std::size_t i = 0; i < newest.size(); ++i) {
+  for (std::size_t i = 0; i < records.size(); ++i) {
     const std::size_t before = out.size();
-    frame(out, shown(*newest[i]));
-    if (out.size() <= most_bytes)
+    appendFrame(out, encodeRecord(*records[i]));
+    if (out.size() <= max_bytes)
       continue;
     out.resize(before);
-    left_out = newest.size() - i;
+    left_out = records.size() - i;
     break;
   }
-  return out.size() <= most_bytes ? out : "";
+  return out.size() <= max_bytes ? out : "";
 }
 
 DecodedFile decode(const std::string& bytes, const std::string& sender) {
-  DecodedFile r;
-  r.found = true;
-  bool head = false;
-  for (std::size_t at = 0; at < bytes.size();) {
-    const std::size_t left = bytes.size() - at;
-    const std::uint64_t size = left >= kFrame ? numberAt(bytes, at, 4) : 0;
-    if (left < kFrame || size > kMostRecord || size > left - kFrame) {
-      ++r.damaged;  // no frame can be told from here on
+  DecodedFile decoded;
+  decoded.found = true;
+  bool has_header = false;
+  FrameReader reader(bytes);
+  while (!reader.atEnd()) {
+    if (!reader.hasFrame()) {
+      ++decoded.damaged;
       break;
     }
-    const char* payload = bytes.data() + at + kFrame;
-    const bool sound = XXH3_64bits(payload, size) == numberAt(bytes, at + 4, 8);
-    at += kFrame + size;
-    const json j =
-        sound ? json::from_msgpack(payload, payload + size, true, false) : json(json::value_t::discarded);
-    if (!j.is_object()) {
-      ++r.damaged;
-      if (!head)
+    const std::optional<json> record = reader.next();
+    if (!record) {
+      ++decoded.damaged;
+      if (!has_header)
         break;
       continue;
     }
-    if (head) {
-      r.state.records.push_back(knownOf(j));
+    if (has_header) {
+      decoded.state.records.push_back(decodeRecord(*record));
       continue;
     }
-    head = true;
-    r.state.sender = value<std::string>(j, "sender", "");
-    r.state.written = moment(j, "written");
-    const int form = value<int>(j, "form", 0);
-    if (value<std::string>(j, "what", "") != kWhat)
-      r.error = "not a file of knowledge";
-    else if (form != kFormatVersion)
-      r.error =
-          "it has form " + std::to_string(form) + ", " + std::to_string(kFormatVersion) + " is read here";
-    else if (!sender.empty() && r.state.sender != sender)
-      r.error = "it is of " + r.state.sender + ", this is " + sender;
-    if (!r.error.empty())
-      return r;
-    const auto pool = j.find("pool");
-    if (pool != j.end() && pool->is_object())
-      r.state.pool = experienceOf(*pool);
+    has_header = true;
+    decoded.error = decodeHeader(*record, sender, decoded.state);
+    if (!decoded.error.empty())
+      return decoded;
   }
-  if (!head)
-    r.error = bytes.empty() ? "it is empty" : "its head is damaged";
-  return r;
+  if (!has_header)
+    decoded.error = bytes.empty() ? "it is empty" : "its head is damaged";
+  return decoded;
 }
 
 DecodedFile loadLearnedState(const std::string& path, const std::string& sender) {
-  DecodedFile r;
+  DecodedFile failed;
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) {
-    r.found = errno != ENOENT;
-    if (r.found)
-      r.error = std::strerror(errno);
-    return r;
+    failed.found = errno != ENOENT;
+    if (failed.found)
+      failed.error = std::strerror(errno);
+    return failed;
   }
+  failed.found = true;
   std::string bytes;
-  if (!readAll(fd, bytes, kMostFile))
-    r.error = std::strerror(errno);
+  if (!readAll(fd, bytes, kMaxFileBytes))
+    failed.error = std::strerror(errno);
   ::close(fd);
-  r.found = true;
-  return r.error.empty() ? decode(bytes, sender) : r;
+  return failed.error.empty() ? decode(bytes, sender) : failed;
 }
 
 }  // namespace grademux::knowledge
--- a/src/knowledge/trust_decay.cpp
+++ b/src/knowledge/trust_decay.cpp
@@ -1,4 +1,3 @@
-// grademux: ageing of what was learned; see ageing.h.
 #include "trust_decay.h"
 
 #include <algorithm>
@@ -8,66 +7,72 @@
 
 namespace {
 
-constexpr int kMostSamples = 8;      // what a usual latency counts for at first: new ones soon outweigh it
-constexpr double kToldTrust = 0.5;   // from here on a limit is one that was just told
-constexpr double kLeastTrust = 0.1;  // below, it is a rumour
+constexpr int kMaxSamples = 8;             // of a recovered latency, so that new samples soon outweigh it
+constexpr double kMinReportedTrust = 0.5;  // below, a reported limit counts as an estimate
+constexpr double kMinTrust = 0.1;          // below, a value is unknown
 
-double trusted(Micros learned, Micros now, TrustDecay of) {
-  const double t = trustFactor(learned, now, of);
-  return t < kLeastTrust ? 0 : t;
+double effectiveTrust(Micros learned_at, Micros now, TrustDecay decay) {
+  const double trust = trustFactor(learned_at, now, decay);
+  return trust < kMinTrust ? 0 : trust;
+}
+
+int trustedSamples(int samples, Micros learned_at, Micros now) {
+  const double trust = effectiveTrust(learned_at, now, kLatencyTrust);
+  return std::max(0, std::min(samples, static_cast<int>(kMaxSamples * trust)));
 }
 
 }  // namespace
 
-double trustFactor(Micros learned, Micros now, TrustDecay of) {
-  const Micros age = now - learned;
-  if (learned <= 0 || age < -kClockSlack || age > of.bound)
+double trustFactor(Micros learned_at, Micros now, TrustDecay decay) {
+  const Micros age = now - learned_at;
+  if (learned_at <= 0 || age < -kClockSlack || age > decay.bound)
     return 0;
-  return std::exp2(-static_cast<double>(std::max<Micros>(0, age)) / static_cast<double>(of.half_life));
+  return std::exp2(-static_cast<double>(std::max<Micros>(0, age)) / static_cast<double>(decay.half_life));
 }
 
-LearnedEndpoint decayed(const LearnedEndpoint& lesson, Micros now) {
-  LearnedEndpoint l = lesson;
-  const double limit = trusted(l.last_outcome_at, now, kLimitTrust);
-  if (limit == 0)
-    l.rate_limit = 0;
-  l.limit_is_reported = l.limit_is_reported && limit >= kToldTrust;
-  if (l.rate_limit <= 0 || trusted(l.last_outcome_at, now, kPartTrust) == 0)
-    l.quota_fraction = 0;
-  l.samples =
-      std::min(l.samples, static_cast<int>(kMostSamples * trusted(l.last_outcome_at, now, kLatencyTrust)));
-  if (l.samples <= 0)
-    l.samples = 0, l.typical_latency = 0;
-  l.unknown_outcome_fraction *= trusted(l.last_outcome_at, now, kRiskTrust);
-  l.message_rate *= trusted(l.last_message_at, now, kTrafficTrust);
-  return l;
+LearnedEndpoint decayed(const LearnedEndpoint& learned, Micros now) {
+  LearnedEndpoint trusted = learned;
+  const Micros learned_at = trusted.last_outcome_at;
+  const double limit_trust = effectiveTrust(learned_at, now, kLimitTrust);
+  if (limit_trust == 0)
+    trusted.rate_limit = 0;
+  trusted.limit_is_reported = trusted.limit_is_reported && limit_trust >= kMinReportedTrust;
+  if (trusted.rate_limit <= 0 || effectiveTrust(learned_at, now, kPartTrust) == 0)
+    trusted.quota_fraction = 0;
+  trusted.samples = trustedSamples(trusted.samples, learned_at, now);
+  if (trusted.samples == 0)
+    trusted.typical_latency = 0;
+  trusted.unknown_outcome_fraction *= effectiveTrust(learned_at, now, kRiskTrust);
+  trusted.message_rate *= effectiveTrust(trusted.last_message_at, now, kTrafficTrust);
+  return trusted;
 }
 
 LearnedPool decayed(const LearnedPool& pool, Micros now) {
-  LearnedPool p = pool;
-  p.stale_connection_score *= trusted(p.stale_observed_at, now, kPoolTrust);
-  if (p.stale_connection_score <= 0)
-    p.stale_after_idle = p.stale_observed_at = 0;
-  p.latency_samples = std::min(
-      p.latency_samples, static_cast<int>(kMostSamples * trusted(p.last_outcome_at, now, kLatencyTrust)));
-  if (p.latency_samples <= 0)
-    p.latency_samples = 0, p.mean_latency = 0;
-  return p;
+  LearnedPool trusted = pool;
+  trusted.stale_connection_score *= effectiveTrust(trusted.stale_observed_at, now, kPoolTrust);
+  if (trusted.stale_connection_score <= 0) {
+    trusted.stale_after_idle = 0;
+    trusted.stale_observed_at = 0;
+  }
+  trusted.latency_samples = trustedSamples(trusted.latency_samples, trusted.last_outcome_at, now);
+  if (trusted.latency_samples == 0)
+    trusted.mean_latency = 0;
+  return trusted;
 }
 
-bool decayed(DestinationHealth& a, Micros now, Micros ramp) {
-  const Micros wait = std::clamp<Micros>(a.retry_after_until - a.observed_at, 0, kWaitBound);
-  const Micros told = std::min(a.observed_at, now);
-  a.retry_after_until = told + wait > now ? told + wait : 0;
-  const Micros age = now - a.warming_since;
+bool decayed(DestinationHealth& health, Micros now, Micros slow_start_time) {
+  const Micros retry_after = std::clamp<Micros>(health.retry_after_until - health.observed_at, 0, kWaitBound);
+  health.observed_at = std::min(health.observed_at, now);
+  const Micros retry_at = health.observed_at + retry_after;
+  health.retry_after_until = retry_at > now ? retry_at : 0;
+  const Micros age = now - health.warming_since;
   if (age < 0)
-    a.warming_since = now;
-  if (a.down && age > kHealthBound) {
-    a.down = false;
-    a.warming_since = now;
+    health.warming_since = now;
+  if (health.down && age > kHealthBound) {
+    health.down = false;
+    health.warming_since = now;
   }
-  a.observed_at = told;
-  return a.down || a.retry_after_until > 0 || now - a.warming_since < ramp;
+  return health.down || health.retry_after_until > 0 || now - health.warming_since < slow_start_time;
 }
 
 LearnedEndpoint TrustDecayPolicy::trustedPart(const LearnedEndpoint& learned, Micros now) const {
