--- a/bench/log_bench.cpp
+++ b/bench/log_bench.cpp
@@ -19,9 +19,9 @@
   log::configure(spec);
   for (auto _ : state)
     log::write(log::Event::attempt_finished, {{"message", "0123456789abcdef"},
-                                           {"endpoint", "print-shop@127.0.0.1:9001"},
-                                           {"attempt", 1},
-                                           {"outcome", "ok"}});
+                                              {"endpoint", "print-shop@127.0.0.1:9001"},
+                                              {"attempt", 1},
+                                              {"outcome", "ok"}});
   log::configure({});
   std::remove(spec.file.c_str());
 }
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "../core/clock.h"
+#include "../knowledge/trust_decay.h"
 #include "../log/log.h"
 #include "../net/address.h"
 #include "../operate/admin_server.h"
@@ -141,8 +142,8 @@
 void Service::recover(const handover::OwnershipReleased* released) {
   if (released)
     components_.attempts->inherit(released->in_flight);
-  components_.engine->recover(components_.config.known, components_.learned_state->load(),
-                              components_.attempts->inherited());
+  components_.engine->recover(components_.config.known, knowledge::TrustDecayPolicy(),
+                              components_.learned_state->load(), components_.attempts->inherited());
   if (released && released->standby)
     components_.state.inheritStandby();
   if (!components_.handover_target)
--- a/src/decision/decision_context.cpp
+++ b/src/decision/decision_context.cpp
@@ -4,7 +4,7 @@
 
 DecisionContext::DecisionContext(Settings initial_settings, std::uint64_t seed)
     : settings(std::move(initial_settings)),
-      class_versions(makeClassVersions(settings)),
+      class_versions(classVersionsOf(settings)),
       shortest_objective(shortestLatencyObjective(settings)),
       random(seed) {}
 
