--- a/src/audit/audit_log.cpp
+++ b/src/audit/audit_log.cpp
@@ -146,14 +146,14 @@
 }
 
 bool AuditLog::write(json record, Micros now) {
-  const auto countMissing = [&] {
+  const auto count_missing = [&] {
     if (missing_++ == 0)
       missing_since_ = now;
     return false;
   };
   if (fd_ < 0 || size_ >= budget_.bytes / kSegmentsPerBudget) {
     if (!open(now))
-      return countMissing();
+      return count_missing();
     prune();
   }
   if (missing_ > 0) {
@@ -162,14 +162,14 @@
               {"since", missing_since_},
               {"at", now},
               {"seq", sequence_ + 1}}))
-      return countMissing();
+      return count_missing();
     ++sequence_;
     missing_ = 0;
   }
   record["at"] = now;
   record["seq"] = sequence_ + 1;
   if (!put(record))
-    return countMissing();
+    return count_missing();
   ++sequence_;
   return true;
 }
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -118,16 +118,16 @@
 }
 double Table::real(const char* key, double otherwise, double least, double most) {
   const toml::node* n = node(key);
-  const auto shownReal = [](double x) {
+  const auto text_of = [](double x) {
     std::ostringstream out;
     out << x;
     return out.str();
   };
   if (!n)
-    return inForce(key, otherwise, shownReal(otherwise));
+    return inForce(key, otherwise, text_of(otherwise));
   const auto v = n->is_number() ? n->value<double>() : std::nullopt;
   if (v && *v >= least && *v <= most)
-    return inForce(key, *v, shownReal(*v));
+    return inForce(key, *v, text_of(*v));
   std::ostringstream range;
   range << "a number from " << least << " to " << most << " is expected";
   expected(key, range.str());
@@ -179,10 +179,10 @@
   else
     for (const toml::node& i : *list)
       all.push_back(*i.value<std::string>());
-  std::string shownList;
+  std::string joined;
   for (const std::string& s : all)
-    shownList += (shownList.empty() ? "\"" : ", \"") + s + "\"";
-  return inForce(key, all, "[" + shownList + "]");
+    joined += (joined.empty() ? "\"" : ", \"") + s + "\"";
+  return inForce(key, all, "[" + joined + "]");
 }
 Micros Table::span(const char* key, Micros otherwise, Micros least, Micros most) {
   const toml::node* n = node(key);
@@ -294,8 +294,11 @@
     if (known_.count(name))
       continue;
     const std::string meant = nearest(name, {known_.begin(), known_.end()});
-    mistake(key.source(), "unknown key " + name + where + ": one of " + all + " is expected" +
-                              (meant.empty() ? "" : "; " + meant + " may be meant"));
+    std::string message = "unknown key ";
+    message.append(name).append(where).append(": one of ").append(all).append(" is expected");
+    if (!meant.empty())
+      message.append("; ").append(meant).append(" may be meant");
+    mistake(key.source(), message);
   }
 }
 
--- a/src/core/delivery_engine.cpp
+++ b/src/core/delivery_engine.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Micros kHealthRetention = 30 * 24 * 3600 * Micros{1'000'000};  // since the last observation
+constexpr Micros kHealthRetention = 30LL * 24 * 3600 * 1'000'000;  // since the last observation
 constexpr Micros kHandoverRetryAfter = 100'000;  // for clients while another process takes over
 
 }  // namespace
@@ -159,7 +159,7 @@
 }
 
 std::string DeliveryEngine::retryAfterScope(const std::string& endpoint) const {
-  const std::string endpoint_scope = "endpoint " + endpoint;
+  std::string endpoint_scope = "endpoint " + endpoint;
   const ListedEndpoint* listed = endpoints_.list().find(endpoint);
   if (!listed)
     return endpoint_scope;
--- a/src/core/message_registry.cpp
+++ b/src/core/message_registry.cpp
@@ -96,7 +96,7 @@
   const auto pending = pending_notices_.find(id);
   if (pending == pending_notices_.end())
     return std::nullopt;
-  FinishedMessage finished = std::move(pending->second);
+  const FinishedMessage finished = pending->second;
   pending_notices_.erase(pending);
   return finished;
 }
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -110,7 +110,10 @@
 
 std::string missing(const json& old, const json& fresh, const std::string& path) {
   for (const auto& [key, value] : old.items()) {
-    const std::string named = path.empty() ? key : path + "." + key;
+    std::string named = path;
+    if (!path.empty())
+      named += '.';
+    named += key;
     const auto there = fresh.find(key);
     if (there == fresh.end() && !mayLack(key))
       return named;
@@ -119,7 +122,7 @@
     if (value.is_object()) {
       if (!there->is_object())
         return named;
-      const std::string deeper = missing(value, *there, named);
+      std::string deeper = missing(value, *there, named);
       if (!deeper.empty())
         return deeper;
     }
@@ -132,7 +135,7 @@
 std::string missingSetting(const Config& old, const Config& fresh) {
   const json& had = object(old.file, "settings");
   const json& has = object(fresh.file, "settings");
-  const std::string other = missing(had, has, "");
+  std::string other = missing(had, has, "");
   if (!other.empty())
     return other;
   // Of a class is expected what every class has that is in force.
@@ -143,7 +146,7 @@
       it = c.contains(it.key()) ? std::next(it) : common.erase(it);
   const json& now = array(has, "Categories");
   for (std::size_t i = 0; i < now.size(); ++i) {
-    const std::string lacks = missing(common, now[i], "Categories[" + std::to_string(i) + "]");
+    std::string lacks = missing(common, now[i], "Categories[" + std::to_string(i) + "]");
     if (!lacks.empty())
       return lacks;
   }
--- a/src/daemon/daemon_file.cpp
+++ b/src/daemon/daemon_file.cpp
@@ -178,11 +178,11 @@
 }  // namespace
 
 std::string DaemonFile::shared() const {
-  static const std::set<std::string> kOwn = {"door.listen", "operators.listen", "journal.folder",
-                                             "log.file",    "fleet.name",       "fleet.store"};
+  static const std::set<std::string> own_keys = {"door.listen", "operators.listen", "journal.folder",
+                                                 "log.file",    "fleet.name",       "fleet.store"};
   std::string all;
   for (const Effective& e : effective)
-    if (!kOwn.count(e.key))
+    if (!own_keys.count(e.key))
       all += e.key + " = " + e.value + "\n";
   return all;
 }
--- a/src/daemon/outgoing_handover.cpp
+++ b/src/daemon/outgoing_handover.cpp
@@ -64,8 +64,8 @@
     components_.learned_state->finish(components_.engine->learnedState());
   components_.engine->suspend();
   components_.transport->closeAllIdle();
-  const handover::OwnershipReleased released{components_.state.isStandby(),
-                                             components_.transport->unreportedAttempts()};
+  handover::OwnershipReleased released{components_.state.isStandby(),
+                                       components_.transport->unreportedAttempts()};
   log::write(log::Event::handover_released, {{"calls", released.in_flight.size()}});
   components_.folder_lock.unlock();
   return released;
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -200,7 +200,7 @@
   operate::ServiceState& state = components_.state;
   const operate::Phase before = state.phase();
   const bool has_endpoints = components_.engine && components_.engine->hasEndpoints();
-  const operate::CommandResult result = state.handleCommand(command, has_endpoints);
+  operate::CommandResult result = state.handleCommand(command, has_endpoints);
   const operate::Phase after = state.phase();
   if (after != before) {
     log::write(log::Event::operate_changed, {{"phase", operate::toString(after)}});
--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr Micros kMs = 1000, kSecond = 1'000'000, kDay = 24 * 3600 * kSecond;
+constexpr Micros kMs = 1000, kSecond = 1'000'000, kDay = 24LL * 3600 * kSecond;
 constexpr std::int64_t kMiB = 1 << 20;
 
 MessageClass readClass(Table& t) {
@@ -186,7 +186,7 @@
   return names;
 }
 
-const char* const kStarter =
+const char* const starter_file =
     R"(# A grademux sender that stands alone. Check it with `grademux_sender check FILE`, run it with
 # `grademux_sender run --daemon FILE`; SIGHUP rereads doors and partners.
 
--- a/src/daemon/site.h
+++ b/src/daemon/site.h
@@ -36,6 +36,6 @@
 std::string needsRestart(const Site& old, const Site& fresh);
 
 // The starter that `grademux_sender init` writes.
-extern const char* const kStarter;
+extern const char* const starter_file;
 
 }  // namespace grademux
--- a/src/fleet/zone_command.cpp
+++ b/src/fleet/zone_command.cpp
@@ -81,6 +81,11 @@
 
 // ---- Changing
 
+std::string differingRegions(const std::string& zone, const std::string& region,
+                             const std::string& other_region, const std::string& sender) {
+  return "zone " + zone + " is of " + region + ", and of " + other_region + " at " + sender;
+}
+
 // Region of each zone by the senders' reports. Throws if they differ.
 std::map<std::string, std::string> reportedRegions(const FleetSnapshot& fleet) {
   std::map<std::string, std::string> regions;
@@ -88,8 +93,7 @@
     for (const auto& [zone, region] : sender.regions) {
       const auto [first, inserted] = regions.emplace(zone, region);
       if (!inserted && first->second != region)
-        throw std::runtime_error("zone " + zone + " is of " + first->second + ", and of " + region + " at " +
-                                 sender.name);
+        throw std::runtime_error(differingRegions(zone, first->second, region, sender.name));
     }
   return regions;
 }
--- a/src/knowledge/command.cpp
+++ b/src/knowledge/command.cpp
@@ -3,6 +3,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cmath>
 #include <cstdio>
 #include <iomanip>
 #include <iostream>
@@ -38,7 +39,7 @@
 }
 
 double roundToThousandths(double value) {
-  return static_cast<double>(static_cast<std::int64_t>(value * 1000 + 0.5)) / 1000;
+  return static_cast<double>(std::llround(value * 1000)) / 1000;
 }
 
 // The age of a moment in the largest unit that keeps two digits.
--- a/src/knowledge/learned_state_file.cpp
+++ b/src/knowledge/learned_state_file.cpp
@@ -57,6 +57,7 @@
 
 std::vector<const LearnedRecord*> newestFirst(const std::vector<LearnedRecord>& records) {
   std::vector<const LearnedRecord*> sorted;
+  sorted.reserve(records.size());
   for (const LearnedRecord& record : records)
     sorted.push_back(&record);
   const auto last_observed = [](const LearnedRecord* record) {
--- a/tests/daemon/standing_alone_test.cpp
+++ b/tests/daemon/standing_alone_test.cpp
@@ -24,7 +24,7 @@
 const char* const kPartner = "[[partner]]\nname = \"shop\"\nendpoints = [\"127.0.0.1:1\"]\n";
 
 TEST(Site, TheStarterIsGoodAndSaysWhatItSays) {
-  const Read r(kStarter);
+  const Read r(starter_file);
   for (const Mistake& m : r.mistakes)
     ADD_FAILURE() << m.in("starter");
   ASSERT_TRUE(r.file.site);
