--- a/include/grademux/class_versions.h
+++ b/include/grademux/class_versions.h
@@ -1,4 +1,4 @@
-// The message classes of the settings as versions that messages keep.
+// Converts the message classes of the settings to class versions.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace grademux {
 
-// Each version is complete by itself: a class without a limit of attempts gets that of the settings.
+// A class without max_attempts gets Settings::max_attempts, so that later settings do not change its version.
 inline std::vector<ClassVersion> classVersionsOf(const Settings& settings) {
   std::vector<ClassVersion> versions;
   for (MessageClass message_class : settings.classes) {
--- a/include/grademux/sender.h
+++ b/include/grademux/sender.h
@@ -1,6 +1,6 @@
-// Interface of the decision module. One Sender decides for one sending process: which messages are attempted
-// where and when, retried, rejected or failed. It does no I/O and reads no clock: the caller passes events
-// with the time, and carries out the actions. Not thread-safe.
+// Interface of the decision module. One Sender decides for one sending process which messages are attempted,
+// where and when, and which are retried, rejected or failed. The module does no I/O and reads no clock: the
+// caller passes events with the time, and carries out the actions. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
   double weight = 0;  // calls a second of the destination (or route), see WeightKind
 };
 
-// The destination's limit as an answer reports it.
+// The rate limit of a destination as reported by one of its answers.
 struct LimitReport {
   double remaining_fraction = 0;  // share of the allowance that is left
   double rate_limit = 0;          // calls a second; 0: no limit
@@ -44,20 +44,20 @@
 };
 // A message that an earlier process of this sender accepted, with its attempts.
 struct PastAttempt {
-  std::string endpoint;                         // may be removed from the list, or unknown
+  std::string endpoint;                         // may be removed from the endpoint list, or unknown
   Micros sent_at = 0;                           // may be before the first call of decide()
-  bool may_have_run = true, in_flight = false;  // in_flight: the outcome is still to come
+  bool may_have_run = true, in_flight = false;  // in_flight: its outcome has not arrived
 };
 struct RecoveredMessage {
   MessageArrival message;
   std::vector<PastAttempt> attempts;
-  ClassVersion class_version;  // at its acceptance; null: its class as the settings have it now
+  ClassVersion class_version;  // as of its acceptance; null: its class in the current settings
 };
-// This process ends at `at`: outcomes that arrive later are lost.
+// The process ends at `at`: outcomes that arrive later are lost.
 struct ShutdownScheduled {
   Micros at = 0;
 };
-// The submitter no longer wants the message: no action names it from now on.
+// The submitter withdrew the message: no later action names the message.
 struct MessageWithdrawn {
   std::string id;
 };
@@ -66,10 +66,10 @@
   int attempt = 0;
   AttemptResult result = AttemptResult::ok;
   bool already_finished = false;
-  Micros retry_after = 0;  // with any result: no attempt to this destination for so long; 0: none
+  Micros retry_after = 0;  // with any result: no attempts to this destination for this span; 0: none
   Micros round_trip = 0;
   std::optional<LimitReport> limit_report;
-  bool stale_connection = false;  // reset of a reused connection without a byte of the answer
+  bool stale_connection = false;  // the reused connection was reset before any byte of the answer arrived
 };
 enum class EndpointListKind { delta, snapshot, cached, failed };
 struct EndpointListUpdate {
@@ -85,7 +85,7 @@
 struct StartAttempt {
   std::string id, endpoint;
   Micros timeout = 0;
-  Micros write_within = 0;  // a retry that is not fully written by then is dropped; 0: no limit
+  Micros write_within = 0;  // a retry that is not fully written within this span is dropped; 0: no limit
 };
 struct CancelAttempt {
   std::string id;
@@ -113,15 +113,15 @@
 
 class Sender {
  public:
-  // Throws std::invalid_argument that names the field if the settings are impossible. Equal seeds and events
-  // give equal actions.
+  // Throws std::invalid_argument that names the first field whose value is out of range. Equal settings,
+  // seeds and events give equal actions.
   Sender(Settings settings, std::uint64_t seed);
   ~Sender();
   Sender(Sender&&) noexcept;
   Sender& operator=(Sender&&) noexcept;
 
-  // Takes the events at `now`, in order, and returns the actions for the same moment. `now` must not
-  // decrease.
+  // Processes the events in order at the time `now`, and returns the actions to carry out at that time. `now`
+  // must not decrease from call to call.
   std::vector<Action> decide(Micros now, const std::vector<Event>& events);
 
  private:
--- a/include/grademux/settings.h
+++ b/include/grademux/settings.h
@@ -9,7 +9,7 @@
 
 namespace grademux {
 
-using Micros = std::int64_t;  // a point in time or a span, in whole microseconds
+using Micros = std::int64_t;  // a point in time or a duration, in whole microseconds
 
 enum class Idempotency {
   idempotent,
@@ -17,25 +17,28 @@
   non_idempotent
 };  // retry always, retry inside scope and window, never retry after a possible execution
 enum class IdempotencyScope { all, zone, cell };  // idempotency_key: which endpoints recognise the key
-enum class LatenessPenalty { linear, halving };   // how priority falls after the latency objective
-enum class WeightKind { none, nominal, rough };   // meaning of Endpoint::weight
-enum class ListMode { push, poll };               // how the endpoint list arrives
+enum class LatenessPenalty {
+  linear,
+  halving
+};  // how the priority of a message falls after its latency objective
+enum class WeightKind { none, nominal, rough };  // meaning of Endpoint::weight
+enum class ListMode { push, poll };              // how the endpoint list arrives
 
 struct MessageClass {
   std::string name;
-  Micros latency_objective = 0;  // full priority when delivered within this
-  Micros deadline = 0;           // fails after this
+  Micros latency_objective = 0;  // a message delivered within this time has full priority
+  Micros deadline = 0;           // a message fails after this time
   double latency_objective_stretch = 0;
   double priority_weight = 1;
-  double late_weight_fraction = 0;  // share of the priority left at the deadline
+  double late_weight_fraction = 0;  // share of the priority that remains at the deadline
   Idempotency idempotency = Idempotency::idempotent;
   IdempotencyScope idempotency_scope = IdempotencyScope::all;
-  Micros idempotency_window = 0;  // idempotency_key: how long the key is recognised
-  bool ordered = false;           // one at a time for each ordering key
-  int max_attempts = 0;           // of one message; 0: Settings::max_attempts
+  Micros idempotency_window = 0;  // idempotency_key: how long endpoints recognise the key
+  bool ordered = false;           // messages with the same ordering key are sent one at a time
+  int max_attempts = 0;           // per message; 0: Settings::max_attempts
 };
-// A class as it was when a message was accepted: the message keeps it until its end, through changes of
-// settings.
+// A class as of the acceptance of a message. The message keeps this version until its final outcome, even if
+// the settings change.
 using ClassVersion = std::shared_ptr<const MessageClass>;
 
 struct Tenant {
@@ -47,7 +50,7 @@
 struct DestinationKind {
   std::string name;
   bool has_separate_routes = false;  // each endpoint has its own limit, Retry-After and outages
-  int messages_per_call = 1;         // messages that may share a call
+  int messages_per_call = 1;         // most messages that share a call
 };
 
 struct Settings {
@@ -66,11 +69,11 @@
   bool cancel_allowed = false;
   bool hedging_allowed = false;        // two attempts of a message in flight at once
   bool retry_after_supported = false;  // clients receive RejectMessage::retry_after
-  Micros min_decide_interval = 0;      // shortest gap between two calls of decide
-  Micros poll_notified_within = 0;     // with ListMode::poll: the list is current for so long
+  Micros min_decide_interval = 0;      // shortest gap between two calls of Sender::decide()
+  Micros poll_notified_within = 0;     // with ListMode::poll: how long a polled list is current
   Micros drain_grace = 0;
-  Micros overload_collapse_time = 0;  // a cold destination fails after so long an overload
-  Micros slow_start_time = 0;         // a destination is warm after this at the latest
+  Micros overload_collapse_time = 0;  // a cold destination fails after an overload of this duration
+  Micros slow_start_time = 0;         // a destination is warm after this time at the latest
   Micros ordering_backoff = 0;
   Micros connect_timeout = 0;
   Micros idle_connection_timeout = 0;
@@ -80,7 +83,7 @@
   double over_quota_weight = 1;
 };
 
-// Event: these settings hold from now on. Open messages keep their class version.
+// Event: replaces all settings. Open messages keep their class version.
 struct SettingsChanged {
   Settings settings;
 };
--- a/src/decision/admission_control.cpp
+++ b/src/decision/admission_control.cpp
@@ -64,7 +64,7 @@
   return nullptr;
 }
 
-// Position in Settings::tenants, of the last with this name; -1: none.
+// Position of the last tenant with this name in Settings::tenants; -1 if there is none.
 int AdmissionControl::findTenant(const std::string& name) const {
   int tenant = -1;
   for (std::size_t index = 0; index < context_.settings.tenants.size(); ++index)
@@ -115,21 +115,21 @@
   const Settings& settings = context_.settings;
   const int reserve = std::max(1, static_cast<int>(kOpenMessageReserve * settings.max_open_messages));
   const int most_open = std::max(1, settings.max_open_messages - reserve);
-  // Senders of a small fleet have all calls in use during an outage only.
+  // Senders of a small fleet use all their calls only during an outage.
   const bool is_busy = context_.isLargeFleet() && attempts_.callsInFlight() >= settings.max_in_flight;
   const double wait_per_message =
       is_busy ? latency_.mean() * latency_.commonSlowdown() / settings.max_in_flight : 0;
   const double longest_wait = kMaxQueueTimeFraction * context_.shortest_objective;
-  // Of the messages that wait for a free call alone.
+  // Only the messages that wait for a free call count.
   double wait =
       wait_per_message * static_cast<double>(fair_queue_.queuedMessages() - dispatcher_.blockedMessages());
   if (messages_.openMessages() <= most_open && wait <= longest_wait)
     return;
   std::vector<ShedCandidate> candidates;
-  for (auto& [id, item] : fair_queue_.backlog()) {
+  for (auto& [id, entry] : fair_queue_.backlog()) {
     const Micros sent_at =
-        context_.now + std::max(rate_limiter_.queueDrainTime(*item.item), static_cast<Micros>(wait));
-    for (Message* message : item.item->queue)
+        context_.now + std::max(rate_limiter_.queueDrainTime(*entry.item), static_cast<Micros>(wait));
+    for (Message* message : entry.item->queue)
       if (retry_policy_.mayReject(*message))
         candidates.push_back({fair_queue_.priorityAt(*message, sent_at) +
                                   1e-3 * fair_queue_.priorityAt(*message, context_.now),
--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -1,4 +1,5 @@
-// Admission control: which messages are accepted, rejected while they wait, and failed at their deadline.
+// Admission control: decides which messages are accepted, rejected while they are queued, and failed at their
+// deadline.
 #pragma once
 
 #include "attempt_tracker.h"
@@ -11,9 +12,11 @@
 
 namespace grademux::decision {
 
-constexpr double kMaxQueueTimeFraction = 0.5;  // of the shortest latency objective; longer waits shed load
-constexpr double kMinRetainedPriority = 0.9;   // a message that retains less of its priority by then is shed
-constexpr double kOpenMessageReserve = 0.06;   // of Settings::max_open_messages is left free
+constexpr double kMaxQueueTimeFraction =
+    0.5;  // of the shortest latency objective; load is shed above this queue time
+constexpr double kMinRetainedPriority =
+    0.9;  // a message that keeps less of its priority until its send time is shed
+constexpr double kOpenMessageReserve = 0.06;  // share of Settings::max_open_messages that is kept free
 
 class AdmissionControl {
  public:
@@ -33,14 +36,15 @@
   explicit AdmissionControl(const Modules& modules);
 
   // Accepts and queues the message; rejects it if too many are open. A known id changes nothing; a message of
-  // an unknown class fails. `class_version` null: the class as the settings have it.
+  // an unknown class fails. If `class_version` is null, the
+  // class of the current settings applies.
   void onMessageArrival(const MessageArrival& arrival, const ClassVersion& class_version = nullptr);
-  // A message that an earlier process of this sender accepted, with its attempts, which count as made.
+  // Accepts a message of an earlier process of this sender. The past attempts count towards max_attempts.
   void onRecoveredMessage(const RecoveredMessage& recovered);
   void onMessageWithdrawn(const MessageWithdrawn& withdrawn);
 
   // Rejects the queued messages of least priority while too many are open, and in a large fleet with all
-  // calls in use those that would be late.
+  // calls in use the messages that would be late.
   void shedLoad();
   // Fails the messages whose deadline has passed.
   void failExpired();
--- a/src/decision/attempt_tracker.h
+++ b/src/decision/attempt_tracker.h
@@ -1,4 +1,5 @@
-// The attempts in flight, and the calls that carry them: a call to a batching endpoint carries several.
+// Tracks the attempts in flight and the calls that carry them. A call to a batching endpoint carries several
+// attempts.
 #pragma once
 
 #include <map>
@@ -25,7 +26,7 @@
   // Adds an attempt that is in flight. `connection_idle_time`: see Attempt.
   void recordAttempt(Message& message, EndpointEntry& endpoint, std::uint64_t call_id, Micros sent_at,
                      Micros connection_idle_time);
-  // The attempt is no longer in flight; ends its call with the last attempt of it.
+  // Marks the attempt as no longer in flight. The last attempt of a call ends the call.
   void finishAttempt(Message& message, Attempt& attempt);
 
   int callsInFlight() const { return static_cast<int>(attempts_per_call_.size()); }
@@ -33,7 +34,7 @@
 
  private:
   DecisionContext& context_;
-  std::unordered_map<std::uint64_t, int> attempts_per_call_;  // in flight, by call
+  std::unordered_map<std::uint64_t, int> attempts_per_call_;  // attempts in flight, by call id
   InFlight in_flight_;
   std::uint64_t last_call_id_ = 0, last_sequence_ = 0;
 };
--- a/src/decision/class_versions.h
+++ b/src/decision/class_versions.h
@@ -1,4 +1,4 @@
-// What the decision module reads from all message classes together.
+// Values that the decision module derives from all message classes together.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace grademux::decision {
 
-// Microseconds.
+// Returns microseconds.
 inline double shortestLatencyObjective(const Settings& settings) {
   double shortest = 1e300;
   for (const MessageClass& message_class : settings.classes)
--- a/src/decision/connection_policy.cpp
+++ b/src/decision/connection_policy.cpp
@@ -7,7 +7,7 @@
 
 Micros ConnectionPolicy::reserveConnection(EndpointEntry& endpoint, const Message& message) {
   const Micros idle_timeout = context_.settings.idle_connection_timeout;
-  // Calls that should not be lost use a new connection for a while after a reused one was found dead.
+  // Calls that must not be lost use a new connection for a while after a reused connection was stale.
   const bool avoids_reuse =
       message.class_version->idempotency == Idempotency::non_idempotent || !message.attempts.empty();
   const bool is_stale = avoids_reuse && context_.now - endpoint.stale_connection_at <
@@ -34,7 +34,8 @@
       std::max(0.0, context_.perSecond(endpoint.destination->message_rate) - 1 / context_.rateSpanSeconds()) /
       readyEndpointCount(*endpoint.destination);
   const double least_reuses = kMinExpectedReuses * context_.settings.sender_count / kReuseSenderCount;
-  // A failed connect in a large fleet: idle connections of many senders may fill the endpoint's table.
+  // A failed connect in a large fleet suggests that idle connections of many senders fill the endpoint's
+  // connection table.
   const bool is_table_full =
       context_.isLargeFleet() &&
       context_.now - endpoint.connect_failed_at < kStaleConnectionSpans * context_.settings.slow_start_time;
@@ -47,8 +48,7 @@
 
 void ConnectionPolicy::recordConnectionUse(Destination& destination, Micros idle_time, bool lost) {
   if (lost) {
-    // A call lost on a new connection (-1) is evidence against the destination, and none against idle
-    // connections.
+    // A call lost on a new connection (-1) is evidence against the destination, not against idle connections.
     destination.lost_after_idle = idle_time;
     return;
   }
@@ -66,13 +66,13 @@
   destination.lost_after_idle = -1;
 }
 
-// Idle time from which a connection is not trusted, microseconds; kNever: all are.
+// Idle time in microseconds from which a connection is not trusted; kNever: all connections are trusted.
 Micros ConnectionPolicy::staleIdleThreshold() const {
   const double threshold = kStaleConnectionThreshold / (context_.isLargeFleet() ? 2 : 1);
-  const bool go_stale =
+  const bool is_valid =
       evidence_.score > threshold &&
       context_.now - evidence_.observed_at < kStaleConnectionSpans * context_.settings.slow_start_time;
-  return go_stale ? evidence_.after_idle / 2 : kNever;
+  return is_valid ? evidence_.after_idle / 2 : kNever;
 }
 
 void ConnectionPolicy::restoreStaleEvidence(const StaleEvidence& evidence) {
--- a/src/decision/connection_policy.h
+++ b/src/decision/connection_policy.h
@@ -1,15 +1,17 @@
-// Use of idle connections: which calls reuse one, and which idle connections are closed. Networks may drop
-// idle connections silently: a call on such a connection is lost.
+// Connection policy: decides which calls reuse an idle connection, and which idle connections are closed.
+// Networks may drop idle connections silently: a call on such a connection is lost.
 #pragma once
 
 #include "decision_context.h"
 
 namespace grademux::decision {
 
-constexpr double kStaleConnectionThreshold = 2.5;  // score from which idle connections are taken to go stale
-constexpr Micros kStaleConnectionSpans = 3;        // evidence lasts so many slow start times
-constexpr double kMinExpectedReuses = 2;  // an idle connection with fewer expected reuses is closed ...
-constexpr double kReuseSenderCount = 10;  // ... with so many senders, in proportion for other counts
+constexpr double kStaleConnectionThreshold =
+    2.5;                                     // evidence score above which idle connections count as stale
+constexpr Micros kStaleConnectionSpans = 3;  // evidence is valid for this many slow start times
+constexpr double kMinExpectedReuses = 2;     // connections with fewer expected reuses are closed ...
+constexpr double kReuseSenderCount =
+    10;  // ... at this number of senders; proportional to the number of senders
 
 class ConnectionPolicy {
  public:
@@ -22,18 +24,18 @@
 
   explicit ConnectionPolicy(DecisionContext& context) : context_(context) {}
 
-  // Reserves an idle connection for a call of the message, or closes the idle ones that are no longer
-  // trusted. Returns how long the reserved one has idled, microseconds; -1: a new connection.
+  // Reserves an idle connection for a call of the message, or closes the idle connections that are no longer
+  // trusted. Returns the idle time of the reserved connection in microseconds; -1: the call opens a new one.
   Micros reserveConnection(EndpointEntry& endpoint, const Message& message);
-  // The connection of an answered call is idle. Closes the idle ones where few reuses are expected or the
-  // endpoint's connection table is full.
+  // Records that the connection of an answered call is idle. Closes the idle connections if few reuses are
+  // expected or the endpoint's connection table is full.
   void returnConnection(EndpointEntry& endpoint);
-  // Learns from a call whether idle connections go stale: one was lost on a reused connection, and the next
-  // one on a new connection succeeded. `idle_time`: as returned by reserveConnection().
+  // Learns from a call whether idle connections go stale. The evidence is a call lost on a reused connection
+  // that is followed by a successful call on a new one. `idle_time`: as returned by reserveConnection().
   void recordConnectionUse(Destination& destination, Micros idle_time, bool lost);
 
   const StaleEvidence& staleEvidence() const { return evidence_; }
-  // Takes over the evidence of an earlier process, unless this one has its own.
+  // Restores the evidence of an earlier process, unless this process has observed its own.
   void restoreStaleEvidence(const StaleEvidence& evidence);
 
  private:
--- a/src/decision/containers.h
+++ b/src/decision/containers.h
@@ -1,5 +1,5 @@
-// Containers of the decision module's state, indexed so that the cost of decide() follows the number of
-// changes. They order items and make no decisions. Pointers in them belong to the caller.
+// Containers for the state of the decision module, indexed so that the cost of decide() depends on the number
+// of changes, not of items. They order items and make no decisions. The caller owns the items pointed to.
 #pragma once
 
 #include <algorithm>
@@ -39,7 +39,7 @@
     second_.erase({it->second.second, id});
     items_.erase(it);
   }
-  T* at(Id id) const { return items_.at(id).item; }  // it must be there
+  T* at(Id id) const { return items_.at(id).item; }  // `id` must be present
   const Order& byFirst() const { return first_; }
   const Order& bySecond() const { return second_; }
 
@@ -55,12 +55,12 @@
   Order first_, second_;
 };
 
-// The median of the latest value of each key, without expired ones. Each change takes O(log n).
+// The median over the latest value of each key, without expired values. Each change takes O(log n).
 template <class Key>
 class RecentMedian {
  public:
   std::size_t size() const { return low_.size() + high_.size(); }
-  // `at` never goes back.
+  // Sets the latest value of the key. `at` must not decrease.
   void set(Key key, double value, std::int64_t at) {
     const auto known = latest_.find(key);
     if (known != latest_.end())
@@ -85,11 +85,11 @@
 
  private:
   void erase(double value) {
-    auto& half = value >= *high_.begin() ? high_ : low_;  // the upper half is empty only if both are
+    auto& half = value >= *high_.begin() ? high_ : low_;  // the upper half is empty only if both halves are
     half.erase(half.find(value));
     balance();
   }
-  // The lower half has size / 2 of them, rounded down.
+  // Moves values so that the lower half holds size / 2 of them, rounded down.
   void balance() {
     for (; low_.size() > size() / 2; low_.erase(std::prev(low_.end())))
       high_.insert(*low_.rbegin());
@@ -143,7 +143,7 @@
   std::vector<T*> items_;
 };
 
-// Keys that are due at a time, each scheduled once: scheduling a key again before it is due changes nothing.
+// Keys with a due time. Scheduling a key again before its due time has no effect.
 template <class Key>
 class RevisitQueue {
  public:
@@ -151,8 +151,8 @@
     if (waiting_.insert(key).second)
       order_.insert({when, key});
   }
-  // Removes the first key that is due at `now`, and returns it in `key`; false: none is due.
-  bool takeDue(std::int64_t now, Key& key) {
+  // Removes the first key that is due at `now` and copies it to `key`. Returns false if no key is due.
+  bool popDue(std::int64_t now, Key& key) {
     if (order_.empty() || order_.begin()->first > now)
       return false;
     key = order_.begin()->second;
--- a/src/decision/decision_context.h
+++ b/src/decision/decision_context.h
@@ -1,5 +1,6 @@
-// What all modules of a Sender share during one call of decide(): settings, time, the actions decided so far,
-// and the time scales that derive from the settings. Owned by the Sender; the modules hold references to it.
+// State that all modules of a Sender share during a call of decide(): settings, time, the actions decided so
+// far, and the time scales derived from the settings. The Sender owns the context; the modules hold
+// references to it.
 #pragma once
 
 #include <random>
@@ -10,22 +11,23 @@
 
 namespace grademux::decision {
 
-constexpr double kRareSenderFraction = 0.05;  // of a limit: a sender with less traffic is one of many
-constexpr double kTimeoutRatio = 8;           // longest attempt, in expected latencies
-constexpr double kRetentionSpans = 3;         // shortest retention of unused state, in slow start times
+constexpr double kRareSenderFraction =
+    0.05;                              // a sender with less traffic than this share of the limit is rare
+constexpr double kTimeoutRatio = 8;    // longest attempt time-out, in expected latencies
+constexpr double kRetentionSpans = 3;  // shortest retention of unused state, in slow start times
 
 struct DecisionContext {
   DecisionContext(Settings initial_settings, std::uint64_t seed);
 
-  // Cold: down, or in slow start after an outage.
+  // Whether the target is down, or in slow start after an outage.
   bool isCold(const TargetState& target) const {
     return target.outlier.is_down || now - target.outlier.warming_since < settings.slow_start_time;
   }
-  // Whether so many senders share the destinations that one sees only a small part of their traffic.
+  // Whether so many senders share the destinations that each sender sees only a small part of the traffic.
   bool isLargeFleet() const { return kRareSenderFraction * settings.sender_count > 1; }
   // Shortest time that state of removed endpoints and destinations is retained.
   Micros retentionTime() const;
-  // Settings::overload_collapse_time, 1 microsecond at least.
+  // Settings::overload_collapse_time in microseconds, 1 at least.
   double collapseTime() const;
   // Span over which rates are averaged: Settings::slow_start_time in seconds.
   double rateSpanSeconds() const {
@@ -33,7 +35,7 @@
   }
   double perSecond(const Rate& rate) const { return rate.perSecond(now, rateSpanSeconds()); }
   void countEvent(Rate& rate) const { rate.count(now, rateSpanSeconds()); }
-  // Requests that decide() is called again at `when` at the latest.
+  // Requests another call of decide() at `when` at the latest.
   void requestTimer(Micros when) { next_timer_at = std::min(next_timer_at, when); }
 
   Settings settings;
@@ -44,7 +46,7 @@
   std::uint64_t iteration = 0;  // number of the current dispatch
   std::vector<Action> actions;  // decided in this call
   Micros next_timer_at = kNever;
-  Micros shutdown_at = kNever;   // outcomes that arrive later are lost
+  Micros shutdown_at = kNever;   // outcomes that arrive after this time are lost
   DestinationKind default_kind;  // of endpoints whose kind is not in the settings
 };
 
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -31,7 +31,7 @@
     position = fair_queue_.positionOf(*destination);
     const Selection selection = chooseMessage(*destination);
     if (!mayStart(selection)) {
-      // Attempts at other destinations in this dispatch do not change that.
+      // Attempts at other destinations do not unblock this destination during this dispatch.
       destination->blocked_in_iteration = context_.iteration;
       blocked.push_back(destination);
       blocked_messages_ += destination->queue.size();
@@ -41,7 +41,7 @@
       served = position.tag;
     startAttempt(*selection.message, *selection.endpoint, position.by_global_tag);
     fillBatch(*destination, *selection.endpoint);
-    // All destinations before this position are blocked, except the one whose tags have just moved.
+    // All destinations before this position are blocked, except the destination whose tags have just changed.
     if (!destination->tags.empty())
       position = std::min(position, fair_queue_.positionOf(*destination));
   }
@@ -56,7 +56,7 @@
          outlier_detector_.outlierCallsInFlight() < outlier_detector_.outlierCallLimit();
 }
 
-// The message that loses most priority by waiting until the destination's queue is sent.
+// Selects the message that loses most priority by waiting until the destination's queue is sent.
 Dispatcher::Selection Dispatcher::chooseMessage(Destination& destination) {
   Selection best;
   double best_loss = -1;
@@ -93,7 +93,8 @@
   }
 }
 
-// Least outstanding calls; then an idle connection, then the least recently used endpoint.
+// Prefers endpoints that are no outliers, then the lowest zone cost, then the fewest calls in flight, then an
+// idle connection, then the least recently used endpoint.
 EndpointEntry* Dispatcher::chooseEndpoint(Destination& destination, const Message& message) {
   EndpointEntry* best = nullptr;
   const auto rank = [this](const EndpointEntry& endpoint) {
@@ -110,7 +111,7 @@
   return best;
 }
 
-// Cost of the endpoint's zone, for kinds with separate routes; else 0.
+// Cost of the endpoint's zone for kinds with separate routes, else 0.
 double Dispatcher::zoneCost(const EndpointEntry& endpoint) const {
   const Settings& settings = context_.settings;
   const auto zone = std::find(settings.zones.begin(), settings.zones.end(), endpoint.zone);
@@ -129,8 +130,8 @@
        static_cast<double>(context_.shutdown_at - context_.now) < longest_wait))
     return false;
   const TargetState& target = limitScope(endpoint);
-  // Where outcomes stay unknown, a non-idempotent message waits, as it could not be retried; up to half of
-  // its deadline.
+  // Where many outcomes are unknown, a non-idempotent message waits up to half of its deadline, as it cannot
+  // be retried after an unknown outcome.
   const bool is_risky =
       std::max(target.outlier.unknown_outcome_fraction, endpoint.target.outlier.unknown_outcome_fraction) >
       kMaxUnknownOutcomeFraction;
@@ -160,7 +161,7 @@
                                           retry_until == kNever ? 0 : retry_until - context_.now + 1});
 }
 
-// Begins a call to the endpoint, and charges it to the rate limits.
+// Starts a call to the endpoint and charges it to the rate limits.
 void Dispatcher::startCall(Destination& destination, EndpointEntry& endpoint) {
   open_calls_[&endpoint] = {attempts_.newCallId(), endpoint.kind->messages_per_call - 1};
   ++endpoint.calls_in_flight;
@@ -175,7 +176,7 @@
   rate_limiter_.chargeSend(destination.target, limit, own_rate);
 }
 
-// Adds queued messages to the call that was just started, in the order of arrival, as far as it takes more.
+// Adds queued messages in the order of arrival to the call that was just started, until the call is full.
 void Dispatcher::fillBatch(Destination& destination, EndpointEntry& endpoint) {
   while (open_calls_[&endpoint].room > 0 && !destination.queue.empty()) {
     Message* next = nullptr;
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -13,7 +13,7 @@
 
 namespace grademux::decision {
 
-constexpr double kMaxUnknownOutcomeFraction = 0.3;  // with more, non-idempotent messages wait
+constexpr double kMaxUnknownOutcomeFraction = 0.3;  // above this share non-idempotent messages wait
 
 class Dispatcher {
  public:
@@ -32,18 +32,18 @@
 
   explicit Dispatcher(const Modules& modules);
 
-  // Starts all attempts that may start now; once in each call of decide().
+  // Starts all attempts that may start now. Called once in each call of decide().
   void dispatchMessages();
-  // Queued messages of the destinations that could start nothing in the last dispatch.
+  // Number of queued messages at the destinations that could start no attempt in the last dispatch.
   std::size_t blockedMessages() const { return blocked_messages_; }
 
  private:
-  // A message and the endpoint for its next attempt; null: none may start.
+  // A message and the endpoint for its next attempt; null: no attempt may start.
   struct Selection {
     Message* message = nullptr;
     EndpointEntry* endpoint = nullptr;
   };
-  // A call that was started in this dispatch and takes more messages.
+  // A call that was started in this dispatch, and the number of messages that it can still take.
   struct OpenCall {
     std::uint64_t call_id = 0;
     int room = 0;
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr int kMostPollFailures = 6;      // the backoff doubles so many times
-constexpr double kPollBackoffParts = 64;  // first backoff: so small a part of Settings::poll_notified_within
+constexpr int kMostPollFailures = 6;      // the backoff doubles up to this many times
+constexpr double kPollBackoffParts = 64;  // base backoff: this part of Settings::poll_notified_within
 
 }  // namespace
 
@@ -28,7 +28,7 @@
     updateEndpoint(listed);
 }
 
-// Exponential backoff with jitter, so that many senders do not overload the registry.
+// Backs off exponentially with jitter, so that many senders do not overload the registry.
 void EndpointTable::backOffPolling() {
   poll_failures_ = std::min(poll_failures_ + 1, kMostPollFailures);
   const double base =
@@ -65,7 +65,7 @@
   if (endpoint.destination)
     detachFromDestination(endpoint);
   endpoint.destination = &destination;
-  // A random order of first use: otherwise all senders begin with the endpoint that the list names first.
+  // The order of first use is random: otherwise all senders start with the first endpoint of the list.
   endpoint.last_used_at = -kNever + static_cast<Micros>(context_.random() % 1000);
   destination.id = id;
   destination.endpoints.push_back(&endpoint);
@@ -142,7 +142,7 @@
 
 void EndpointTable::eraseUnusedEndpoints() {
   std::string id;
-  while (removed_endpoints_.takeDue(context_.now, id)) {
+  while (removed_endpoints_.popDue(context_.now, id)) {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end() || found->second.state != EndpointState::gone)
       continue;
@@ -159,7 +159,7 @@
 
 void EndpointTable::eraseUnusedDestinations() {
   std::int64_t id = 0;
-  while (unlisted_destinations_.takeDue(context_.now, id)) {
+  while (unlisted_destinations_.popDue(context_.now, id)) {
     const auto found = destinations_.find(id);
     if (found == destinations_.end() || !found->second.endpoints.empty())
       continue;
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -1,4 +1,5 @@
-// The endpoints of the endpoint list, their destinations, and how long the state of removed ones is retained.
+// Endpoint table: the endpoints of the endpoint list and their destinations. The state of removed endpoints
+// and destinations is retained for a while.
 #pragma once
 
 #include <map>
@@ -15,19 +16,19 @@
 
   // Applies a snapshot or delta of the list, or backs off after a failed poll.
   void onEndpointListUpdate(const EndpointListUpdate& update);
-  // Asks for the list when it is due.
+  // Requests the endpoint list when the next poll is due.
   void pollEndpointList();
-  // Points the endpoints at the kinds of the current settings, by name. `old_list_mode`: that of the settings
-  // before.
+  // Points the endpoints at the kinds of the current settings, by name. `old_list_mode`: list mode of the
+  // previous settings.
   void onSettingsChanged(ListMode old_list_mode);
 
-  // Null: not known. Pointers last until eraseUnused() erases the endpoint.
+  // Returns null for an unknown id. The pointer is valid until eraseUnused() erases the endpoint.
   EndpointEntry* find(const std::string& id);
-  // Adds the destination if it is not known.
+  // Returns the destination, and adds it if it is unknown.
   Destination& destination(std::int64_t id);
   std::map<std::int64_t, Destination>& destinations() { return destinations_; }
 
-  // Retains the state of a destination without endpoints for the retention time from now on.
+  // Retains the state of a destination without endpoints for the retention time.
   void retainUnlisted(std::int64_t destination);
   // Erases removed endpoints and destinations without endpoints whose retention time is over, unless a
   // message, a Retry-After or a slow start still needs them. Withdraws the health that was exported for them.
--- a/src/decision/fair_queue.cpp
+++ b/src/decision/fair_queue.cpp
@@ -10,15 +10,15 @@
   tenant_rates_.resize(context.settings.tenants.size());
 }
 
-// Tag adjustment (RePAIR): on each arrival all global tags move so that the smallest is now. Otherwise new
-// destinations starve or dominate.
+// Tag adjustment (RePAIR): on each arrival all global tags are shifted so that the smallest equals the
+// current time. Otherwise new destinations starve or dominate.
 void FairQueue::adjustGlobalTags() {
   if (!backlog_.empty())
     global_tag_shift_ +=
         static_cast<double>(context_.now) - (backlog_.bySecond().begin()->first + global_tag_shift_);
 }
 
-// The paper's w: calls a second from the endpoint list; 1 if it has none.
+// The paper's w: calls a second from the endpoint list; 1 if the list states no weight.
 double FairQueue::destinationWeight(const Destination& destination) const {
   for (const EndpointEntry* endpoint : destination.endpoints)
     if (endpoint->state == EndpointState::ready && context_.settings.weight_kind != WeightKind::none &&
@@ -43,12 +43,12 @@
   destination.queue.add(&message);
   destination.queued_objectives.insert(static_cast<double>(message.class_version->latency_objective));
   ++queued_messages_;
-  // 1/M: one start in each latency objective of the most urgent queued class.
+  // 1/M: one start per latency objective of the most urgent queued class.
   destination.local_tag_interval = *destination.queued_objectives.begin();
   const double step = kSecond / destinationWeight(destination);
   const double now_tag = static_cast<double>(context_.now);
-  // Idle credit of sigma/w at most. None while cold: together with the backlog it would overload the
-  // destination.
+  // Idle credit of at most sigma/w. A cold destination gets none: credit and backlog together would overload
+  // it.
   const double credit =
       destination.tags.empty() && destination.last_global_tag > -1e17 && !context_.isCold(destination.target)
           ? kIdleCredit * step
@@ -97,8 +97,8 @@
 
 FairQueue::Position FairQueue::positionOf(const Destination& destination) const {
   const FairQueueTag& tag = destination.tags.front();
-  const bool due = tag.local <= static_cast<double>(context_.now);
-  return {!due, due ? tag.local : tag.global + destination.global_tag_raise, destination.id};
+  const bool is_due = tag.local <= static_cast<double>(context_.now);
+  return {!is_due, is_due ? tag.local : tag.global + destination.global_tag_raise, destination.id};
 }
 
 Destination* FairQueue::nextDestination(const Position& from) const {
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -1,5 +1,5 @@
-// Order of service: which destination uses a free call, and which of its queued messages. The order of
-// destinations is RBFQ of the paper "RePAIR" (dual real-time tags); docs/design.md lists the differences.
+// Fair queue: the queued messages of all destinations, and the order in which destinations use free calls.
+// The order is RBFQ of the paper "RePAIR" (dual real-time tags); docs/design.md lists the differences.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,13 @@
 
 namespace grademux::decision {
 
-constexpr double kIdleCredit = 2;  // the paper's sigma: starts that a destination may catch up after idling
+constexpr double kIdleCredit =
+    2;  // the paper's sigma: starts that a destination may catch up on after it was idle
 
 class FairQueue {
  public:
-  // A place in the order of destinations: those with a due local tag first, by it, then all by their global
-  // tag; equal tags by destination.
+  // A position in the order of destinations: first the destinations with a due local tag, by local tag, then
+  // all destinations by global tag. Equal tags are ordered by destination id.
   struct Position {
     bool by_global_tag = false;
     double tag = -1e300;
@@ -27,39 +28,40 @@
     }
   };
   using Backlog =
-      TwoKeyIndex<Destination>;  // destinations with queued messages, by first local and global tag
+      TwoKeyIndex<Destination>;  // destinations with queued messages, by their first local and global tag
 
   explicit FairQueue(DecisionContext& context);
 
-  // Queues the message at its destination; it may start from `not_before` on. Adds a tag pair: local
-  // l = max(l_prev + 1/M, now), global g = max(g_prev + 1/w, now - idle credit).
+  // Queues the message at its destination; its attempt starts at `not_before` at the earliest. Adds a tag
+  // pair: local l = max(l_prev + 1/M, now), global g = max(g_prev + 1/w, now - idle credit).
   void enqueue(Message& message, Micros not_before);
-  // Removes the message from the queue. A started message takes the first tag pair of its destination, any
-  // other the last.
+  // Removes the message from the queue. A started message uses up the first tag pair of its destination; any
+  // other message removes the last pair.
   void dequeue(Message& message, bool started);
   // Lowers the local tags of the destination by 1/M, after a start by its global tag.
   void lowerLocalTags(Destination& destination);
-  // Raises the global tags of a destination that could not start while others were served up to global tag
-  // `served`: it keeps a lag of one start, or none while cold, so that it does not take all calls once it may
-  // send again.
+  // Raises the global tags of a destination that could not start an attempt while others were served up to
+  // global tag `served`. The destination keeps a lag of one start, or none while cold, so that it does not
+  // use all calls once it may send again.
   void raiseGlobalTags(Destination& destination, double served);
 
   Position positionOf(const Destination& destination) const;
-  // The first destination from `from` on that is not blocked in this iteration; null: none.
+  // Returns the first destination at or after `from` that is not blocked in this iteration; null if there is
+  // none.
   Destination* nextDestination(const Position& from) const;
 
   // Priority of the message if it is delivered at `when`: its class's priority weight, lowered past the
   // latency objective and for tenants over quota.
   double priorityAt(const Message& message, Micros when) const;
-  // Counts a message of the tenant at this position of Settings::tenants.
+  // Counts a message for the rate of the tenant at this position of Settings::tenants.
   void countTenantMessage(int tenant);
-  // Carries the tenants' rates over to the current settings, by name. Returns the new position of each old
-  // one, or -1.
+  // Assigns the tenants' rates to the tenants of the current settings, by name. Returns the new position of
+  // each old tenant, or -1 for a removed one.
   std::vector<int> moveTenants(const std::vector<Tenant>& old_tenants);
 
   const Backlog& backlog() const { return backlog_; }
   std::size_t queuedMessages() const { return queued_messages_; }
-  // Added to every stored global tag.
+  // Offset that is added to every stored global tag.
   double globalTagShift() const { return global_tag_shift_; }
 
  private:
@@ -78,7 +80,8 @@
 
 // Inline: each dispatch computes the priority of many queued messages.
 
-// Priority factor of a tenant: the part of its rate inside the quota counts in full.
+// Returns the priority factor of a tenant: the part of its rate within the quota counts in full, the rest by
+// Settings::over_quota_weight.
 inline double FairQueue::tenantWeight(int tenant) const {
   if (tenant < 0)
     return 1;
--- a/src/decision/latency_statistics.h
+++ b/src/decision/latency_statistics.h
@@ -1,4 +1,4 @@
-// Latency over all destinations: the mean, and the slowdown that all endpoints show together.
+// Latency statistics over all destinations: the mean, and the slowdown that is common to all endpoints.
 #pragma once
 
 #include "decision_context.h"
@@ -13,16 +13,16 @@
   void addAnswer(Micros round_trip);
   // Sets the latest ratio of an endpoint's recent latency to its typical one.
   void setRatio(EndpointEntry& endpoint, double ratio) { ratios_.set(&endpoint, ratio, context_.now); }
-  // Recomputes commonSlowdown() from the ratios of late; once in each call of decide().
+  // Recomputes commonSlowdown() from the recent ratios. Called once in each call of decide().
   void updateCommonSlowdown();
-  // Takes over the mean of an earlier process, unless this one has measured already.
+  // Restores the mean of an earlier process, unless this process has measured answers.
   void restoreMean(double mean, int samples);
 
-  // Expected latency of a call to the endpoint, microseconds: from the endpoint, else its destination, else
-  // the mean of all, else the shortest latency objective.
+  // Expected latency of a call to the endpoint in microseconds: of the endpoint, else of its destination,
+  // else the mean of all destinations, else derived from the shortest latency objective.
   double expectedLatency(const EndpointEntry& endpoint) const;
-  // Median ratio of recent to typical latency over all endpoints, 1 at least: a slowdown that all share is no
-  // fault of one of them.
+  // Median ratio of recent to typical latency over all endpoints, 1 at least. A common slowdown is no
+  // evidence against a single endpoint.
   double commonSlowdown() const { return common_slowdown_; }
   double mean() const { return mean_; }  // microseconds
   int samples() const { return samples_; }
--- a/src/decision/learned_state.cpp
+++ b/src/decision/learned_state.cpp
@@ -100,7 +100,7 @@
   if (!health.down)
     return;
   state.consecutive_failures = std::max(state.consecutive_failures, 1);
-  // Old enough that the outage does not count as a brief one: slow start follows it.
+  // The first failure is dated back so that the outage does not count as brief and slow start follows it.
   state.first_failure_at =
       std::min(state.first_failure_at, health.warming_since - context_.settings.overload_collapse_time);
 }
--- a/src/decision/learned_state.h
+++ b/src/decision/learned_state.h
@@ -1,5 +1,5 @@
-// What this process has learned of destinations, for the next process of this sender, and what the one before
-// learned. The age of restored state is judged in src/knowledge.
+// Learned state: exports what this process has learned of destinations to the next process of this sender,
+// and restores what the previous process exported. src/knowledge judges the age of restored state.
 #pragma once
 
 #include <string>
@@ -16,11 +16,11 @@
                ConnectionPolicy& connections)
       : context_(context), latency_(latency), endpoint_table_(endpoint_table), connections_(connections) {}
 
-  // Answers with a LearnedEndpoint for each destination and endpoint of the requested range, then
+  // Adds a LearnedEndpoint action for each destination and endpoint of the requested range, then
   // LearnedExported.
   void onExportLearned(const ExportLearned& request);
-  // Restores a destination or endpoint, unless this process has had an outcome there. An endpoint that is not
-  // listed changes nothing.
+  // Restores the learned state of a destination or endpoint, unless this process has received an outcome from
+  // there. Ignores an unlisted endpoint.
   void onLearnedEndpoint(const LearnedEndpoint& learned);
   void onLearnedPool(const LearnedPool& pool);
   // Restores the health of a destination, or of an endpoint with its own route.
--- a/src/decision/message_table.cpp
+++ b/src/decision/message_table.cpp
@@ -64,7 +64,7 @@
 
 void MessageTable::eraseIdleOrderingKeys() {
   std::string key;
-  while (idle_ordering_keys_.takeDue(context_.now, key)) {
+  while (idle_ordering_keys_.popDue(context_.now, key)) {
     const auto queue = ordering_queues_.find(key);
     if (queue == ordering_queues_.end() || !queue->second.messages.empty())
       continue;
--- a/src/decision/message_table.h
+++ b/src/decision/message_table.h
@@ -1,4 +1,4 @@
-// The known messages, their deadlines, and the queues of those that must be sent in order.
+// Message table: the known messages, their deadlines, and the ordering queues.
 #pragma once
 
 #include <map>
@@ -19,31 +19,32 @@
   MessageTable(DecisionContext& context, EndpointTable& endpoint_table, FairQueue& fair_queue)
       : context_(context), endpoint_table_(endpoint_table), fair_queue_(fair_queue) {}
 
-  // Null: not known. A pointer lasts until eraseIfUnused() erases the message.
+  // Returns null for an unknown id. The pointer is valid until eraseIfUnused() erases the message.
   Message* find(const std::string& id);
-  // Adds a message; `id` must not be known.
+  // Adds a message. `id` must be unknown.
   Message& add(const std::string& id);
-  // Counts the message as open, with its deadline and its place in the queue of its ordering key.
+  // Counts the message as open, and records its deadline and its position in its ordering queue.
   void open(Message& message);
-  // The final outcome is decided: no further attempt is started. Attempts in flight stay known.
+  // Marks the final outcome as decided: no further attempt is started. Attempts in flight remain tracked.
   void closeMessage(Message& message);
   // Erases a closed message once it has no attempt in flight.
   void eraseIfUnused(Message& message);
 
-  // Whether no earlier message with the same ordering key is open or may still be executing.
+  // Whether no earlier message with the same ordering key is open or possibly still executing.
   bool isFirstInOrder(const Message& message) const {
     return message.ordering_key.empty() || isFirstOfOrderingKey(message);
   }
-  // Blocks the ordering key of the message for Settings::ordering_backoff.
+  // Blocks later messages with the ordering key of the message for Settings::ordering_backoff.
   void blockOrderingKey(const Message& message);
   // Erases ordering keys without messages once they are no longer blocked.
   void eraseIdleOrderingKeys();
 
-  // Replaces tenant positions: `positions[old]` is the new one, -1 for a removed tenant.
+  // Replaces the tenant positions of all messages: `positions[old]` is the new position, -1 for a removed
+  // tenant.
   void moveTenants(const std::vector<int>& positions);
 
   int openMessages() const { return open_messages_; }
-  // The open message with the earliest deadline, if it has passed; else null.
+  // Returns the open message with the earliest deadline if that deadline has passed, else null.
   Message* firstExpired();
   Micros nextDeadline() const { return deadlines_.empty() ? kNever : deadlines_.begin()->first; }
 
@@ -53,7 +54,7 @@
   DecisionContext& context_;
   EndpointTable& endpoint_table_;
   FairQueue& fair_queue_;
-  std::map<std::string, Message> messages_;  // also closed ones with an attempt in flight
+  std::map<std::string, Message> messages_;  // includes closed messages with an attempt in flight
   std::set<std::pair<Micros, std::string>> deadlines_;
   std::map<std::string, OrderingQueue> ordering_queues_;
   RevisitQueue<std::string> idle_ordering_keys_;
--- a/src/decision/outcome_handler.cpp
+++ b/src/decision/outcome_handler.cpp
@@ -48,9 +48,9 @@
                                             outcome.stale_connection);
 }
 
-// Queues the next attempt after a backoff that doubles, so that the attempts last until the deadline. In a
-// large fleet the backoff is one latency objective at least: retries would delay first attempts that are
-// still on time.
+// Queues the next attempt after a backoff that doubles with each attempt, so that the attempts last until the
+// deadline. In a large fleet the backoff is at least one latency objective: earlier retries would delay first
+// attempts that can still meet their objective.
 void OutcomeHandler::scheduleRetry(Message& message, EndpointEntry& endpoint) {
   if (message.is_queued || message.attempts_in_flight > 0)
     return;
@@ -59,11 +59,11 @@
     return modules_.admission.finishMessage(message, context.now < message.deadline);
   const double time_left = static_cast<double>(message.deadline - context.now);
   const int attempts_left = message.class_version->max_attempts - static_cast<int>(message.attempts.size());
-  const double least = context.isLargeFleet()
-                           ? context.shortest_objective + modules_.rate_limiter.returnJitter(
-                                                              limitScope(endpoint), *message.destination)
-                           : modules_.latency.expectedLatency(endpoint);
-  const double backoff = std::max(least, time_left * std::exp2(-std::min(attempts_left, 60)));
+  const double min_backoff =
+      context.isLargeFleet() ? context.shortest_objective + modules_.rate_limiter.returnJitter(
+                                                                limitScope(endpoint), *message.destination)
+                             : modules_.latency.expectedLatency(endpoint);
+  const double backoff = std::max(min_backoff, time_left * std::exp2(-std::min(attempts_left, 60)));
   modules_.fair_queue.enqueue(message, context.now + static_cast<Micros>(backoff));
 }
 
--- a/src/decision/outcome_handler.h
+++ b/src/decision/outcome_handler.h
@@ -1,5 +1,5 @@
-// What follows from the outcome of an attempt: the evidence goes to the modules that learn from it, and the
-// message is finished or retried.
+// Handles attempt outcomes: passes the evidence to the modules that learn from it, and finishes or retries
+// the message.
 #pragma once
 
 #include "admission_control.h"
@@ -15,7 +15,7 @@
 
 class OutcomeHandler {
  public:
-  // The modules that an outcome changes.
+  // The modules that the handler consults and changes.
   struct Modules {
     DecisionContext& context;
     const LatencyStatistics& latency;
@@ -31,7 +31,7 @@
 
   explicit OutcomeHandler(const Modules& modules) : modules_(modules) {}
 
-  // Outcomes of unknown messages, and of attempts that have ended, change nothing.
+  // Ignores outcomes of unknown messages and of attempts that have ended.
   void onAttemptOutcome(const AttemptOutcome& outcome);
 
  private:
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kMinLatencySamples = 5;  // before a latency ratio counts
+constexpr int kMinLatencySamples = 5;  // fewer samples give no usable latency ratio
 
 }  // namespace
 
@@ -18,7 +18,7 @@
          target.outlier.latency_ratio > kSlowLatencyRatio * latency_.commonSlowdown();
 }
 
-// The latest evidence is an overdue attempt or a failure.
+// Whether the latest evidence is an overdue attempt or a failure.
 bool OutlierDetector::isStalled(const TargetState& target) const {
   return target.outlier.overdue_attempts > 0 || target.outlier.consecutive_failures > 0;
 }
@@ -54,7 +54,7 @@
   }
 }
 
-// Both latencies in microseconds. A failure counts only if it was slow: a quick one is no evidence of
+// `round_trip` is in microseconds. A failure counts only if it was slow: a quick failure is no evidence of
 // latency.
 void OutlierDetector::recordLatency(TargetState& target, double round_trip, bool success) {
   OutlierState& state = target.outlier;
@@ -76,8 +76,8 @@
     ++state.latency_samples;
 }
 
-// Failures, time-outs, failed connects and persistent rejections are the same evidence: the target does not
-// serve.
+// Failures, time-outs, failed connects and persistent rejections are the same evidence: the target serves no
+// requests.
 void OutlierDetector::recordOutcome(TargetState& target, AttemptResult result, bool is_failure) {
   OutlierState& state = target.outlier;
   state.last_outcome_at = context_.now;
@@ -98,7 +98,7 @@
   markDownIfFailing(target, is_failure);
 }
 
-// Ends an outage. Slow start follows, except after a brief one.
+// Ends an outage. Slow start follows, except after a brief outage.
 void OutlierDetector::recordSuccess(TargetState& target) {
   OutlierState& state = target.outlier;
   const Micros collapse_time = context_.settings.overload_collapse_time;
@@ -108,7 +108,7 @@
   if (state.is_down) {
     state.is_down = false;
     state.warming_since = was_brief ? -kNever : context_.now;
-    // The gaps between trials of a down target end with the outage.
+    // The longer gaps between trials of a down target end with the outage.
     target.rate_limit.upper_bound_tag = static_cast<double>(context_.now);
   } else if (state.consecutive_failures > 0 && state.first_failure_at != kNever &&
              context_.now - state.last_success_at > collapse_time) {
@@ -175,7 +175,8 @@
       std::max(target.rate_limit.upper_bound_tag, static_cast<double>(context_.now) + jitter);
 }
 
-// A Retry-After blocks the target until it is over. A long one is an outage, and gets jitter.
+// A Retry-After blocks the target until it has passed. A long Retry-After counts as an outage and gets
+// jitter.
 void OutlierDetector::applyRetryAfter(EndpointEntry& endpoint, Micros retry_after) {
   TargetState& target = limitScope(endpoint);
   double jitter = 0;
@@ -189,8 +190,8 @@
                                                    context_.now + retry_after + static_cast<Micros>(jitter));
 }
 
-// Exports health that has changed, so that the next process of this sender does not send at full rate to what
-// is cold.
+// Exports health that has changed, so that the next process of this sender does not send at full rate to a
+// cold target.
 void OutlierDetector::exportHealth(EndpointEntry& endpoint, bool was_down) {
   TargetState& target = limitScope(endpoint);
   const Micros retry_after_until = target.rate_limit.retry_after_until;
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -1,5 +1,5 @@
-// Outlier detection: which destinations and endpoints are down, slow or stalled, from the outcomes of their
-// attempts, and the part of the calls in flight that these may use.
+// Outlier detection: determines from attempt outcomes which destinations and endpoints are down, slow or
+// stalled, and limits the share of the calls in flight that these outliers may use.
 #pragma once
 
 #include "attempt_tracker.h"
@@ -9,13 +9,13 @@
 namespace grademux::decision {
 
 constexpr double kOutlierCallFraction = 0.5;     // of the calls in flight, for all outliers together
-constexpr double kMaxFailureFraction = 0.5;      // a larger share of failures is an outage
-constexpr double kFailureGain = 0.25;            // weight of the newest outcome in that share
-constexpr int kConsecutiveFailureThreshold = 3;  // so many failures are an outage; 1 in a large fleet
-constexpr double kSlowLatencyRatio = 4;          // recent over typical latency of a slow target
-constexpr double kRecentLatencyGain = 0.25;      // weight of the newest latency in the recent one
-constexpr double kTypicalLatencyGain = 0.04;     // weight of the newest latency in the typical one
-constexpr double kOverdueRatio = 4;              // an overdue attempt has taken so many expected latencies
+constexpr double kMaxFailureFraction = 0.5;      // a larger share of failures counts as an outage
+constexpr double kFailureGain = 0.25;            // weight of the newest outcome in the share of failures
+constexpr int kConsecutiveFailureThreshold = 3;  // this many failures count as an outage; 1 in a large fleet
+constexpr double kSlowLatencyRatio = 4;          // a target with a larger recent over typical latency is slow
+constexpr double kRecentLatencyGain = 0.25;      // weight of the newest latency in the recent latency
+constexpr double kTypicalLatencyGain = 0.04;     // weight of the newest latency in the typical latency
+constexpr double kOverdueRatio = 4;              // an attempt is overdue after this many expected latencies
 
 // Changes OutlierState, and the health that was last exported.
 class OutlierDetector {
@@ -24,20 +24,21 @@
                   RateLimiter& rate_limiter)
       : context_(context), latency_(latency), attempts_(attempts), rate_limiter_(rate_limiter) {}
 
-  // Down, slow or stalled; the endpoint itself, or the destination whose limit it shares.
+  // Whether the endpoint, or the destination whose limit the endpoint shares, is down, slow or stalled.
   bool isOutlier(const EndpointEntry& endpoint) const;
 
-  // Learns from the outcome of an attempt, or of a cancelled one that reported a Retry-After (`retry_after`).
-  // `stale_connection`: the reused connection was dead, which is no evidence against the endpoint.
+  // Learns from the outcome of an attempt. A cancelled attempt only counts if it reported a Retry-After
+  // (`retry_after`). `stale_connection`: the reused connection was stale, which is no evidence against the
+  // endpoint.
   void onAttemptResult(EndpointEntry& endpoint, AttemptResult result, Micros round_trip, Micros retry_after,
                        bool stale_connection);
-  // Recounts the overdue attempts of all targets: evidence before their time-out.
+  // Recounts the overdue attempts of all targets, which are evidence before the attempts time out.
   void countOverdueAttempts();
-  // With all calls in use, cancels the overdue attempts by which the outliers exceed their part: idempotent
-  // messages first.
+  // If all calls are in use, cancels as many overdue attempts as the outliers exceed their call limit by;
+  // attempts of idempotent messages first.
   void cancelOverdueAttempts();
 
-  // Calls in flight that outliers may use together; 1 at least.
+  // Number of calls in flight that all outliers together may use, 1 at least.
   int outlierCallLimit() const;
   int outlierCallsInFlight() const;
 
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -55,14 +55,14 @@
 }
 
 Micros RetryPolicy::attemptTimeout(const Message& message, const EndpointEntry& endpoint) const {
-  const Micros left = message.deadline - context_.now;
+  const Micros time_left = message.deadline - context_.now;
   const TargetState& target = endpoint.target;
   const double slowness = std::max({1.0, latency_.commonSlowdown(),
                                     target.outlier.latency_samples > 0 ? target.outlier.latency_ratio : 1.0});
   const double timeout_factor =
       message.class_version->idempotency == Idempotency::non_idempotent ? kNonIdempotentTimeoutFactor : 1;
-  const double most = kTimeoutRatio * timeout_factor * latency_.expectedLatency(endpoint) * slowness;
-  return static_cast<Micros>(std::clamp(most, 1.0, static_cast<double>(std::max<Micros>(1, left))));
+  const double timeout = kTimeoutRatio * timeout_factor * latency_.expectedLatency(endpoint) * slowness;
+  return static_cast<Micros>(std::clamp(timeout, 1.0, static_cast<double>(std::max<Micros>(1, time_left))));
 }
 
 }  // namespace grademux::decision
--- a/src/decision/sender.cpp
+++ b/src/decision/sender.cpp
@@ -1,5 +1,5 @@
-// The Sender of include/grademux/sender.h: owns the modules of this folder, hands them the events, and runs
-// them in order.
+// Implements the Sender of include/grademux/sender.h: owns the modules of this folder, passes the events to
+// them, and runs them in order.
 #include "admission_control.h"
 #include "attempt_tracker.h"
 #include "connection_policy.h"
@@ -39,7 +39,7 @@
   void onEvent(const ExportLearned& event) { learned_state_.onExportLearned(event); }
   void onEvent(const SettingsChanged& event) { settings_update_.onSettingsChanged(event); }
   void onEvent(const ShutdownScheduled& event) { context_.shutdown_at = event.at; }
-  void onEvent(const TimerFired&) {}  // decide() itself is what the timer is for
+  void onEvent(const TimerFired&) {}  // the timer only triggers a call of decide()
 
   void updateTimer();
 
@@ -61,7 +61,7 @@
                                    outlier_detector_, messages_, connections_, retry_policy_, admission_}};
   LearnedState learned_state_{context_, latency_, endpoint_table_, connections_};
   SettingsUpdate settings_update_{context_, endpoint_table_, fair_queue_, messages_};
-  Micros timer_at_ = kNever;  // of the last SetTimer
+  Micros timer_at_ = kNever;  // time of the last SetTimer
 };
 
 std::vector<Action> DecisionLoop::decide(Micros now, const std::vector<Event>& events) {
@@ -83,7 +83,7 @@
   return std::move(context_.actions);
 }
 
-// Sets a timer for the next moment at which something may change, unless one is set for an earlier moment.
+// Sets a timer for the next time at which a decision may be due, unless a timer is set for an earlier time.
 void DecisionLoop::updateTimer() {
   context_.requestTimer(messages_.nextDeadline());
   if (context_.next_timer_at == kNever)
--- a/src/decision/settings_check.h
+++ b/src/decision/settings_check.h
@@ -1,4 +1,4 @@
-// Check of the decision module's settings.
+// Validates the settings of the decision module. src/daemon uses the check too.
 #pragma once
 
 #include <set>
@@ -9,17 +9,17 @@
 
 namespace grademux {
 
-inline void require(bool good, const char* field) {
-  if (!good)
+inline void require(bool is_valid, const char* field) {
+  if (!is_valid)
     throw std::invalid_argument(std::string("settings: ") + field);
 }
 
-// Throws std::invalid_argument that names the first field with an impossible value.
+// Throws std::invalid_argument that names the first field whose value is out of range.
 inline void validate(const Settings& settings) {
   require(!settings.classes.empty(), "classes");
   std::set<std::string> names;
   for (const auto& message_class : settings.classes) {
-    require(names.insert(message_class.name).second, "classes.name: a class stands there twice");
+    require(names.insert(message_class.name).second, "classes.name: duplicate class name");
     require(message_class.latency_objective > 0, "classes.aim");
     require(message_class.deadline >= message_class.latency_objective, "classes.deadline");
     require(message_class.idempotency_window >= 0, "classes.memory");
--- a/src/decision/settings_update.h
+++ b/src/decision/settings_update.h
@@ -1,5 +1,5 @@
-// A change of settings at run time: all modules read the new ones from the event on. Open messages keep the
-// class version under which they were accepted.
+// Applies a change of settings at run time: all modules use the new settings from the event on. Open messages
+// keep the class version under which they were accepted.
 #pragma once
 
 #include "endpoint_table.h"
