--- a/src/sim/simhost.cpp
+++ b/src/sim/simhost.cpp
@@ -1,5 +1,6 @@
-// grademux: the adapter between the simulator's wire (lines of JSON on standard input and output) and the
-// decision module. It translates and keeps many isolated instances; it decides nothing.
+// Adapter between the simulator's protocol (lines of JSON on standard input and output) and the decision
+// module. The adapter translates events and actions for many isolated Sender instances and makes no
+// decisions.
 #include <algorithm>
 #include <iostream>
 #include <map>
@@ -11,8 +12,8 @@
 
 namespace {
 
-AttemptResult readResult(const json& o) {
-  return oneOf<AttemptResult>(text(o, "How"),
+AttemptResult readResult(const json& reply) {
+  return oneOf<AttemptResult>(text(reply, "How"),
                               {{"success", AttemptResult::ok},
                                {"failure", AttemptResult::error},
                                {"overloaded", AttemptResult::rejected},
@@ -25,243 +26,265 @@
 }
 
 struct Instance {
-  explicit Instance(Settings s, std::uint64_t seed, int left_at, int limit_at)
-      : sender(std::move(s), seed), x0(left_at), x1(limit_at) {}
+  explicit Instance(Settings settings, std::uint64_t seed, int remaining_position, int limit_position)
+      : sender(std::move(settings), seed), remaining_index(remaining_position), limit_index(limit_position) {}
   Sender sender;
-  int x0, x1;  // where the load report holds them, -1: nowhere
-  std::vector<Event> events;
-  std::int64_t label = 0;
+  int remaining_index, limit_index;  // positions of both values in a load report ("Gauge"); -1: not reported
+  std::vector<Event> events;         // of the current batch
+  std::int64_t last_timer_label = 0;
 };
 
 class Host {
  public:
-  std::string turn(const std::string& line) {
+  // Handles one line of input, a batch of events, and returns the line of commands that answers it. Throws
+  // BadInput that names the malformed event and field.
+  std::string handleBatch(const std::string& line) {
     json batch = json::parse(line, nullptr, false);
     if (batch.is_discarded())
       bad("not JSON");
     if (!batch.is_object())
       bad("not an object");
     const Micros now = span(batch, "SimTimeMs");
-    touched_.clear();
-    faults_.clear();
-    for (const json& e : array(batch, "arrivals"))
-      take(e);
-    json cmds = json::array();
-    for (std::int64_t who : touched_)
-      answer(who, now, cmds);
-    for (const auto& [who, words] : faults_)
-      cmds.push_back({{"Fatal", {{"Who", who}, {"Words", words}}}});
-    return json{{"cmds", std::move(cmds)}}.dump();
+    instances_with_events_.clear();
+    exceptions_.clear();
+    for (const json& event : array(batch, "arrivals"))
+      readEvent(event);
+    json commands = json::array();
+    for (std::int64_t instance_id : instances_with_events_)
+      decide(instance_id, now, commands);
+    for (const auto& [instance_id, what] : exceptions_)
+      commands.push_back({{"Fatal", {{"Who", instance_id}, {"Words", what}}}});
+    return json{{"cmds", std::move(commands)}}.dump();
   }
 
  private:
-  void take(const json& e) {
-    if (!e.is_object() || e.size() != 1)
+  void readEvent(const json& event) {
+    if (!event.is_object() || event.size() != 1)
       bad("an event is an object of one key");
-    const std::string name = e.begin().key();
+    const std::string name = event.begin().key();
     try {
-      takeNamed(name, e.begin().value());
-    } catch (const BadInput& b) {
-      bad(name + ": " + b.what());
+      applyEvent(name, event.begin().value());
+    } catch (const BadInput& error) {
+      bad(name + ": " + error.what());
     }
   }
 
-  void takeNamed(const std::string& name, const json& f) {
-    if (!f.is_object())
+  void applyEvent(const std::string& name, const json& fields) {
+    if (!fields.is_object())
       bad("not an object");
     if (name == "Roster")
-      return roster(f);
-    const std::int64_t who = integer(f, "Who");
+      return storeEndpointList(fields);
+    const std::int64_t instance_id = integer(fields, "Who");
     if (name == "Attach")
-      return attach(who, f);
-    auto it = instances_.find(who);
-    if (it == instances_.end())
-      bad("instance never attached: " + std::to_string(who));
+      return startInstance(instance_id, fields);
+    auto found = instances_.find(instance_id);
+    if (found == instances_.end())
+      bad("instance never attached: " + std::to_string(instance_id));
     if (name == "PowerOff") {
-      instances_.erase(it);
+      instances_.erase(found);
       return;
     }
-    Instance& i = it->second;
-    if (std::find(touched_.begin(), touched_.end(), who) == touched_.end())
-      touched_.push_back(who);
+    Instance& instance = found->second;
+    if (std::find(instances_with_events_.begin(), instances_with_events_.end(), instance_id) ==
+        instances_with_events_.end())
+      instances_with_events_.push_back(instance_id);
     if (name == "Members") {
-      i.events.push_back(members(f));
+      instance.events.push_back(readEndpointListUpdate(fields));
     } else if (name == "Call") {
-      i.events.push_back(call(f));
+      instance.events.push_back(readArrival(fields));
     } else if (name == "TimeoutFired") {
-      integer(f, "Label");
-      i.events.push_back(TimerFired{});
+      integer(fields, "Label");
+      instance.events.push_back(TimerFired{});
     } else if (name == "CheckResult") {
-      text(f, "Endpoint");  // nothing here asks for one
+      text(fields, "Endpoint");  // the adapter never requests a health check, so the result is ignored
     } else if (name == "Established") {
-      text(f, "OpId");  // no class here answers in a stream
-      integer(f, "Attempt");
+      text(fields, "OpId");  // no message class has streamed answers, so the event is ignored
+      integer(fields, "Attempt");
     } else if (name == "Left") {
-      i.events.push_back(MessageWithdrawn{text(f, "OpId")});
+      instance.events.push_back(MessageWithdrawn{text(fields, "OpId")});
     } else if (name == "Reply") {
-      i.events.push_back(reply(i, f));
+      instance.events.push_back(readOutcome(instance, fields));
     } else if (name != "Whisper") {
       bad("unknown event");
     }
   }
 
-  void attach(std::int64_t who, const json& f) {
-    const json& seed = field(f, "RandomSeed");
+  // Replaces an instance with the same id.
+  void startInstance(std::int64_t instance_id, const json& fields) {
+    const json& seed = field(fields, "RandomSeed");
     if (!seed.is_number_integer())
       bad("not a whole number: RandomSeed");
-    const json& o = object(f, "Options");
-    int x0 = -1, x1 = -1, at = 0;
-    const json& stats = optionalObject(o, "Stats");
+    const json& options = object(fields, "Options");
+    int remaining_index = -1, limit_index = -1, index = 0;
+    const json& stats = optionalObject(options, "Stats");
     if (!absent(stats, "Fields"))
-      for (const json& n : array(stats, "Fields")) {
-        if (n == "x0")
-          x0 = at;
-        if (n == "x1")
-          x1 = at;
-        ++at;
+      for (const json& stat_name : array(stats, "Fields")) {
+        if (stat_name == "x0")
+          remaining_index = index;
+        if (stat_name == "x1")
+          limit_index = index;
+        ++index;
       }
-    Settings s = readSettings(o);
-    instances_.erase(who);
+    Settings settings = readSettings(options);
+    instances_.erase(instance_id);
     try {
-      instances_.emplace(std::piecewise_construct, std::forward_as_tuple(who),
-                         std::forward_as_tuple(std::move(s), seed.get<std::uint64_t>(), x0, x1));
-    } catch (const std::invalid_argument& e) {
-      bad(e.what());
+      instances_.emplace(std::piecewise_construct, std::forward_as_tuple(instance_id),
+                         std::forward_as_tuple(std::move(settings), seed.get<std::uint64_t>(),
+                                               remaining_index, limit_index));
+    } catch (const std::invalid_argument& error) {
+      bad(error.what());
     }
   }
 
-  void roster(const json& f) {
-    std::vector<Endpoint> list;
-    for (const json& m : array(f, "Members")) {
-      Endpoint e;
-      e.id = text(m, "Endpoint");
-      e.zone = text(m, "Hall", "");
-      e.kind = text(m, "Hw", "");
-      e.destination = integer(m, "Cell");
-      const std::int64_t mode = integer(m, "Mode");
+  // Stores an endpoint list under its number ("Sheet"), to which "Members" events refer.
+  void storeEndpointList(const json& fields) {
+    std::vector<Endpoint> endpoints;
+    for (const json& member : array(fields, "Members")) {
+      Endpoint endpoint;
+      endpoint.id = text(member, "Endpoint");
+      endpoint.zone = text(member, "Hall", "");
+      endpoint.kind = text(member, "Hw", "");
+      endpoint.destination = integer(member, "Cell");
+      const std::int64_t mode = integer(member, "Mode");
       if (mode < 1 || mode > 3)
         bad("unknown value of Mode");
-      e.state = mode == 3 ? EndpointState::ready : mode == 2 ? EndpointState::draining : EndpointState::gone;
-      e.weight = number(m, "Share", 0);
-      list.push_back(std::move(e));
+      endpoint.state = mode == 3   ? EndpointState::ready
+                       : mode == 2 ? EndpointState::draining
+                                   : EndpointState::gone;
+      endpoint.weight = number(member, "Share", 0);
+      endpoints.push_back(std::move(endpoint));
     }
-    sheets_[integer(f, "Sheet")] = std::move(list);
+    endpoint_lists_[integer(fields, "Sheet")] = std::move(endpoints);
   }
 
-  EndpointListUpdate members(const json& f) {
-    const std::int64_t kind = integer(f, "Kind");
+  EndpointListUpdate readEndpointListUpdate(const json& fields) {
+    const std::int64_t kind = integer(fields, "Kind");
     if (kind < 0 || kind > 3)
       bad("unknown value of Kind");
     const EndpointListKind kinds[] = {EndpointListKind::delta, EndpointListKind::snapshot,
                                       EndpointListKind::cached, EndpointListKind::failed};
-    EndpointListUpdate u;
-    u.kind = kinds[kind];
-    if (u.kind == EndpointListKind::failed)
-      return u;
-    const std::int64_t sheet = integer(f, "Sheet");
-    auto it = sheets_.find(sheet);
-    if (it == sheets_.end())
-      bad("list number never given: " + std::to_string(sheet));
-    u.endpoints = it->second;
-    return u;
+    EndpointListUpdate update;
+    update.kind = kinds[kind];
+    if (update.kind == EndpointListKind::failed)
+      return update;
+    const std::int64_t list_number = integer(fields, "Sheet");
+    auto found = endpoint_lists_.find(list_number);
+    if (found == endpoint_lists_.end())
+      bad("list number never given: " + std::to_string(list_number));
+    update.endpoints = found->second;
+    return update;
   }
 
-  static MessageArrival call(const json& f) {
-    MessageArrival a;
-    a.id = text(f, "OpId");
-    a.message_class = text(f, "TierClass");
-    if (!absent(f, "Billing") && f["Billing"].is_string())
-      a.tenant = text(f, "Billing");
-    a.ordering_key = text(f, "RouteKey", "");
-    a.destination = static_cast<std::int64_t>(number(f, "FarEnd"));
-    a.deadline = span(f, "GiveUpAtMs");
-    a.estimated_work = span(f, "EstimateMs", 0);
-    a.resubmitted = truth(f, "Retry", false) || truth(f, "Reconnect", false);
-    return a;
+  static MessageArrival readArrival(const json& fields) {
+    MessageArrival arrival;
+    arrival.id = text(fields, "OpId");
+    arrival.message_class = text(fields, "TierClass");
+    if (!absent(fields, "Billing") && fields["Billing"].is_string())
+      arrival.tenant = text(fields, "Billing");
+    arrival.ordering_key = text(fields, "RouteKey", "");
+    arrival.destination = static_cast<std::int64_t>(number(fields, "FarEnd"));
+    arrival.deadline = span(fields, "GiveUpAtMs");
+    arrival.estimated_work = span(fields, "EstimateMs", 0);
+    arrival.resubmitted = truth(fields, "Retry", false) || truth(fields, "Reconnect", false);
+    return arrival;
   }
 
-  static std::optional<LimitReport> gauge(const Instance& i, const json& f) {
-    if (absent(f, "Gauge"))
+  // Returns no report if the reply carries none or the instance's settings name neither value. A
+  // missing or non-numeric value is read as 0.
+  static std::optional<LimitReport> readLimitReport(const Instance& instance, const json& fields) {
+    if (absent(fields, "Gauge"))
       return std::nullopt;
-    const json& row = array(f, "Gauge");
-    auto at = [&](int k) {
-      return k >= 0 && k < static_cast<int>(row.size()) && row[static_cast<std::size_t>(k)].is_number()
-                 ? row[static_cast<std::size_t>(k)].get<double>()
+    const json& values = array(fields, "Gauge");
+    auto valueAt = [&](int index) {
+      return index >= 0 && index < static_cast<int>(values.size()) &&
+                     values[static_cast<std::size_t>(index)].is_number()
+                 ? values[static_cast<std::size_t>(index)].get<double>()
                  : 0.0;
     };
-    if (i.x0 < 0 && i.x1 < 0)
+    if (instance.remaining_index < 0 && instance.limit_index < 0)
       return std::nullopt;
-    return LimitReport{at(i.x0), at(i.x1)};
+    return LimitReport{valueAt(instance.remaining_index), valueAt(instance.limit_index)};
   }
 
-  static AttemptOutcome reply(const Instance& i, const json& f) {
-    AttemptOutcome o;
-    o.id = text(f, "OpId");
-    o.attempt = static_cast<int>(integer(f, "Attempt"));
-    o.result = readResult(f);
-    o.already_finished = truth(f, "Finished", false);
-    if (o.result == AttemptResult::rejected)
-      o.retry_after = span(f, "Detail", 0);
-    o.round_trip = span(f, "RttMs", 0);
-    o.limit_report = gauge(i, f);
-    return o;
+  static AttemptOutcome readOutcome(const Instance& instance, const json& fields) {
+    AttemptOutcome outcome;
+    outcome.id = text(fields, "OpId");
+    outcome.attempt = static_cast<int>(integer(fields, "Attempt"));
+    outcome.result = readResult(fields);
+    outcome.already_finished = truth(fields, "Finished", false);
+    if (outcome.result == AttemptResult::rejected)
+      outcome.retry_after = span(fields, "Detail", 0);
+    outcome.round_trip = span(fields, "RttMs", 0);
+    outcome.limit_report = readLimitReport(instance, fields);
+    return outcome;
   }
 
-  void answer(std::int64_t who, Micros now, json& cmds) {
-    auto it = instances_.find(who);
-    if (it == instances_.end())
+  // Passes the events of the batch to the instance, and appends the commands for its actions. An exception of
+  // the decision module is reported as a "Fatal" command; the host continues.
+  void decide(std::int64_t instance_id, Micros now, json& commands) {
+    auto found = instances_.find(instance_id);
+    if (found == instances_.end())
       return;
-    Instance& i = it->second;
+    Instance& instance = found->second;
     std::vector<Event> events;
-    events.swap(i.events);
+    events.swap(instance.events);
     if (events.empty())
       return;
     try {
-      for (const Action& a : i.sender.decide(now, events))
-        if (json c = command(i, who, a); !c.is_null())
-          cmds.push_back(std::move(c));
-    } catch (const std::exception& e) {
-      faults_.emplace_back(who, e.what());
+      for (const Action& action : instance.sender.decide(now, events))
+        if (json command = commandFor(instance, instance_id, action); !command.is_null())
+          commands.push_back(std::move(command));
+    } catch (const std::exception& error) {
+      exceptions_.emplace_back(instance_id, error.what());
     }
   }
 
-  static json command(Instance& i, std::int64_t who, const Action& action) {
-    struct Writer {
-      Instance& i;
-      std::int64_t who;
-      json operator()(const StartAttempt& a) const {
+  // Returns null for an action that the protocol has no command for.
+  static json commandFor(Instance& instance, std::int64_t instance_id, const Action& action) {
+    struct CommandWriter {
+      Instance& instance;
+      std::int64_t instance_id;
+      json operator()(const StartAttempt& start) const {
         return {{"SubmitTo",
-                 {{"Who", who}, {"OpId", a.id}, {"Endpoint", a.endpoint}, {"WithinMs", toMs(a.timeout)}}}};
+                 {{"Who", instance_id},
+                  {"OpId", start.id},
+                  {"Endpoint", start.endpoint},
+                  {"WithinMs", toMs(start.timeout)}}}};
       }
-      json operator()(const CancelAttempt& a) const {
-        return {{"StopAttempt", {{"Who", who}, {"OpId", a.id}, {"Attempt", a.attempt}}}};
+      json operator()(const CancelAttempt& cancel) const {
+        return {{"StopAttempt", {{"Who", instance_id}, {"OpId", cancel.id}, {"Attempt", cancel.attempt}}}};
       }
-      json operator()(const RejectMessage& a) const {
-        return {{"Decline", {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", toMs(a.retry_after)}}}};
+      json operator()(const RejectMessage& rejection) const {
+        return {
+            {"Decline",
+             {{"Who", instance_id}, {"OpId", rejection.id}, {"CoolDownMs", toMs(rejection.retry_after)}}}};
       }
-      json operator()(const FailMessage& a) const {
-        return {{"FinishError", {{"Who", who}, {"OpId", a.id}}}};
+      json operator()(const FailMessage& failure) const {
+        return {{"FinishError", {{"Who", instance_id}, {"OpId", failure.id}}}};
       }
-      json operator()(const DestinationHealth&) const { return nullptr; }  // here nothing outlasts a process
+      // In the simulator no state outlasts a process.
+      json operator()(const DestinationHealth&) const { return nullptr; }
       json operator()(const LearnedEndpoint&) const { return nullptr; }
       json operator()(const LearnedExported&) const { return nullptr; }
       json operator()(const grademux::WatchEndpoints&) const {
-        return {{"Watch", {{"Who", who}, {"Active", true}}}};
+        return {{"Watch", {{"Who", instance_id}, {"Active", true}}}};
       }
-      json operator()(const CloseIdleConnections& a) const {
-        return {{"Disconnect", {{"Who", who}, {"Endpoint", a.endpoint}}}};
+      json operator()(const CloseIdleConnections& close) const {
+        return {{"Disconnect", {{"Who", instance_id}, {"Endpoint", close.endpoint}}}};
       }
-      json operator()(const SetTimer& a) const {
-        return {{"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", toMs(a.delay)}}}};
+      json operator()(const SetTimer& timer) const {
+        return {
+            {"NotifyMe",
+             {{"Who", instance_id}, {"Label", ++instance.last_timer_label}, {"SpanMs", toMs(timer.delay)}}}};
       }
     };
-    return std::visit(Writer{i, who}, action);
+    return std::visit(CommandWriter{instance, instance_id}, action);
   }
 
   std::map<std::int64_t, Instance> instances_;
-  std::map<std::int64_t, std::vector<Endpoint>> sheets_;
-  std::vector<std::int64_t> touched_;
-  std::vector<std::pair<std::int64_t, std::string>> faults_;
+  std::map<std::int64_t, std::vector<Endpoint>> endpoint_lists_;  // by number
+  std::vector<std::int64_t> instances_with_events_;               // in this batch, by first event
+  std::vector<std::pair<std::int64_t, std::string>> exceptions_;  // in this batch, by instance
 };
 
 }  // namespace
@@ -273,10 +296,10 @@
   std::string line;
   for (long number = 1; std::getline(std::cin, line); ++number) {
     try {
-      const std::string reply = host.turn(line);
+      const std::string reply = host.handleBatch(line);
       std::cout << reply << '\n' << std::flush;
-    } catch (const std::exception& e) {
-      std::cerr << "line " << number << ": " << e.what() << '\n';
+    } catch (const std::exception& error) {
+      std::cerr << "line " << number << ": " << error.what() << '\n';
       return 2;
     }
   }
