--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -12,11 +12,9 @@
 
 namespace grademux::decision {
 
-constexpr double kMaxQueueTimeFraction =
-    0.5;  // of the shortest latency objective; load is shed above this queue time
-constexpr double kMinRetainedPriority =
-    0.9;  // a message that keeps less of its priority until its send time is shed
-constexpr double kOpenMessageReserve = 0.06;  // share of Settings::max_open_messages that is kept free
+constexpr double kMaxQueueTimeFraction = 0.5;  // of the shortest latency objective; longer waits shed load
+constexpr double kMinRetainedPriority = 0.9;   // messages whose priority falls below this share are shed
+constexpr double kOpenMessageReserve = 0.06;   // share of Settings::max_open_messages that is kept free
 
 class AdmissionControl {
  public:
@@ -35,16 +33,15 @@
 
   explicit AdmissionControl(const Modules& modules);
 
-  // Accepts and queues the message; rejects it if too many are open. A known id changes nothing; a message of
-  // an unknown class fails. If `class_version` is null, the
-  // class of the current settings applies.
+  // Accepts and queues the message, and rejects it if too many messages are open. Ignores a known id. A
+  // message of an unknown class fails. If `class_version` is null, the class of the current settings applies.
   void onMessageArrival(const MessageArrival& arrival, const ClassVersion& class_version = nullptr);
   // Accepts a message of an earlier process of this sender. The past attempts count towards max_attempts.
   void onRecoveredMessage(const RecoveredMessage& recovered);
   void onMessageWithdrawn(const MessageWithdrawn& withdrawn);
 
-  // Rejects the queued messages of least priority while too many are open, and in a large fleet with all
-  // calls in use the messages that would be late.
+  // Rejects the queued messages with the lowest priority while too many messages are open. In a large fleet
+  // with all calls in use, also rejects the queued messages that would be late.
   void shedLoad();
   // Fails the messages whose deadline has passed.
   void failExpired();
--- a/src/decision/connection_policy.h
+++ b/src/decision/connection_policy.h
@@ -6,12 +6,10 @@
 
 namespace grademux::decision {
 
-constexpr double kStaleConnectionThreshold =
-    2.5;                                     // evidence score above which idle connections count as stale
-constexpr Micros kStaleConnectionSpans = 3;  // evidence is valid for this many slow start times
-constexpr double kMinExpectedReuses = 2;     // connections with fewer expected reuses are closed ...
-constexpr double kReuseSenderCount =
-    10;  // ... at this number of senders; proportional to the number of senders
+constexpr double kStaleConnectionThreshold = 2.5;  // idle connections count as stale above this score
+constexpr Micros kStaleConnectionSpans = 3;        // evidence is valid for this many slow start times
+constexpr double kMinExpectedReuses = 2;           // connections with fewer expected reuses are closed ...
+constexpr double kReuseSenderCount = 10;  // ... with this many senders; proportional for other counts
 
 class ConnectionPolicy {
  public:
--- a/src/decision/decision_context.h
+++ b/src/decision/decision_context.h
@@ -11,10 +11,9 @@
 
 namespace grademux::decision {
 
-constexpr double kRareSenderFraction =
-    0.05;                              // a sender with less traffic than this share of the limit is rare
-constexpr double kTimeoutRatio = 8;    // longest attempt time-out, in expected latencies
-constexpr double kRetentionSpans = 3;  // shortest retention of unused state, in slow start times
+constexpr double kRareSenderFraction = 0.05;  // a sender with less than this share of a limit is rare
+constexpr double kTimeoutRatio = 8;           // longest attempt time-out, in expected latencies
+constexpr double kRetentionSpans = 3;         // shortest retention of unused state, in slow start times
 
 struct DecisionContext {
   DecisionContext(Settings initial_settings, std::uint64_t seed);
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kMostPollFailures = 6;      // the backoff doubles up to this many times
-constexpr double kPollBackoffParts = 64;  // base backoff: this part of Settings::poll_notified_within
+constexpr double kPollBackoffParts = 64;  // base backoff: Settings::poll_notified_within / 64
 
 }  // namespace
 
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -11,8 +11,7 @@
 
 namespace grademux::decision {
 
-constexpr double kIdleCredit =
-    2;  // the paper's sigma: starts that a destination may catch up on after it was idle
+constexpr double kIdleCredit = 2;  // the paper's sigma: starts that an idle destination may catch up on
 
 class FairQueue {
  public:
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kMinLatencySamples = 5;  // fewer samples give no usable latency ratio
+constexpr int kMinLatencySamples = 5;  // a latency ratio needs this many samples
 
 }  // namespace
 
--- a/tests/decision/recovered_messages_test.cpp
+++ b/tests/decision/recovered_messages_test.cpp
@@ -1,4 +1,5 @@
-// What one process of the sender leaves to the next: resumed messages, health, and the end of a process.
+// State that a process of a sender passes to the next process: recovered messages, health, and a planned
+// shutdown.
 #include <set>
 
 #include "sender_fixture.h"
@@ -6,72 +7,78 @@
 namespace grademux {
 namespace {
 
-RecoveredMessage resumed(const SenderDriver& driver, const std::string& id, const std::string& cls,
-                         std::vector<PastAttempt> past) {
+RecoveredMessage makeRecovered(const SenderDriver& driver, const std::string& id,
+                               const std::string& class_name, std::vector<PastAttempt> past_attempts) {
   RecoveredMessage recovered;
   recovered.message.id = id;
-  recovered.message.message_class = cls;
+  recovered.message.message_class = class_name;
   recovered.message.destination = 1;
   recovered.message.deadline = driver.now + 15 * kS;
-  recovered.attempts = std::move(past);
+  recovered.attempts = std::move(past_attempts);
   return recovered;
 }
 
 TEST(RecoveredMessages, RetriesOnlyAsIdempotencyAllows) {
   SenderDriver driver;
   driver.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1)});
-  const PastAttempt old{"e", 90 * kS, true}, young{"e", 99 * kS, true}, none{"e", 99 * kS, false};
+  const PastAttempt expired{"e", 90 * kS, true}, recent{"e", 99 * kS, true},
+      not_executed{"e", 99 * kS, false};
   const PastAttempt unlisted{"elsewhere", 99 * kS, true};
-  const auto sent = driver.decide(
-      {resumed(driver, "safe", "safe", {old}), resumed(driver, "keyed", "keyed", {young}),
-       resumed(driver, "forgotten", "keyed", {old}), resumed(driver, "unsafe", "unsafe", {young}),
-       resumed(driver, "untried", "unsafe", {}), resumed(driver, "refused", "unsafe", {none}),
-       resumed(driver, "away", "unsafe", {unlisted})});
+  const auto started = driver.decide(
+      {makeRecovered(driver, "safe", "safe", {expired}), makeRecovered(driver, "keyed", "keyed", {recent}),
+       makeRecovered(driver, "forgotten", "keyed", {expired}),
+       makeRecovered(driver, "unsafe", "unsafe", {recent}), makeRecovered(driver, "untried", "unsafe", {}),
+       makeRecovered(driver, "refused", "unsafe", {not_executed}),
+       makeRecovered(driver, "away", "unsafe", {unlisted})});
   EXPECT_EQ((std::set<std::string>{"safe", "keyed", "untried", "refused"}),
-            std::set<std::string>(sent.begin(), sent.end()));
+            std::set<std::string>(started.begin(), started.end()));
   std::set<std::string> failed;
-  for (const FailMessage& f : driver.actionsOf<FailMessage>())
-    failed.insert(f.id);
+  for (const FailMessage& failure : driver.actionsOf<FailMessage>())
+    failed.insert(failure.id);
   EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
   ASSERT_EQ(1u,
             driver.actionsOf<RejectMessage>()
-                .size());  // repeats are dropped at all of its endpoints: harmless to hand in
+                .size());  // all endpoints recognise the key, so that the client may submit the message again
   EXPECT_EQ("forgotten", driver.actionsOf<RejectMessage>()[0].id);
 }
 
-// Risk: calls that stayed with the process that was replaced are made again, or take no slot.
+// Guards against attempts that are still in flight in the replaced process, but are started again or do not
+// count as calls in flight.
 TEST(RecoveredMessages, CountsAttemptInFlightUntilItsOutcome) {
   Settings settings = makeSettings();
   settings.max_in_flight = 1;
   SenderDriver driver(settings);
   driver.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1)});
-  PastAttempt out{"e", 99 * kS, true, true};
-  EXPECT_TRUE(
-      driver.decide({resumed(driver, "out", "unsafe", {out}), resumed(driver, "next", "safe", {})}).empty());
+  PastAttempt in_flight{"e", 99 * kS, true, true};
+  EXPECT_TRUE(driver
+                  .decide({makeRecovered(driver, "out", "unsafe", {in_flight}),
+                           makeRecovered(driver, "next", "safe", {})})
+                  .empty());
   EXPECT_TRUE(driver.actionsOf<FailMessage>().empty());
   driver.advanceTo(101 * kS);
-  const auto sent = driver.decide({driver.makeOutcome("out", 0, AttemptResult::ok)});
-  EXPECT_EQ(sent, (std::vector<std::string>{"next"}));
+  const auto started = driver.decide({driver.makeOutcome("out", 0, AttemptResult::ok)});
+  EXPECT_EQ(started, (std::vector<std::string>{"next"}));
   EXPECT_TRUE(driver.actionsOf<FailMessage>().empty());
-  // One whose end was never heard, since its process died, may have run.
+  // An attempt whose outcome was never received, since its process died, may have been executed.
   SenderDriver other(settings);
   other.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1)});
-  other.decide({resumed(other, "out", "unsafe", {out})});
+  other.decide({makeRecovered(other, "out", "unsafe", {in_flight})});
   other.decide({other.makeOutcome("out", 0, AttemptResult::cancelled)});
   ASSERT_EQ(1u, other.actionsOf<FailMessage>().size());
 }
 
-// Risk: a class that is altered while messages are open binds these too.
+// Guards against a changed message class that applies to messages accepted before the change.
 TEST(SettingsUpdate, KeepsClassVersionOfOpenMessages) {
   SenderDriver driver;
   driver.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1)});
   EXPECT_EQ(driver.decide({driver.makeArrival("old", "unsafe", 1)}).size(), 1u);
-  Settings other = driver.settings;
-  for (MessageClass& c : other.classes)
-    c.idempotency = c.name == "unsafe" ? Idempotency::idempotent : c.idempotency;
-  other.classes.erase(other.classes.begin());  // "safe" is dropped
-  other.max_attempts = 2;
-  driver.decide({SettingsChanged{other}});
+  Settings changed = driver.settings;
+  for (MessageClass& message_class : changed.classes)
+    message_class.idempotency =
+        message_class.name == "unsafe" ? Idempotency::idempotent : message_class.idempotency;
+  changed.classes.erase(changed.classes.begin());  // removes "safe"
+  changed.max_attempts = 2;
+  driver.decide({SettingsChanged{changed}});
   driver.decide({driver.makeArrival("gone", "safe", 1)});
   ASSERT_EQ(driver.actionsOf<FailMessage>().size(), 1u);
   EXPECT_EQ(driver.actionsOf<FailMessage>()[0].id, "gone");
@@ -79,16 +86,16 @@
   driver.decide({driver.makeOutcome("old", 0, AttemptResult::error),
                  driver.makeOutcome("new", 0, AttemptResult::error)});
   ASSERT_EQ(driver.actionsOf<FailMessage>().size(),
-            1u);  // it may have run, and came when its class was unsafe
+            1u);  // it may have been executed, and its class was non-idempotent at acceptance
   EXPECT_EQ(driver.actionsOf<FailMessage>()[0].id, "old");
   driver.advanceTo(110 * kS);
   EXPECT_EQ(driver.decide({TimerFired{}}), (std::vector<std::string>{"new"}));
-  // One that a restart brings back with its rules is held to those.
-  RecoveredMessage recovered = resumed(driver, "resumed", "unsafe", {{"e", 109 * kS, true, false}});
+  // A recovered message with a class version keeps that version.
+  RecoveredMessage recovered = makeRecovered(driver, "resumed", "unsafe", {{"e", 109 * kS, true, false}});
   recovered.class_version = std::make_shared<const MessageClass>([] {
-    MessageClass c = makeClass("unsafe", Idempotency::non_idempotent);
-    c.max_attempts = 6;
-    return c;
+    MessageClass message_class = makeClass("unsafe", Idempotency::non_idempotent);
+    message_class.max_attempts = 6;
+    return message_class;
   }());
   driver.decide({recovered});
   ASSERT_EQ(driver.actionsOf<FailMessage>().size(), 1u);
@@ -98,50 +105,52 @@
 TEST(RecoveredMessages, CountsPastAttemptsTowardsMaxAttempts) {
   SenderDriver driver;
   driver.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1)});
-  const std::vector<PastAttempt> past(static_cast<std::size_t>(driver.settings.max_attempts - 1),
-                                      {"e", 99 * kS, true});
-  EXPECT_EQ(1u, driver.decide({resumed(driver, "m", "safe", past)}).size());
+  const std::vector<PastAttempt> past_attempts(static_cast<std::size_t>(driver.settings.max_attempts - 1),
+                                               {"e", 99 * kS, true});
+  EXPECT_EQ(1u, driver.decide({makeRecovered(driver, "m", "safe", past_attempts)}).size());
   driver.advanceTo(101 * kS);
   EXPECT_TRUE(driver.decide({driver.makeOutcome("m", driver.settings.max_attempts - 1, AttemptResult::error)})
                   .empty());
   EXPECT_EQ(1u, driver.actionsOf<RejectMessage>().size());
 }
 
-// The next process resumes a backlog: it must pace what it heard failing as the one before would have.
+// A process that recovers a backlog must pace calls to a failing destination as the previous process would
+// have.
 TEST(RecoveredMessages, RestoresExportedHealth) {
   SenderDriver first;
   first.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
-  std::vector<DestinationHealth> kept;
+  std::vector<DestinationHealth> exported;
   for (int i = 0; i < 8; ++i) {
     first.advanceTo(100 * kS + i * 2 * kS);
     first.submit("m" + std::to_string(i), "safe", 1);
     for (const StartAttempt& start : first.actionsOf<StartAttempt>()) {
       first.advanceTo(first.now + 10 * kMs).finishAttempt(start.id, 0, AttemptResult::connect_failed);
-      for (const DestinationHealth& a : first.actionsOf<DestinationHealth>())
-        kept.push_back(a);
+      for (const DestinationHealth& health : first.actionsOf<DestinationHealth>())
+        exported.push_back(health);
     }
   }
-  ASSERT_FALSE(kept.empty());
-  EXPECT_TRUE(kept.back().down);
-  EXPECT_EQ(1, kept.back().destination);
-  auto sends = [&](bool told) {
+  ASSERT_FALSE(exported.empty());
+  EXPECT_TRUE(exported.back().down);
+  EXPECT_EQ(1, exported.back().destination);
+  auto startsWithHealth = [&](bool is_restored) {
     SenderDriver next;
     next.advanceTo(first.now + kS).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
     std::vector<Event> events;
-    if (told)
-      events.push_back(kept.back());
+    if (is_restored)
+      events.push_back(exported.back());
     for (int i = 0; i < 8; ++i)
-      events.push_back(resumed(next, "r" + std::to_string(i), "safe", {}));
+      events.push_back(makeRecovered(next, "r" + std::to_string(i), "safe", {}));
     return next.decide(events).size();
   };
-  EXPECT_EQ(1u, sends(true));
-  EXPECT_GT(sends(false), 3u);
+  EXPECT_EQ(1u, startsWithHealth(true));
+  EXPECT_GT(startsWithHealth(false), 3u);
 }
 
-// Risk: the next process hears a success first, takes the outage for a moment's and sends as to one that was
-// never away. Several senders started together pushed over what returned.
+// Guards against overload of a returning destination: a process whose first outcome is a success took the
+// outage of the earlier process for a brief one and sent at full rate. Several senders that were started
+// together overloaded the destination.
 TEST(RecoveredMessages, StartsSlowlyAfterOutageOfEarlierProcess) {
-  const auto burst = [](std::vector<Event> first) {
+  const auto startsAfterSuccess = [](std::vector<Event> first) {
     SenderDriver next;
     next.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
     next.decide(first);
@@ -156,9 +165,9 @@
   DestinationHealth outage;
   outage.destination = 1;
   outage.down = true;
-  outage.warming_since = outage.observed_at = 99'900 * kMs;  // heard of just before the kill
-  EXPECT_LE(burst({outage}), 1u);
-  EXPECT_GT(burst({}), 3u);
+  outage.warming_since = outage.observed_at = 99'900 * kMs;  // observed just before the kill
+  EXPECT_LE(startsAfterSuccess({outage}), 1u);
+  EXPECT_GT(startsAfterSuccess({}), 3u);
 }
 
 TEST(RecoveredMessages, StartsOnlyAttemptsThatEndBeforeShutdown) {
@@ -169,8 +178,8 @@
   driver.advanceTo(101 * kS).decide({ShutdownScheduled{101 * kS + 3 * kS}});
   EXPECT_EQ(1u, driver.submit("soon", "unsafe", 1).size());
   driver.advanceTo(driver.now + 100 * kMs).finishAttempt("soon", 0, AttemptResult::ok);
-  // Half of its time-out is left, many times what an answer takes: it is not kept waiting for the next
-  // process.
+  // The time left is half of the message's time-out, but many times the usual latency, so that the message is
+  // sent and does not wait for the next process.
   driver.advanceTo(104 * kS - 900 * kMs);
   EXPECT_EQ(1u, driver.submit("payment", "unsafe", 1).size());
   EXPECT_GT(driver.now + driver.timeout_of["payment"], 104 * kS);
@@ -178,7 +187,7 @@
   driver.advanceTo(104 * kS - 50 * kMs);
   EXPECT_TRUE(driver.submit("late", "unsafe", 1).empty());
   EXPECT_TRUE(driver.actionsOf<FailMessage>().empty());
-  EXPECT_TRUE(driver.actionsOf<RejectMessage>().empty());  // it is left to the next process
+  EXPECT_TRUE(driver.actionsOf<RejectMessage>().empty());  // the message waits for the next process
 }
 
 TEST(RecoveredMessages, RejectsArrivalsAboveMaxOpenMessages) {
@@ -186,12 +195,12 @@
   settings.max_open_messages = 3;
   SenderDriver driver(settings);
   driver.advanceTo(100 * kS).updateEndpoints({});
-  int refused = 0;
+  int rejections = 0;
   for (int i = 0; i < 6; ++i) {
     driver.submit("m" + std::to_string(i), "safe", 1);
-    refused += static_cast<int>(driver.actionsOf<RejectMessage>().size());
+    rejections += static_cast<int>(driver.actionsOf<RejectMessage>().size());
   }
-  EXPECT_GE(refused, 3);
+  EXPECT_GE(rejections, 3);
 }
 
 }  // namespace
--- a/tests/decision/streams.h
+++ b/tests/decision/streams.h
@@ -78,9 +78,9 @@
 
  private:
   struct PendingOutcome {
-    Micros at;
+    Micros due_at;
     AttemptOutcome outcome;
-    bool operator<(const PendingOutcome& other) const { return at > other.at; }
+    bool operator<(const PendingOutcome& other) const { return due_at > other.due_at; }
   };
 
   // Uniform in [0, 1).
@@ -110,7 +110,7 @@
 
   std::vector<Event> eventsOf(int iteration) {
     std::vector<Event> events;
-    while (!pending_outcomes_.empty() && pending_outcomes_.top().at <= now_) {
+    while (!pending_outcomes_.empty() && pending_outcomes_.top().due_at <= now_) {
       AttemptOutcome outcome = pending_outcomes_.top().outcome;
       pending_outcomes_.pop();
       const auto key = std::make_pair(outcome.id, outcome.attempt);
--- a/tests/sim/simhost_test.cpp
+++ b/tests/sim/simhost_test.cpp
@@ -1,5 +1,5 @@
-// The adapter on bad and odd input: one plain line on standard error and a status that is not zero, or
-// carries on.
+// Simulator adapter: malformed input ends it with one line on standard error and a non-zero status; valid but
+// unusual input does not end it.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -20,33 +20,33 @@
 using grademux::simulatorHostProgram;
 using grademux::throwingSimulatorHostProgram;
 
-struct Ran {
+struct ProgramResult {
   int status = 0;
   std::string out, err;
 };
 
-std::string slurp(const std::string& path) {
-  std::ifstream f(path);
-  std::stringstream s;
-  s << f.rdbuf();
-  return s.str();
+std::string readFile(const std::string& path) {
+  std::ifstream file(path);
+  std::stringstream content;
+  content << file.rdbuf();
+  return content.str();
 }
 
-Ran host(const std::string& input, const std::string& adapter = simulatorHostProgram()) {
+ProgramResult runAdapter(const std::string& input, const std::string& adapter = simulatorHostProgram()) {
   const std::string base = ::testing::TempDir() + "simhost-" + std::to_string(::getpid());
   std::ofstream(base + ".in") << input;
-  const std::string cmd = std::string(adapter) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  const int raw = std::system(cmd.c_str());
-  Ran r;
-  r.status = WEXITSTATUS(raw);
-  r.out = slurp(base + ".out");
-  r.err = slurp(base + ".err");
-  for (const char* end : {".in", ".out", ".err"})
-    std::remove((base + end).c_str());
-  return r;
+  const std::string command = std::string(adapter) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+  const int wait_status = std::system(command.c_str());
+  ProgramResult result;
+  result.status = WEXITSTATUS(wait_status);
+  result.out = readFile(base + ".out");
+  result.err = readFile(base + ".err");
+  for (const char* extension : {".in", ".out", ".err"})
+    std::remove((base + extension).c_str());
+  return result;
 }
 
-json options() {
+json makeOptions() {
   return json::parse(
       R"({"Azs":["z"],"Balancers":1,"Categories":[{"AimMs":1000.0,"DeadlineMs":8000.0,"Group":"all",
     "Idempotency":"idempotent","LateWorth":0.3,"MemorySpanMs":0.0,"Name":"c","Stream":false,"Worth":1.0}],
@@ -55,13 +55,13 @@
     "Stats":{"Fields":["x0","x1"],"How":"piggyback"},"WeightKind":"silent","NeverHeardOf":{"a":1}})");
 }
 
-std::string batch(double t, const json& events) {
-  return json{{"SimTimeMs", t}, {"arrivals", events}}.dump() + "\n";
+std::string batch(double time_ms, const json& events) {
+  return json{{"SimTimeMs", time_ms}, {"arrivals", events}}.dump() + "\n";
 }
-json attach(json o = options(), int who = 0) {
-  return {{"Attach", {{"Who", who}, {"RandomSeed", 1}, {"Options", std::move(o)}}}};
+json attachInstance(json instance_options = makeOptions(), int instance_id = 0) {
+  return {{"Attach", {{"Who", instance_id}, {"RandomSeed", 1}, {"Options", std::move(instance_options)}}}};
 }
-json roster() {
+json endpointList() {
   return {{"Roster",
            {{"Sheet", 0},
             {"Members",
@@ -73,10 +73,10 @@
                {"Share", 1},
                {"BootTimeMs", nullptr}}}}}}};
 }
-json members(int kind = 2) {
+json endpointListEvent(int kind = 2) {
   return {{"Members", {{"Who", 0}, {"Kind", kind}, {"Epoch", 1}, {"Sheet", 0}}}};
 }
-json call(const std::string& id) {
+json arrivalEvent(const std::string& id) {
   return {{"Call",
            {{"Who", 0},
             {"OpId", id},
@@ -87,11 +87,12 @@
             {"GiveUpAtMs", 9000.0}}}};
 }
 
-TEST(Simhost, SendsWhatArrivesAndEndsWithInput) {
-  const Ran r = host(batch(1000, {attach(), roster(), members(), call("00000000000000aa")}) +
-                     batch(1001, json::array()));
-  EXPECT_EQ(r.status, 0) << r.err;
-  std::istringstream lines(r.out);
+TEST(Simhost, SubmitsArrivalAndExitsAtEndOfInput) {
+  const ProgramResult result = runAdapter(
+      batch(1000, {attachInstance(), endpointList(), endpointListEvent(), arrivalEvent("00000000000000aa")}) +
+      batch(1001, json::array()));
+  EXPECT_EQ(result.status, 0) << result.err;
+  std::istringstream lines(result.out);
   std::string first, second;
   std::getline(lines, first);
   std::getline(lines, second);
@@ -99,33 +100,35 @@
   EXPECT_EQ(second, R"({"cmds":[]})");
 }
 
-TEST(Simhost, RestartInTheSameBatchLeavesNothingOfTheEarlierLife) {
-  const json off = {{"PowerOff", {{"Who", 0}}}};
-  const json late = {{"Reply",
-                      {{"Who", 0},
-                       {"OpId", "a"},
-                       {"Finished", false},
-                       {"Attempt", 0},
-                       {"Endpoint", "h:1"},
-                       {"How", "timed_out"},
-                       {"Detail", nullptr},
-                       {"RttMs", 3.0},
-                       {"Gauge", nullptr}}}};
-  const Ran r = host(batch(1000, {attach(), roster(), members(), call("a")}) +
-                     batch(2000, {off, attach(), members()}) + batch(2005, json::array({late})));
-  EXPECT_EQ(r.status, 0) << r.err;
-  EXPECT_EQ(r.out.find("FinishError"), std::string::npos) << r.out;
+TEST(Simhost, DiscardsStateOfInstanceThatRestartsInOneBatch) {
+  const json power_off = {{"PowerOff", {{"Who", 0}}}};
+  const json late_reply = {{"Reply",
+                            {{"Who", 0},
+                             {"OpId", "a"},
+                             {"Finished", false},
+                             {"Attempt", 0},
+                             {"Endpoint", "h:1"},
+                             {"How", "timed_out"},
+                             {"Detail", nullptr},
+                             {"RttMs", 3.0},
+                             {"Gauge", nullptr}}}};
+  const ProgramResult result =
+      runAdapter(batch(1000, {attachInstance(), endpointList(), endpointListEvent(), arrivalEvent("a")}) +
+                 batch(2000, {power_off, attachInstance(), endpointListEvent()}) +
+                 batch(2005, json::array({late_reply})));
+  EXPECT_EQ(result.status, 0) << result.err;
+  EXPECT_EQ(result.out.find("FinishError"), std::string::npos) << result.out;
 }
 
-TEST(Simhost, BadInputIsNamedOnOneLine) {
-  json mistyped = options();
+TEST(Simhost, NamesMalformedInputOnOneLine) {
+  json mistyped = makeOptions();
   mistyped["Categories"][0]["AimMs"] = "soon";
-  json negative = options();
+  json negative = makeOptions();
   negative["TickMs"] = -1;
-  json unlisted = members();
-  unlisted["Members"]["Sheet"] = 9;
-  json bare = call("x");
-  bare["Call"].erase("TierClass");
+  json unknown_list = endpointListEvent();
+  unknown_list["Members"]["Sheet"] = 9;
+  json incomplete = arrivalEvent("x");
+  incomplete["Call"].erase("TierClass");
   const std::pair<std::string, const char*> cases[] = {
       {"nonsense\n", "JSON"},
       {"[]\n", "object"},
@@ -133,55 +136,57 @@
        "\n",
        "SimTimeMs"},
       {batch(1, json::array({json{{"Surprise", {{"Who", 0}}}}})), "Surprise"},
-      {batch(1, json::array({call("x")})), "never attached"},
-      {batch(1, {attach(), unlisted}), "list number never given: 9"},
-      {batch(1, {attach(), roster(), members(), bare}), "TierClass"},
-      {batch(1, json::array({attach(mistyped)})), "AimMs"},
-      {batch(1, json::array({attach(negative)})), "tick"},
+      {batch(1, json::array({arrivalEvent("x")})), "never attached"},
+      {batch(1, {attachInstance(), unknown_list}), "list number never given: 9"},
+      {batch(1, {attachInstance(), endpointList(), endpointListEvent(), incomplete}), "TierClass"},
+      {batch(1, json::array({attachInstance(mistyped)})), "AimMs"},
+      {batch(1, json::array({attachInstance(negative)})), "tick"},
   };
-  for (const auto& [input, names] : cases) {
-    const Ran r = host(input);
-    EXPECT_NE(r.status, 0) << input;
-    EXPECT_EQ(r.out, "") << input;
-    EXPECT_NE(r.err.find(names), std::string::npos) << r.err;
-    EXPECT_EQ(std::count(r.err.begin(), r.err.end(), '\n'), 1) << r.err;
+  for (const auto& [input, named] : cases) {
+    const ProgramResult result = runAdapter(input);
+    EXPECT_NE(result.status, 0) << input;
+    EXPECT_EQ(result.out, "") << input;
+    EXPECT_NE(result.err.find(named), std::string::npos) << result.err;
+    EXPECT_EQ(std::count(result.err.begin(), result.err.end(), '\n'), 1) << result.err;
   }
 }
 
-TEST(Simhost, AnExceptionInTheModuleIsAFaultWithItsTextAndTheHostGoesOn) {
-  const Ran r = host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()),
-                     throwingSimulatorHostProgram());
-  EXPECT_EQ(r.status, 0) << r.err;
-  EXPECT_EQ(r.out,
+TEST(Simhost, ReportsExceptionOfDecisionModuleAndContinues) {
+  const ProgramResult result = runAdapter(
+      batch(1000, {attachInstance(), endpointList(), endpointListEvent()}) + batch(1001, json::array()),
+      throwingSimulatorHostProgram());
+  EXPECT_EQ(result.status, 0) << result.err;
+  EXPECT_EQ(result.out,
             "{\"cmds\":[{\"Fatal\":{\"Who\":0,\"Words\":\"tag without a message\"}}]}\n{\"cmds\":[]}\n");
 }
 
-TEST(Simhost, HundredsOfSendersKilledAndAttachedInOneBatchKeepNothing) {
-  json first = json::array({roster()}), again = json::array();
-  for (int who = 0; who < 300; ++who) {
-    first.push_back(attach(options(), who));
-    json list = members(), message = call("m" + std::to_string(who));
-    list["Members"]["Who"] = message["Call"]["Who"] = who;
-    first.push_back(list);
-    first.push_back(message);
-    again.push_back({{"PowerOff", {{"Who", who}}}});
-    again.push_back(attach(options(), who));
-    again.push_back(list);
+TEST(Simhost, DiscardsStateOfHundredsOfInstancesThatRestartInOneBatch) {
+  json initial = json::array({endpointList()}), restarted = json::array();
+  for (int instance_id = 0; instance_id < 300; ++instance_id) {
+    initial.push_back(attachInstance(makeOptions(), instance_id));
+    json list_event = endpointListEvent(), message = arrivalEvent("m" + std::to_string(instance_id));
+    list_event["Members"]["Who"] = message["Call"]["Who"] = instance_id;
+    initial.push_back(list_event);
+    initial.push_back(message);
+    restarted.push_back({{"PowerOff", {{"Who", instance_id}}}});
+    restarted.push_back(attachInstance(makeOptions(), instance_id));
+    restarted.push_back(list_event);
   }
-  const Ran r = host(batch(1000, first) + batch(2000, again) + batch(20000, json::array()));
-  EXPECT_EQ(r.status, 0) << r.err;
-  std::istringstream lines(r.out);
+  const ProgramResult result =
+      runAdapter(batch(1000, initial) + batch(2000, restarted) + batch(20000, json::array()));
+  EXPECT_EQ(result.status, 0) << result.err;
+  std::istringstream lines(result.out);
   std::string line;
-  std::size_t sends = 0, answers = 0;
+  std::size_t submits = 0, final_outcomes = 0;
   while (std::getline(lines, line)) {
     const json reply = json::parse(line);
-    for (const json& c : reply["cmds"]) {
-      sends += c.contains("SubmitTo");
-      answers += c.contains("FinishError") || c.contains("Decline");
+    for (const json& command : reply["cmds"]) {
+      submits += command.contains("SubmitTo");
+      final_outcomes += command.contains("FinishError") || command.contains("Decline");
     }
   }
-  EXPECT_EQ(sends, 300u) << r.err;
-  EXPECT_EQ(answers, 0u);  // the messages of the earlier life are not this life's to answer
+  EXPECT_EQ(submits, 300u) << result.err;
+  EXPECT_EQ(final_outcomes, 0u);  // a restarted instance decides no outcome for messages of the earlier one
 }
 
 }  // namespace
--- a/tests/sim/throwing_sender.cpp
+++ b/tests/sim/throwing_sender.cpp
@@ -1,4 +1,5 @@
-// A module whose every decision throws, linked with the adapter to show what becomes of it on the wire.
+// A Sender whose decide() always throws, linked with the simulator adapter to test how the adapter reports
+// exceptions.
 #include <stdexcept>
 
 #include "grademux/sender.h"
