--- a/tests/decision/fair_queue_reference_test.cpp
+++ b/tests/decision/fair_queue_reference_test.cpp
@@ -131,7 +131,7 @@
       reference.dequeue(id, static_cast<double>(message.class_version->latency_objective), started,
                         started && is_global);
       starts += started;
-      by_global += started && global;
+      by_global += started && is_global;
     }
     EXPECT_GT(by_global, 10u) << "seed " << seed;
     EXPECT_GT(starts - by_global, 50u) << "seed " << seed;
