--- a/src/core/action_guard.h
+++ b/src/core/action_guard.h
@@ -1,5 +1,5 @@
-// grademux: what this process may do now, where something beside it can end that: the plan of a fleet. Nobody
-// stands behind this on a platform; there a process may always act.
+// The permission to accept messages and to start attempts, where something outside the process can revoke it:
+// the plan of a fleet. A sender on a platform has no guard and may always act.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,27 @@
 class ActionGuard {
  public:
   virtual ~ActionGuard() = default;
-  // Whether messages may be taken on and calls begun at this moment. Asked on the loop thread: in each turn
-  // before what comes in is written, and again right before the first byte of each call. Once it says no, the
-  // host refuses what is new and starts nothing; what it has taken on keeps its one end.
+  // Whether messages may be accepted and attempts started at this moment. Called on the loop thread: in each
+  // iteration before new arrivals are written to the journal, and again right before the first byte of each
+  // call. While the result is false, the engine rejects new submissions and starts no attempt; messages that
+  // it has accepted still get exactly one final outcome.
   virtual bool isActionAllowed() = 0;
-  // The version that this process acts by, as a text; the same text as long as nothing of it has changed.
+  // The decision version under which this process acts, as text. The text stays the same as long as no part
+  // of the version changes.
   virtual const std::string& version() = 0;
-  // An entry of the list, new, changed or gone: the state in which the module is to see it.
-  virtual EndpointState visibleState(const Endpoint& e) { return e.state; }
-  // A call is about to begin; false: not there, not now. `repeatable`: it may run twice.
+  // The state in which the decision module sees an endpoint that was added, changed or removed.
+  virtual EndpointState visibleState(const Endpoint& endpoint) { return endpoint.state; }
+  // Called before an attempt is started. False: the attempt must not be sent to this endpoint now.
+  // `repeatable`: the message may execute twice.
   virtual bool admitAttempt(const AttemptId&, const Endpoint&, bool /*repeatable*/) {
     return isActionAllowed();
   }
-  // The same right before its first byte.
+  // The same check, right before the first byte of the attempt is written.
   virtual bool isSendAllowed(const std::string& /*endpoint*/) { return isActionAllowed(); }
-  virtual void onAttemptFinished(const AttemptOutcome&) {}  // of any call
-  // What a call carries of it; empty: nothing. `number`: of the version, in this sender's journal.
+  // Called for every attempt that ends.
+  virtual void onAttemptFinished(const AttemptOutcome&) {}
+  // The stamp of the decision version that an attempt carries to its endpoint; empty: none. `number` is the
+  // version's number in the journal of this sender.
   virtual std::string versionStamp(std::int64_t number) = 0;
 };
 
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,4 +1,5 @@
-// grademux: the two clocks of the program, in microseconds. Modules that decide take the time as an argument.
+// The clocks of the program, in microseconds. The decision modules read no clock: they get the time as an
+// argument.
 #pragma once
 
 #include <string>
@@ -7,11 +8,11 @@
 
 namespace grademux {
 
-Micros monotonicNow();  // a clock that only goes forward
-Micros boottimeNow();   // the same, and on while the machine sleeps (CLOCK_BOOTTIME)
-Micros unixNow();       // a clock that holds across processes
+Micros monotonicNow();  // never decreases; comparable within one process alone
+Micros boottimeNow();   // never decreases and also counts while the machine is suspended (CLOCK_BOOTTIME)
+Micros unixNow();       // Unix time; comparable across processes and restarts
 
-// Unix time for people: 2026-12-01T10:00:00.123Z, or without its thousandths; "?" where it is not known (0).
-std::string utcText(Micros at, bool thousandths);
+// Formats Unix time as 2026-12-01T10:00:00.123Z, or without the milliseconds; "?" if the time is unknown (0).
+std::string utcText(Micros at, bool with_milliseconds);
 
 }  // namespace grademux
--- a/src/core/clock_offset.h
+++ b/src/core/clock_offset.h
@@ -1,6 +1,6 @@
-// Conversion of moments between the monotonic clock and Unix time. `offset` is added to each moment; a moment
-// that is unknown (0) stays so, but for the health of a destination, where the start of the slow start is
-// always known.
+// Conversion of times between the monotonic clock and Unix time. `offset` is added to each time. An unknown
+// time (0) stays 0, except in the health of a destination: the start of the slow start and the time of the
+// last observation are always known there.
 #pragma once
 
 #include "grademux/sender.h"
--- a/src/core/delivery_engine.cpp
+++ b/src/core/delivery_engine.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr Micros kHealthRetention = 30LL * 24 * 3600 * 1'000'000;  // since the last observation
-constexpr Micros kHandoverRetryAfter = 100'000;  // for clients while another process takes over
+constexpr Micros kHealthRetention = 30LL * 24 * 3600 * 1'000'000;  // from the last observation
+constexpr Micros kHandoverRetryAfter = 100'000;  // sent to clients while another process owns the journal
 
 }  // namespace
 
@@ -34,7 +34,8 @@
   raiseMaxLifetime();
 }
 
-// Ids of messages that were accepted under a longer deadline may be submitted again for as long.
+// The maximum is never lowered: ids of messages that were accepted under a longer deadline may be submitted
+// again until that deadline.
 void DeliveryEngine::raiseMaxLifetime() {
   for (const MessageClass& message_class : settings_.classes)
     max_lifetime_ = std::max(max_lifetime_, message_class.deadline);
@@ -78,7 +79,7 @@
   if (scheduler_.isRequested() || !events_.empty())
     runIteration();
   if (!events_.empty())
-    runIteration();  // for example outcomes of attempts that could not be written
+    runIteration();  // for new events of the first iteration, e.g. attempts that were not journaled
   scheduler_.suspend();
   journal_.release();
 }
@@ -104,7 +105,7 @@
 
 void DeliveryEngine::setActionGuard(ActionGuard* guard) {
   action_guard_ = guard;
-  if (guard)  // the guard keeps state of each endpoint that it is asked for
+  if (guard)  // the call makes the guard create its state of each endpoint
     endpoints_.list().snapshot([guard](const Endpoint& endpoint) { return guard->visibleState(endpoint); });
 }
 
@@ -193,20 +194,20 @@
   const Result<ClassVersion, SubmissionResult> message_class = classOf(submission);
   if (!message_class)
     return reply(message_class.error());
-  // The id comes first: an accepted message stays accepted, even if its destination is no longer listed.
+  // The id is checked first: an accepted message stays accepted even if its destination is no longer listed.
   const std::uint64_t digest = contentDigest(message);
   SubmissionResult known;
   switch (registry_.findSubmission(message, digest, reply, known)) {
-    case MessageRegistry::Known::answered:
+    case MessageRegistry::KnownSubmission::answered:
       return reply(known);
-    case MessageRegistry::Known::waiting:
+    case MessageRegistry::KnownSubmission::waiting:
       return;
-    case MessageRegistry::Known::no:
+    case MessageRegistry::KnownSubmission::new_id:
       break;
   }
-  if (!endpoints_.knowsAnyDestination())
+  if (!endpoints_.isAnyDestinationKnown())
     return reply(SubmissionResult::rejected(settings_.max_retry_after));
-  if (!endpoints_.knowsDestination(message.destination, max_lifetime_))
+  if (!endpoints_.isDestinationKnown(message.destination, max_lifetime_))
     return reply(SubmissionResult::invalid("unknown-destination", "unknown destination"));
   message.class_version = message_class.value();
   if (!journal_.reserveSpace(message))
@@ -259,7 +260,7 @@
     state.records = std::move(records);
     state.pool = exported.pool;
   };
-  // An export that waits for its iteration would give the same once more.
+  // A pending export would return the same records a second time.
   const auto is_export = [](const Event& event) { return std::holds_alternative<ExportLearned>(event); };
   events_.erase(std::remove_if(events_.begin(), events_.end(), is_export), events_.end());
   events_.emplace_back(ExportLearned{INT64_MIN, INT32_MAX});
--- a/src/core/delivery_engine.h
+++ b/src/core/delivery_engine.h
@@ -1,8 +1,9 @@
-// The engine around the decision module: hands it events in iterations, carries out its actions, and writes
-// the journal before anything that the journal promises is done. It knows the order of things and has no
-// policy of its own.
+// The engine around the decision module: passes events to the module in iterations, performs the module's
+// actions, and writes the journal before it does anything that depends on a journal record. The engine
+// defines the order of these steps and has no policy of its own.
 //
-// Used from the loop thread alone. What the constructor is given must outlive the engine.
+// Used from the loop thread alone. The objects passed to the constructor by reference must outlive the
+// engine.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,51 +27,52 @@
 
 class DeliveryEngine : public SubmissionHandler {
  public:
-  // Called after each iteration with the events that the decision module got and the actions that it
-  // returned.
+  // Called in each iteration, before the actions are performed, with the events that the decision module got
+  // and the actions that it returned.
   using Observer = std::function<void(Micros now, const std::vector<Event>&, const std::vector<Action>&)>;
   DeliveryEngine(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
                  Transport& transport, DeliveryNotifier& notifier);
 
-  // Takes over what the journal, the configured endpoint list and an earlier process's learned state hold, as
-  // far as `policy` still trusts it. To be called before clients are served. `in_flight`: attempts whose
-  // outcome is still to come from the earlier process.
+  // Restores the contents of the journal, the configured endpoint list, and the learned state of an earlier
+  // process as far as `policy` still trusts it. Must be called before clients are served. `in_flight`:
+  // attempts whose outcome the earlier process has still to report.
   void recover(const json& configured_list, const TrustPolicy& policy, const LearnedState& learned = {},
                const std::set<AttemptId>& in_flight = {});
 
-  // Runs a last iteration and releases the journal. From then on submissions are rejected and events wait for
-  // resume().
+  // Runs a last iteration and releases the journal. Until resume(), submissions are rejected and events stay
+  // queued.
   void suspend();
-  // To be called once the journal is reacquired.
+  // Must be called after the journal has been reacquired.
   void resume();
   bool isSuspended() const { return scheduler_.isSuspended(); }
 
-  // `guard` can forbid actions at any time; null: nothing does.
+  // `guard` can forbid actions at any time; null: all actions are allowed.
   void setActionGuard(ActionGuard* guard);
-  // Acting is forbidden: no message is accepted and no attempt started until open(). The decision module sees
-  // all endpoints as draining, so that open messages wait, and fail at their deadlines.
+  // Accepts no message and starts no attempt until open(). The decision module sees every ready endpoint as
+  // draining, so that open messages wait, and fail at their deadlines.
   void close();
   void open();
   bool isClosed() const { return closed_; }
-  // The guard shows these endpoints in other states than before.
+  // Passes the states that the guard now gives these endpoints to the decision module.
   void refreshEndpoints(const std::vector<std::string>& endpoints);
 
-  // Exports what the decision module has learned, in Unix time, of at most `max_destinations` destinations
-  // above `after`; `callback` is called in one of the next iterations. One export at a time.
+  // Exports the learned state of at most `max_destinations` destinations with numbers above `after`, with
+  // times in Unix time. `callback` is called in one of the next iterations. Only one export can be pending.
   using ExportCallback = std::function<void(std::vector<LearnedRecord>, const LearnedExported&)>;
   void exportLearned(std::int64_t after, int max_destinations, ExportCallback callback);
-  // All that the decision module has learned, at once: for the end of the process.
+  // The whole learned state, exported in an iteration that runs within this call: for the end of the process.
   LearnedState learnedState();
-  // `callback` is called when the health of a destination was recorded.
+  // `callback` is called after the health of a destination was recorded.
   void onHealthChanged(std::function<void()> callback) { on_health_changed_ = std::move(callback); }
 
-  // An answer of the membership source. Returns the version to continue from. The decision module gets a long
-  // answer in slices, one an iteration, so that deliveries continue meanwhile.
+  // An answer of the membership source. Returns the list version from which the source should continue. The
+  // decision module gets a long answer in slices, one in each iteration, so that deliveries continue
+  // meanwhile.
   std::int64_t onEndpointList(EndpointListAnswer answer);
   std::int64_t listVersion() const { return endpoints_.list().index(); }
   bool hasEndpoints() const { return endpoints_.list().size() > 0; }
-  // Endpoints with the same scope share a Retry-After: all of a destination, or one alone where its kind has
-  // separate routes.
+  // The scope of a Retry-After from this endpoint; endpoints with the same scope share the pause. The scope
+  // is the destination, or the endpoint alone if its kind has separate routes.
   std::string retryAfterScope(const std::string& endpoint) const;
 
   void submit(Submission submission, SubmissionCallback reply) override;
@@ -82,15 +84,15 @@
   void onNoticeDelivered(const std::string& id) { outcomes_.onNoticeDelivered(id, max_lifetime_); }
 
   void setObserver(Observer observer) { observer_ = std::move(observer); }
-  // New settings, already validated, for submissions from now on and for all decisions. Open messages keep
-  // their class version.
+  // Applies validated settings to all later submissions and decisions. Open messages keep their class
+  // version.
   void applySettings(Settings settings);
-  // The process ends at this moment of the monotonic clock.
+  // Tells the decision module that the process ends at this time of the monotonic clock.
   void scheduleStop(Micros at);
   bool isIdle() const { return events_.empty() && !registry_.hasOpen(); }
 
  private:
-  static constexpr std::size_t kListSliceChanges = 1000;  // of the endpoint list, in one iteration
+  static constexpr std::size_t kListSliceChanges = 1000;  // changes of the endpoint list in one iteration
 
   // An attempt that is recorded in the journal and not started yet.
   struct PlannedAttempt {
@@ -129,7 +131,7 @@
   void raiseMaxLifetime();
 
   Settings settings_;
-  std::vector<ClassVersion> classes_;  // of the settings
+  std::vector<ClassVersion> classes_;  // the classes of settings_
   Sender sender_;
   Journal& journal_;
   Transport& transport_;
@@ -138,7 +140,7 @@
   FinalOutcomes outcomes_;
   IterationScheduler scheduler_;
   std::vector<Event> events_;  // for the next iteration
-  Micros max_lifetime_ = 0;    // the longest that a message may last; never lowered
+  Micros max_lifetime_ = 0;    // longest time that any message may stay open; never lowered
   ActionGuard* action_guard_ = nullptr;
   bool closed_ = false;
   Observer observer_;
--- a/src/core/delivery_engine_iteration.cpp
+++ b/src/core/delivery_engine_iteration.cpp
@@ -1,5 +1,6 @@
-// The iterations of the engine: events to the decision module, then its actions. The order is: rejections,
-// the journal, and only then what the journal promises.
+// The iterations of the engine: each passes events to the decision module and performs the resulting actions.
+// Rejections come first, then the journal is written, and only then the actions that depend on journal
+// records are performed.
 #include <algorithm>
 #include <utility>
 
@@ -58,7 +59,8 @@
   }
 }
 
-// The client of a new submission is answered at once; that of an accepted message gets a notice.
+// A submission that is not answered yet gets its answer at once; the client of an accepted message gets a
+// notice.
 void DeliveryEngine::rejectOrFail(const std::string& id, FinalStatus status, Micros retry_after) {
   OpenMessage* open = registry_.findOpen(id);
   if (!open)
@@ -85,7 +87,7 @@
     on_health_changed_();
 }
 
-// A message that is accepted by a process which may not act any more would stay undelivered.
+// A process that may no longer act could not deliver the messages that it accepts.
 std::set<std::string> DeliveryEngine::rejectNewArrivals() {
   std::set<std::string> rejected = registry_.takeNewArrivals();
   for (const std::string& id : rejected) {
@@ -118,7 +120,7 @@
   return planned;
 }
 
-// Without a written record nothing is accepted: a restart would forget it.
+// A message is accepted only if its record was written: otherwise a restart would lose it.
 void DeliveryEngine::answerNewArrivals(bool journaled) {
   for (const std::string& id : registry_.takeNewArrivals()) {
     const std::vector<SubmissionCallback> replies = std::exchange(registry_.findOpen(id)->replies, {});
@@ -174,7 +176,8 @@
   return action_guard_->admitAttempt(id, listed ? listed->endpoint : unlisted, repeatable);
 }
 
-// The decision module counts the attempt as in flight until it gets an outcome.
+// The decision module counts an attempt as in flight until it gets the outcome, so an attempt that was not
+// started gets one as well.
 void DeliveryEngine::reportNotSent(const std::string& id, int attempt) {
   AttemptOutcome outcome;
   outcome.id = id;
--- a/src/core/delivery_notifier.h
+++ b/src/core/delivery_notifier.h
@@ -1,4 +1,5 @@
-// grademux: the seam of what is told the ends of messages that were taken on and not delivered.
+// The interface of the component that notifies the final outcomes of accepted messages that were not
+// delivered.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +12,13 @@
 class DeliveryNotifier {
  public:
   virtual ~DeliveryNotifier() = default;
-  // Called once for each such end, in the turn that writes it to the journal, and again after a restart if it
-  // was not told before. The host's told() is to be called once it is, from the loop and not from within
-  // this; until then the journal keeps the message.
+  // Called once for each such final outcome, in the iteration that writes it to the journal, and again after
+  // a restart if the notice was not delivered before. Once the notice is delivered,
+  // DeliveryEngine::onNoticeDelivered() must be called on the loop thread, not from within this function;
+  // until then the journal keeps the message.
   virtual void enqueueNotice(const std::string& id, const Notice& notice) = 0;
-  virtual std::size_t pendingNotices() const = 0;  // not told yet
+  // The number of notices that have not been delivered yet.
+  virtual std::size_t pendingNotices() const = 0;
 };
 
 }  // namespace grademux
--- a/src/core/disk_budget.h
+++ b/src/core/disk_budget.h
@@ -1,4 +1,5 @@
-// The disk budget of the state folder: the journal comes first, other files give way. All sizes are bytes.
+// The disk budget of the state folder. The journal has priority: other files are removed when the journal
+// needs their space. All sizes are in bytes.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +12,14 @@
   explicit DiskBudget(std::uint64_t total) : total_(total) {}
 
   std::uint64_t total() const { return total_; }
-  // What the other files leave to the journal.
+  // The part of the budget that the other files leave to the journal.
   std::uint64_t available() const { return total_ > other_files_ ? total_ - other_files_ : 0; }
   void setOtherFiles(std::uint64_t bytes) { other_files_ = bytes; }
-  // `free_space` removes the other files, or returns false if that is impossible at the moment.
+  // `free_space` removes the other files, or returns false if they can't be removed at the moment.
   void onSpaceNeeded(std::function<bool()> free_space) { free_space_ = std::move(free_space); }
-  // Asks for the other files to be removed. False: there are none, or they stay.
+  // Requests the removal of the other files. False if no other files exist or they can't be removed.
   bool reclaim();
-  // Whether `bytes` fit, after reclaiming the space of other files if need be.
+  // Whether `bytes` fit into the budget; reclaims the space of the other files if necessary.
   bool ensure(std::uint64_t bytes) { return bytes <= available() || (reclaim() && bytes <= available()); }
 
  private:
--- a/src/core/endpoint_list.cpp
+++ b/src/core/endpoint_list.cpp
@@ -1,4 +1,4 @@
-// grademux: the list of endpoints; see list.h.
+// Parses the endpoint list of the discovery agent and computes its changes; see endpoint_list.h.
 #include "endpoint_list.h"
 
 #include <algorithm>
@@ -9,142 +9,143 @@
 
 namespace {
 
-EndpointState stateOf(const json& e) {
-  return oneOf<EndpointState>(text(e, "status"),
+EndpointState parseState(const json& entry) {
+  return oneOf<EndpointState>(text(entry, "status"),
                               {{"Ready", EndpointState::ready},
                                {"Terminating", EndpointState::draining},
                                {"Gone", EndpointState::gone}},
                               "status");
 }
 
-ListedEndpoint entryOf(const json& e) {
-  if (!e.is_object())
-    bad("an endpoint is not an object");
-  ListedEndpoint l;
-  l.endpoint.id = text(e, "name");
-  l.endpoint.zone = text(e, "zone", "");
-  l.endpoint.kind = text(e, "type", "");
-  l.endpoint.destination = integer(e, "group");
-  l.endpoint.weight = number(e, "weight", 0);
-  l.endpoint.state = stateOf(e);
-  l.address = text(e, "address", "");
-  return l;
+ListedEndpoint parseEntry(const json& entry) {
+  if (!entry.is_object())
+    bad("an entry of endpoints is not an object");
+  ListedEndpoint listed;
+  listed.endpoint.id = text(entry, "name");
+  listed.endpoint.zone = text(entry, "zone", "");
+  listed.endpoint.kind = text(entry, "type", "");
+  listed.endpoint.destination = integer(entry, "group");
+  listed.endpoint.weight = number(entry, "weight", 0);
+  listed.endpoint.state = parseState(entry);
+  listed.address = text(entry, "address", "");
+  return listed;
 }
 
-bool same(const ListedEndpoint& a, const ListedEndpoint& b) {
+bool isSameEntry(const ListedEndpoint& a, const ListedEndpoint& b) {
   return a.endpoint.zone == b.endpoint.zone && a.endpoint.kind == b.endpoint.kind &&
          a.endpoint.destination == b.endpoint.destination && a.endpoint.state == b.endpoint.state &&
          a.endpoint.weight == b.endpoint.weight && a.address == b.address;
 }
 
-bool stops(const EndpointChange& c) {
-  return c.entry.endpoint.state != EndpointState::ready;
+// Whether the endpoint gets no new messages after the change.
+bool isStop(const EndpointChange& change) {
+  return change.entry.endpoint.state != EndpointState::ready;
 }
 
 }  // namespace
 
 EndpointListAnswer parseEndpointList(const json& answer) {
   if (!answer.is_object())
-    bad("the list is not an object");
-  EndpointListAnswer a;
-  a.index = integer(answer, "index");
-  a.whole = truth(answer, "snapshot", false);
+    bad("the endpoint list is not an object");
+  EndpointListAnswer parsed;
+  parsed.index = integer(answer, "index");
+  parsed.is_snapshot = truth(answer, "snapshot", false);
   const json& endpoints = array(answer, "endpoints");
-  a.changes.reserve(endpoints.size());
-  for (const json& e : endpoints) {
-    EndpointChange c;
-    c.entry = entryOf(e);
-    if (c.entry.endpoint.state != EndpointState::gone)
-      c.text = e.dump();
-    a.changes.push_back(std::move(c));
+  parsed.changes.reserve(endpoints.size());
+  for (const json& entry : endpoints) {
+    EndpointChange change;
+    change.entry = parseEntry(entry);
+    if (change.entry.endpoint.state != EndpointState::gone)
+      change.text = entry.dump();
+    parsed.changes.push_back(std::move(change));
   }
-  return a;
+  return parsed;
 }
 
 void EndpointList::apply(EndpointListAnswer answer) {
-  if (answer.whole) {
+  if (answer.is_snapshot) {
     std::unordered_set<std::string_view> named;
     named.reserve(answer.changes.size());
-    for (const EndpointChange& c : answer.changes)
-      named.insert(c.entry.endpoint.id);
-    std::vector<EndpointChange> lost;
-    for (const auto& [name, e] : known_) {
+    for (const EndpointChange& change : answer.changes)
+      named.insert(change.entry.endpoint.id);
+    std::vector<EndpointChange> removed;
+    for (const auto& [name, listed] : listed_) {
       if (named.count(name))
         continue;
-      lost.push_back({e, {}});
-      lost.back().entry.endpoint.state = EndpointState::gone;
+      removed.push_back({listed, {}});
+      removed.back().entry.endpoint.state = EndpointState::gone;
     }
-    known_.reserve(answer.changes.size());
+    listed_.reserve(answer.changes.size());
     pending_.reserve(answer.changes.size());
-    // In the order of names: the same lists in the same order give the same slices.
-    std::sort(lost.begin(), lost.end(), [](const EndpointChange& a, const EndpointChange& b) {
+    // Sorted by name: the same lists in the same order give the same slices.
+    std::sort(removed.begin(), removed.end(), [](const EndpointChange& a, const EndpointChange& b) {
       return a.entry.endpoint.id < b.entry.endpoint.id;
     });
-    for (EndpointChange& c : lost)
-      change(std::move(c));
+    for (EndpointChange& change : removed)
+      applyChange(std::move(change));
   }
-  for (EndpointChange& c : answer.changes)
-    change(std::move(c));
+  for (EndpointChange& change : answer.changes)
+    applyChange(std::move(change));
   index_ = answer.index;
 }
 
-void EndpointList::change(EndpointChange c) {
-  const Endpoint& e = c.entry.endpoint;
-  const auto known = known_.find(e.id);
-  const bool gone = e.state == EndpointState::gone;
-  if (known == known_.end() ? gone : same(known->second, c.entry))
+void EndpointList::applyChange(EndpointChange change) {
+  const Endpoint& endpoint = change.entry.endpoint;
+  const auto known = listed_.find(endpoint.id);
+  const bool gone = endpoint.state == EndpointState::gone;
+  if (known == listed_.end() ? gone : isSameEntry(known->second, change.entry))
     return;
-  if (known != known_.end()) {  // its place in the list may be another now
-    const auto at = destinations_.find(known->second.endpoint.destination);
-    if (--at->second == 0) {
-      unlisted_.push_back(at->first);
-      destinations_.erase(at);
+  if (known != listed_.end()) {  // the endpoint may have moved to another destination
+    const auto count = endpoint_counts_.find(known->second.endpoint.destination);
+    if (--count->second == 0) {
+      removed_destinations_.push_back(count->first);
+      endpoint_counts_.erase(count);
     }
   }
   if (gone) {
-    known_.erase(known);
+    listed_.erase(known);
   } else {
-    ++destinations_[e.destination];
-    if (known != known_.end())
-      known->second = c.entry;
+    ++endpoint_counts_[endpoint.destination];
+    if (known != listed_.end())
+      known->second = change.entry;
     else
-      known_.emplace(e.id, c.entry);
+      listed_.emplace(endpoint.id, change.entry);
   }
-  (stops(c) ? stops_ : others_).push_back(e.id);
-  std::string id = e.id;
-  pending_[std::move(id)] = std::move(c);
+  (isStop(change) ? stop_queue_ : other_queue_).push_back(endpoint.id);
+  std::string id = endpoint.id;
+  pending_[std::move(id)] = std::move(change);
 }
 
 EndpointListUpdate EndpointList::snapshot(const std::function<EndpointState(const Endpoint&)>& state) const {
-  EndpointListUpdate u;
-  u.kind = EndpointListKind::delta;
-  for (const auto& [name, e] : known_) {
-    u.endpoints.push_back(e.endpoint);
-    u.endpoints.back().state = state(e.endpoint);
+  EndpointListUpdate update;
+  update.kind = EndpointListKind::delta;
+  for (const auto& [name, listed] : listed_) {
+    update.endpoints.push_back(listed.endpoint);
+    update.endpoints.back().state = state(listed.endpoint);
   }
-  std::sort(u.endpoints.begin(), u.endpoints.end(),
+  std::sort(update.endpoints.begin(), update.endpoints.end(),
             [](const Endpoint& a, const Endpoint& b) { return a.id < b.id; });
-  return u;
+  return update;
 }
 
-EndpointList::Slice EndpointList::next(std::size_t most) {
-  Slice s;
-  s.whole = !begun_;
-  s.unlisted.swap(unlisted_);
-  begun_ = true;
-  for (std::deque<std::string>* line : {&stops_, &others_}) {
-    for (; !line->empty() && s.changes.size() < most; line->pop_front()) {
-      const auto at = pending_.find(line->front());
-      if (at == pending_.end() || stops(at->second) != (line == &stops_))
+EndpointList::Slice EndpointList::next(std::size_t max_changes) {
+  Slice slice;
+  slice.is_first = !first_slice_taken_;
+  slice.removed_destinations.swap(removed_destinations_);
+  first_slice_taken_ = true;
+  for (std::deque<std::string>* queue : {&stop_queue_, &other_queue_}) {
+    for (; !queue->empty() && slice.changes.size() < max_changes; queue->pop_front()) {
+      const auto pending = pending_.find(queue->front());
+      if (pending == pending_.end() || isStop(pending->second) != (queue == &stop_queue_))
         continue;
-      s.changes.push_back(std::move(at->second));
-      pending_.erase(at);
+      slice.changes.push_back(std::move(pending->second));
+      pending_.erase(pending);
     }
   }
   if (pending_.empty())
     delivered_index_ = index_;
-  s.index = delivered_index_;
-  return s;
+  slice.index = delivered_index_;
+  return slice;
 }
 
 }  // namespace grademux
--- a/src/core/endpoint_list.h
+++ b/src/core/endpoint_list.h
@@ -1,7 +1,7 @@
-// grademux: the list of endpoints as its source last told it, and what of it the core has still to hear. It
-// keeps what is listed, finds what an answer changes, and hands the changes on in slices, so that a list of
-// any length costs each turn of the loop a bounded part: what must stop (draining, gone) first, then what is
-// new. No I/O, no clock; used from one thread, but readList() may run on any.
+// The endpoint list as last received from its source, and the changes that the decision module has not got
+// yet. The list computes what each answer changes and returns the changes in slices, so that a list of any
+// length costs each iteration a bounded amount of work. Changes to draining or gone endpoints come before all
+// others. No I/O, no clock; used from one thread, but parseEndpointList() may run on any thread.
 #pragma once
 
 #include <cstdint>
@@ -18,66 +18,70 @@
 
 struct ListedEndpoint {
   Endpoint endpoint;
-  std::string address;  // HOST:PORT, not read here
+  std::string address;  // HOST:PORT; the list does not parse it
 };
 
-// An entry that is new, changed, or (by its state) gone. `text`: the entry as JSON, to be kept; empty if it
-// is gone.
+// An entry that was added, changed or removed; the state of a removed entry is `gone`.
 struct EndpointChange {
   ListedEndpoint entry;
-  std::string text;
+  std::string text;  // the entry as JSON, for the journal; empty if the endpoint is gone
 };
 
-// What a source answered: the whole list, or what has changed since an earlier version.
+// An answer of the list's source: the complete list, or the changes since an earlier version.
 struct EndpointListAnswer {
-  std::int64_t index = -1;  // the list's version
-  bool whole = false;
+  std::int64_t index = -1;   // version of the list
+  bool is_snapshot = false;  // the complete list: endpoints without an entry are gone
   std::vector<EndpointChange> changes;
 };
 
-// Reads discovery's form. Throws BadInput that names the field.
+// Parses an endpoint list in the JSON format of the discovery agent. Throws BadInput with the name of the
+// malformed field.
 EndpointListAnswer parseEndpointList(const json& answer);
 
 class EndpointList {
  public:
-  // What the core is to hear next. `index` is the version that is complete once this has been heard: that of
-  // the answer with its last slice, the one before until then. A process that ends between asks again from
-  // there.
+  // A part of the pending changes. `index` is the list version that is complete once this slice is applied:
+  // the version of the latest answer if no changes are pending after the slice, the last complete version
+  // otherwise. A process that stops between slices requests the list again from that version.
   struct Slice {
-    bool whole = false;  // all that there is begins here: nothing was known before
+    bool is_first = false;  // the first slice of this process: no endpoint was known before
     std::int64_t index = -1;
     std::vector<EndpointChange> changes;
-    std::vector<std::int64_t> unlisted;  // destinations that no entry names any more
+    std::vector<std::int64_t> removed_destinations;  // destinations that lost their last endpoint
   };
 
-  // What an answer changes waits to be heard. What a whole list does not name is gone. An entry that waits
-  // and comes again is heard once, as it came last.
+  // Adds the changes of an answer to the pending ones. An endpoint that a snapshot does not name is gone. An
+  // entry that changes again while it is pending is returned once, in its latest form.
   void apply(EndpointListAnswer answer);
   bool hasPending() const { return !pending_.empty() || index_ != delivered_index_; }
-  Slice next(std::size_t most);
+  // The next slice, with at most `max_changes` changes.
+  Slice next(std::size_t max_changes);
 
-  // All that is listed, each in the state that `state` gives it: for the module alone.
+  // All listed endpoints, each in the state that `state` returns for it, as an update for the decision
+  // module. The pending changes stay pending.
   EndpointListUpdate snapshot(const std::function<EndpointState(const Endpoint&)>& state) const;
 
-  std::int64_t index() const { return index_; }  // of the last answer
-  std::size_t size() const { return known_.size(); }
-  bool lists(std::int64_t destination) const { return destinations_.count(destination) > 0; }
+  std::int64_t index() const { return index_; }  // version of the last answer
+  std::size_t size() const { return listed_.size(); }
+  bool containsDestination(std::int64_t destination) const { return endpoint_counts_.count(destination) > 0; }
+  // Null if the endpoint is not listed.
   const ListedEndpoint* find(const std::string& endpoint) const {
-    const auto at = known_.find(endpoint);
-    return at == known_.end() ? nullptr : &at->second;
+    const auto found = listed_.find(endpoint);
+    return found == listed_.end() ? nullptr : &found->second;
   }
 
  private:
-  void change(EndpointChange c);
+  void applyChange(EndpointChange change);
 
   std::int64_t index_ = -1, delivered_index_ = -1;
-  bool begun_ = false;  // something was told
-  std::unordered_map<std::string, ListedEndpoint> known_;
-  std::unordered_map<std::int64_t, std::size_t> destinations_;  // entries of each
+  bool first_slice_taken_ = false;
+  std::unordered_map<std::string, ListedEndpoint> listed_;
+  std::unordered_map<std::int64_t, std::size_t> endpoint_counts_;  // by destination
   std::unordered_map<std::string, EndpointChange> pending_;
-  std::vector<std::int64_t> unlisted_;
-  std::deque<std::string> stops_,
-      others_;  // in which order; one that waits no more, or in the other, is skipped
+  std::vector<std::int64_t> removed_destinations_;
+  // Names of pending endpoints in the order of delivery. A name that is no longer pending, or whose pending
+  // change belongs to the other queue, is skipped.
+  std::deque<std::string> stop_queue_, other_queue_;
 };
 
 }  // namespace grademux
--- a/src/core/endpoint_updates.cpp
+++ b/src/core/endpoint_updates.cpp
@@ -12,7 +12,7 @@
   slice_pending_ = true;
   EndpointList::Slice slice = list_.next(max_changes);
   EndpointListUpdate update;
-  update.kind = slice.whole && kind == EndpointListKind::delta ? EndpointListKind::snapshot : kind;
+  update.kind = slice.is_first && kind == EndpointListKind::delta ? EndpointListKind::snapshot : kind;
   EndpointChanges recorded;
   for (EndpointChange& change : slice.changes) {
     Endpoint& endpoint = change.entry.endpoint;
@@ -26,16 +26,16 @@
     update.endpoints.back().state = visible_state(update.endpoints.back());
   }
   // Attempts are started in iterations alone, so none starts before the decision module has got this update.
-  if (!journal_.recordEndpointList(recorded, slice.index, slice.whole))
+  if (!journal_.recordEndpointList(recorded, slice.index, slice.is_first))
     log::write(log::Event::journal_list_too_large, {{"endpoints", list_.size()}});
   const Micros now = monotonicNow();
-  removed_.add(slice.unlisted, now);
+  removed_.add(slice.removed_destinations, now);
   removed_.expire(now, retention);
   return update;
 }
 
-bool EndpointUpdates::knowsDestination(std::int64_t destination, Micros retention) const {
-  return list_.lists(destination) || removed_.contains(destination, monotonicNow(), retention);
+bool EndpointUpdates::isDestinationKnown(std::int64_t destination, Micros retention) const {
+  return list_.containsDestination(destination) || removed_.contains(destination, monotonicNow(), retention);
 }
 
 }  // namespace grademux
--- a/src/core/engine_recovery.cpp
+++ b/src/core/engine_recovery.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Whether the record was learned of what is listed now: what was learned of an endpoint holds for that
-// machine alone.
+// Whether the record's destination is still listed and its endpoint, if any, is listed at the same address:
+// the learned state of an endpoint is valid for one machine only.
 bool isListed(const LearnedRecord& record, const EndpointList& endpoints) {
   const LearnedEndpoint& learned = record.learned;
   if (!learned.endpoint.empty()) {
@@ -18,7 +18,7 @@
     if (!listed || listed->address != record.address)
       return false;
   }
-  return endpoints.lists(learned.destination);
+  return endpoints.containsDestination(learned.destination);
 }
 
 bool hasContent(const LearnedEndpoint& learned) {
--- a/src/core/engine_recovery.h
+++ b/src/core/engine_recovery.h
@@ -1,6 +1,6 @@
-// Converts what an earlier process left (journal, endpoint list, learned state) into events of the decision
-// module, each as far as it is still trusted, and learned state back into records. Offsets are between the
-// monotonic clock and Unix time.
+// Converts the state of an earlier process (journal, endpoint list, learned state) into events of the
+// decision module, as far as the state is still trusted, and learned state back into records. Offsets convert
+// times between the monotonic clock and Unix time; each is added to the times.
 #pragma once
 
 #include <set>
@@ -14,25 +14,25 @@
 
 namespace grademux {
 
-// The newer one of the configured endpoint list and the journal's, so that an endpoint that was draining
-// before the restart still is. Null or an empty object if there is neither.
+// The newer of the configured endpoint list and the journal's list, so that an endpoint that was draining
+// before the restart is still draining. Null or an empty object if neither list exists.
 json newestEndpointList(const json& configured, const RecoveredJournal& journal);
 
-// `in_flight`: attempts whose outcome is still to come from the earlier process.
+// `in_flight`: attempts whose outcome the earlier process has still to report.
 RecoveredMessage toRecoveredMessage(const JournalEntry& entry, Micros to_monotonic,
                                     const std::set<AttemptId>& in_flight);
 
 // The final outcome of a message whose notice is pending.
 FinishedMessage toFinishedMessage(const JournalEntry& entry);
 
-// Appends events for what is still trusted and concerns destinations and endpoints at addresses that are
-// listed.
+// Appends events for the state that is still trusted. Records of destinations that are not listed, and of
+// endpoints that are not listed at the same address, are skipped.
 void appendTrustedState(std::vector<Event>& events, const LearnedState& learned,
                         const EndpointList& endpoints, const TrustPolicy& policy, Micros to_monotonic);
 void appendTrustedHealth(std::vector<Event>& events, const std::vector<DestinationHealth>& health,
                          const TrustPolicy& policy, Micros slow_start_time, Micros to_monotonic);
 
-// What was learned, in Unix time and with the endpoint's address.
+// Converts learned state to Unix time and adds the endpoint's address.
 LearnedRecord toLearnedRecord(const LearnedEndpoint& learned, const EndpointList& endpoints, Micros to_unix);
 
 }  // namespace grademux
--- a/src/core/file.cpp
+++ b/src/core/file.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Removes the incomplete new file. Returns the error of the call that failed.
-std::string abandon(const std::string& new_path, int fd) {
+std::string discardNewFile(const std::string& new_path, int fd) {
   std::string error = std::strerror(errno);
   if (fd >= 0)
     ::close(fd);
@@ -53,14 +53,14 @@
   const std::string new_path = path + ".new";
   const int fd = ::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (fd < 0 || !writeAll(fd, bytes))
-    return abandon(new_path, fd);
+    return discardNewFile(new_path, fd);
   if (::close(fd) != 0 || std::rename(new_path.c_str(), path.c_str()) != 0)
-    return abandon(new_path, -1);
+    return discardNewFile(new_path, -1);
   return "";
 }
 
-std::uint64_t blocks(std::uint64_t bytes) {
-  return (bytes + kFileBlock - 1) / kFileBlock * kFileBlock;
+std::uint64_t sizeOnDisk(std::uint64_t bytes) {
+  return (bytes + kFileBlockBytes - 1) / kFileBlockBytes * kFileBlockBytes;
 }
 
 }  // namespace grademux
--- a/src/core/file.h
+++ b/src/core/file.h
@@ -1,4 +1,4 @@
-// grademux: what all that keeps a file of its own needs of POSIX files.
+// Helpers for reading, writing and replacing whole files through POSIX calls.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,16 @@
 
 namespace grademux {
 
-// Adds what is left of the file, and stops once there is more than `most`. False: it can't be read, errno
-// tells why.
-bool readAll(int fd, std::string& data, std::size_t most = SIZE_MAX);
-// False: not all was written, errno tells why.
+// Appends the rest of the file to `data`; stops once `data` is larger than `max_bytes`. False: the file can't
+// be read, and errno is set.
+bool readAll(int fd, std::string& data, std::size_t max_bytes = SIZE_MAX);
+// False: not all of `data` was written, and errno is set.
 bool writeAll(int fd, const std::string& data);
-// Writes a file beside the old one, then renames it over that. Empty, or what went wrong; then the old one is
-// as it was.
+// Writes `bytes` to a new file and renames that file to `path`. Returns an empty string, or the error text;
+// after an error the old file is unchanged.
 std::string replaceFile(const std::string& path, const std::string& bytes);
-// The bytes that a file takes of a disk budget: files count in whole blocks.
-constexpr std::uint64_t kFileBlock = 512;
-std::uint64_t blocks(std::uint64_t bytes);
+// The bytes that a file of this size takes from a disk budget: the size rounded up to whole blocks.
+constexpr std::uint64_t kFileBlockBytes = 512;
+std::uint64_t sizeOnDisk(std::uint64_t bytes);
 
 }  // namespace grademux
--- a/src/core/final_outcomes.cpp
+++ b/src/core/final_outcomes.cpp
@@ -56,19 +56,20 @@
 
 void logIfOrphaned(const AcceptedMessage& message, FinalStatus status, const Settings& settings,
                    const EndpointList& endpoints) {
-  const auto is_its_class = [&](const MessageClass& candidate) {
+  const auto has_message_class = [&](const MessageClass& candidate) {
     return candidate.name == message.message_class;
   };
   const bool class_removed =
-      !message.class_version && std::none_of(settings.classes.begin(), settings.classes.end(), is_its_class);
-  if (!class_removed && endpoints.lists(message.destination))
+      !message.class_version &&
+      std::none_of(settings.classes.begin(), settings.classes.end(), has_message_class);
+  if (!class_removed && endpoints.containsDestination(message.destination))
     return;
   log::write(log::Event::message_orphaned, {{"message", message.id},
                                             {"class", message.message_class},
                                             {"destination", message.destination},
                                             {"outcome", nameOf(status)},
-                                            {"cause", class_removed ? "its class is configured no more"
-                                                                    : "its partner is listed no more"}});
+                                            {"cause", class_removed ? "its class is no longer configured"
+                                                                    : "its partner is no longer listed"}});
 }
 
 }  // namespace grademux
--- a/src/core/final_outcomes.h
+++ b/src/core/final_outcomes.h
@@ -1,5 +1,5 @@
 // Records the final outcomes of accepted messages: in the journal, in the registry and, for messages that
-// were not delivered, as notices. On the loop thread.
+// were not delivered, as notices. Used on the loop thread.
 #pragma once
 
 #include <string>
@@ -18,14 +18,15 @@
   FinalOutcomes(MessageRegistry& registry, Journal& journal, DeliveryNotifier& notifier)
       : registry_(registry), journal_(journal), notifier_(notifier) {}
 
-  // The endpoint reported that the message is finished. Its id is remembered for `remember_for`.
+  // Records that the endpoint reported the message as finished. The id is remembered for `remember_for`.
   void recordReported(const std::string& id, AttemptResult result, Micros remember_for);
-  // An accepted message was not delivered: its notice is due. `status` is `returned` or `failed`.
+  // Records that an accepted message was not delivered, and queues its notice. `status` is `returned` or
+  // `failed`.
   void recordUndelivered(const std::string& id, FinalStatus status, Micros retry_after);
-  // The notice was delivered. The record is written with the next iteration: a restart before that repeats
-  // the notice, which is harmless.
+  // The notice was delivered. The record is written with the next iteration; a restart before that iteration
+  // repeats the notice, which is harmless.
   void onNoticeDelivered(const std::string& id, Micros remember_for);
-  // A notice of an earlier process that was not delivered.
+  // Queues a notice that an earlier process did not deliver.
   void recoverNotice(const JournalEntry& entry);
 
  private:
--- a/src/core/iteration_scheduler.h
+++ b/src/core/iteration_scheduler.h
@@ -1,5 +1,6 @@
-// When the engine's iterations run: at most one in a minimum interval, and at the timers that the decision
-// module sets. On the loop thread. The callbacks must outlive the scheduler.
+// Schedules the engine's iterations: on request, with a minimum interval between them, and at the timers that
+// the decision module sets. Used on the loop thread. Objects that the callbacks use must outlive the
+// scheduler.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,19 +19,21 @@
   IterationScheduler(boost::asio::io_context& io, std::function<void()> run_iteration,
                      std::function<void()> on_timer);
 
-  // Requests an iteration, `min_interval` after the last one at the earliest. One request is pending at a
-  // time.
+  // Requests an iteration, at the earliest `min_interval` after the last iteration. Has no effect if an
+  // iteration is requested already or the scheduler is suspended.
   void request(Micros min_interval);
   bool isRequested() const { return requested_; }
-  // An iteration starts now: clears the request. The result is the iteration's time, later than any before.
+  // Starts an iteration: clears the request and returns the iteration's time on the monotonic clock, which is
+  // later than the time of every earlier iteration.
   Micros begin();
   Micros lastIteration() const { return last_iteration_; }
 
-  // Adds a timer, `delay` after the last iteration.
+  // Adds a timer that is due `delay` after the last iteration.
   void addTimer(Micros delay);
+  // Starts waiting for the earliest timer, unless the scheduler is suspended.
   void armTimers();
 
-  // Suspended, nothing is scheduled; timers are kept.
+  // While the scheduler is suspended, no iteration and no timer runs; the timers are kept.
   void suspend();
   void resume() { suspended_ = false; }
   bool isSuspended() const { return suspended_; }
--- a/src/core/journal.cpp
+++ b/src/core/journal.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-// A compaction is worth its writes from this many bytes of obsolete records on; the same margin stays free in
-// the budget.
+// This margin stays free in the disk budget. A compaction is worth its writes once the obsolete records take
+// more than four times this size.
 constexpr std::uint64_t kMarginBytes = 64u << 10;
 constexpr std::uint64_t kEndpointListBudgetDivisor = 4;
 
@@ -51,14 +51,15 @@
 
 Journal::Journal(const std::string& folder, std::uint64_t disk_bytes)
     : path_(pathIn(folder)), compaction_path_(path_ + ".new"), budget_(disk_bytes) {
-  ::unlink(compaction_path_.c_str());  // of a compaction that was cut short: the old file is complete
+  ::unlink(compaction_path_.c_str());  // an interrupted compaction leaves this file; the old file is complete
   openFile();
   recover();
   state_.startEpoch();
   if (recovered_.damaged_ranges > 0 && compact())
     return;
   appendFrame(buffer_, encodeEpoch(state_.epoch()));
-  static_cast<void>(flush());  // without space for the epoch there is none for messages, and all are rejected
+  // If the epoch record does not fit, no message fits either, and all messages are rejected.
+  static_cast<void>(flush());
 }
 
 Journal::~Journal() {
@@ -74,11 +75,11 @@
 void Journal::recover() {
   std::string data;
   if (!readAll(fd_, data))
-    throwErrno("journal: read");
+    throwErrno("journal: can't read the file");
   const RecoveryReport report = recoverJournal(data, state_);
   size_ = report.intact_bytes;
   if (report.torn_tail && ::ftruncate(fd_, static_cast<off_t>(size_)) != 0)
-    throwErrno("journal: truncate the torn tail");
+    throwErrno("journal: can't truncate the torn tail");
   recovered_ = state_.contents();
   recovered_.damaged_ranges = report.damaged_ranges;
   recovered_.torn_tail = report.torn_tail;
@@ -137,34 +138,35 @@
   return JournalError::owned_by_other;
 }
 
-// Right after a compaction the file holds what is live, and the next compaction writes as much again beside
-// it.
+// Right after a compaction the file contains only live records, and the next compaction needs the same space
+// again for its new file.
 Result<void, JournalError> Journal::reserveSpace(const AcceptedMessage& message) {
   const ClassVersion& version = message.class_version;
   const bool new_version = version && state_.classVersions().numberOf(version) == 0;
-  const std::uint64_t more =
+  const std::uint64_t reserved =
       reserved_ + reservedBytes(message) + (new_version ? classVersionBytes(*version) : 0);
-  const std::uint64_t live = state_.liveBytes() + more;
-  const auto fits = [&](std::uint64_t file) {
-    return blocks(file) + blocks(live) + kMarginBytes <= budget_.available();
+  const std::uint64_t live = state_.liveBytes() + reserved;
+  const auto fits = [&](std::uint64_t file_bytes) {
+    return sizeOnDisk(file_bytes) + sizeOnDisk(live) + kMarginBytes <= budget_.available();
   };
   const auto has_space = [&] {
-    return fits(live) && (fits(size_ + buffer_.size() + more) || (compact() && fits(size_ + more)));
+    return fits(live) && (fits(size_ + buffer_.size() + reserved) || (compact() && fits(size_ + reserved)));
   };
   if (!has_space() && (!budget_.reclaim() || !has_space()))
     return JournalError::disk_budget_exhausted;
-  reserved_ = more;
+  reserved_ = reserved;
   return ok();
 }
 
 std::uint64_t Journal::spareBytes() const {
-  const std::uint64_t used = blocks(size_ + buffer_.size()) + blocks(state_.liveBytes()) + 4 * kMarginBytes;
+  const std::uint64_t used =
+      sizeOnDisk(size_ + buffer_.size()) + sizeOnDisk(state_.liveBytes()) + 4 * kMarginBytes;
   return used < budget_.total() ? budget_.total() - used : 0;
 }
 
 void Journal::append(const std::string& payload) {
   appendFrame(buffer_, payload);
-  static_cast<void>(state_.apply(payload));  // a record of this version is always readable
+  static_cast<void>(state_.apply(payload));  // always readable: the record was encoded by this version
 }
 
 void Journal::recordAccepted(const AcceptedMessage& message) {
@@ -220,13 +222,13 @@
 }
 
 Result<void, JournalError> Journal::recordEndpointList(const EndpointChanges& changes, std::int64_t index,
-                                                       bool whole) {
-  if (whole)
+                                                       bool replaces_list) {
+  if (replaces_list)
     endpoint_list_fits_ = true;
   if (!endpoint_list_fits_)
     return ok();
-  const std::int64_t index_before = whole ? -1 : state_.endpointList().index();
-  EndpointChangesEncoder encoder(index_before, index, whole,
+  const std::int64_t index_before = replaces_list ? -1 : state_.endpointList().index();
+  EndpointChangesEncoder encoder(index_before, index, replaces_list,
                                  [this](const std::string& payload) { append(payload); });
   for (const auto& [name, entry] : changes)
     encoder.add(name, entry);
@@ -242,11 +244,13 @@
   append(encodeHealth(health));
 }
 
-// The old and the new file exist together for a moment, so a compaction must start while both fit the budget.
+// The old and the new file exist at the same time for a moment, so a compaction must start while both fit
+// into the budget.
 bool Journal::needsCompaction(std::uint64_t size_after, std::uint64_t live) const {
-  const bool last_chance = blocks(size_after) + blocks(live) + kMarginBytes > budget_.available();
+  const bool later_compaction_might_not_fit =
+      sizeOnDisk(size_after) + sizeOnDisk(live) + kMarginBytes > budget_.available();
   const bool mostly_obsolete = size_after > 2 * live && size_after - live > 4 * kMarginBytes;
-  return last_chance || mostly_obsolete;
+  return later_compaction_might_not_fit || mostly_obsolete;
 }
 
 Result<void, JournalError> Journal::flush() {
@@ -258,10 +262,10 @@
   const std::uint64_t size_after = size_ + buffer_.size();
   if (needsCompaction(size_after, state_.liveBytes()) && compact())
     return ok();
-  const bool fits = budget_.ensure(blocks(size_after));
+  const bool fits = budget_.ensure(sizeOnDisk(size_after));
   if (!fits || !writeAll(fd_, buffer_)) {
-    static_cast<void>(
-        ::ftruncate(fd_, static_cast<off_t>(size_)));  // recovery cuts an incomplete write as well
+    // If the truncation fails, recovery truncates the incomplete write.
+    static_cast<void>(::ftruncate(fd_, static_cast<off_t>(size_)));
     return fits ? JournalError::write_failed : JournalError::disk_budget_exhausted;
   }
   size_ = size_after;
@@ -275,7 +279,7 @@
   const ReferencedVersions referenced = state_.referencedVersions();
   const std::uint64_t live = state_.liveBytes();
   const std::string data = encodeCompacted(state_, referenced, live < budget_.total() ? live : 0);
-  if (!budget_.ensure(blocks(size_) + blocks(data.size())))
+  if (!budget_.ensure(sizeOnDisk(size_) + sizeOnDisk(data.size())))
     return JournalError::disk_budget_exhausted;
   if (const Result<void, JournalError> replaced = replaceWith(data); !replaced)
     return replaced;
@@ -284,7 +288,8 @@
   return ok();
 }
 
-// A kill at any moment leaves either the old file or the new one, complete.
+// If the process is killed at any point, either the old or the new file is in place, and that file is
+// complete.
 Result<void, JournalError> Journal::replaceWith(const std::string& data) {
   const int fd = ::open(compaction_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC | O_APPEND, 0644);
   if (fd < 0)
--- a/src/core/journal_compaction.h
+++ b/src/core/journal_compaction.h
@@ -1,4 +1,4 @@
-// Writes what a journal still holds as a new sequence of records. No I/O.
+// Encodes the live contents of a journal as a new sequence of records. No I/O.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace grademux {
 
-// The framed records of all that `state` holds, with the referenced versions alone.
+// The framed records of the contents of `state`; versions that are not referenced are left out.
+// `expected_bytes`: the expected size of the result, reserved in advance.
 std::string encodeCompacted(const JournalState& state, const ReferencedVersions& referenced,
                             std::size_t expected_bytes);
 
--- a/src/core/journal_frame.h
+++ b/src/core/journal_frame.h
@@ -1,5 +1,5 @@
-// Framing of journal records: a mark, the payload's length (4 bytes, little-endian), its CRC-32 (4 bytes,
-// little-endian) and the payload. The mark lets a reader find the next record after a damaged one.
+// Framing of journal records: a mark of 4 bytes, the payload's length (4 bytes, little-endian), its CRC-32
+// (4 bytes, little-endian) and the payload. The mark lets a reader find the next record after a damaged one.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,8 @@
 // Appends `payload` to `out`, framed.
 void appendFrame(std::string& out, std::string_view payload);
 
-// Walks over the intact frames of a journal and skips damaged ranges. Keeps a view of the data.
+// Iterates over the intact frames of a journal and skips damaged ranges. Keeps a view of the data, which must
+// outlive the scanner.
 class FrameScanner {
  public:
   struct Frame {
@@ -25,9 +26,9 @@
 
   explicit FrameScanner(std::string_view data) : data_(data) {}
 
-  // The next intact frame, or nothing when no more follow.
+  // The next intact frame, or nothing if no intact frame follows.
   std::optional<Frame> next();
-  // Where the last intact frame ends; what follows is an incomplete write.
+  // The position after the last intact frame; bytes after it are an incomplete write.
   std::size_t intactBytes() const { return intact_end_; }
 
  private:
--- a/src/core/journal_record.h
+++ b/src/core/journal_record.h
@@ -1,4 +1,4 @@
-// The record format of the journal: the one place that knows the stored kinds, numbers and field order.
+// The record format of the journal: the only module that defines the stored kinds, numbers and field order.
 // Encodes each kind of record into a payload and decodes payloads, those of earlier versions included. No
 // state, no I/O.
 #pragma once
@@ -34,25 +34,25 @@
   std::size_t attempt = 0;  // its place among the attempts of the message
 };
 
-// An open message has its final outcome; the notice has still to be delivered.
+// An open message has its final outcome, and its notice has not been delivered yet.
 struct NoticePendingRecord {
   std::string message_id;
   Notice notice;
 };
 
-// A message is removed without a trace. Versions before the final outcomes were remembered wrote it for each
-// end.
+// A message is removed and its id is not remembered. Program versions that did not remember final outcomes
+// wrote this record for each finished message.
 struct DiscardedRecord {
   std::string message_id;
 };
 
-// A message has its final outcome, and nothing remains to be done for it.
+// A message has its final outcome, and no notice is pending.
 struct FinishedRecord {
   std::string message_id;
   FinishedMessage finished;
 };
 
-// Many finished messages in one record, as a compaction writes them.
+// Several finished messages in one record, as written by a compaction.
 struct FinishedBatchRecord {
   std::vector<FinishedRecord> messages;
   bool complete = true;  // false: the rest of the record could not be read
@@ -61,12 +61,12 @@
 // Changes of the endpoint list.
 struct EndpointChangesRecord {
   std::int64_t index = -1;     // version of the list once the changes are applied
-  bool replaces_list = false;  // the list starts empty
+  bool replaces_list = false;  // the changes apply to an empty list
   EndpointChanges changes;
   bool complete = true;  // false: the rest of the record could not be read
 };
 
-// The whole endpoint list as one JSON text, as earlier versions wrote it at each change.
+// The complete endpoint list as one JSON text, as earlier program versions wrote it at each change.
 struct LegacyEndpointListRecord {
   std::string json;
 };
@@ -76,12 +76,12 @@
   DestinationHealth health;
 };
 
-// Another process owns the journal from here on.
+// Another process owns the journal from this record on.
 struct EpochRecord {
   std::int64_t epoch = 0;
 };
 
-// A version that attempts are decided under.
+// A decision version, to which attempts refer by number.
 struct DecisionVersionRecord {
   std::uint32_t number = 0;
   std::string text;
@@ -106,11 +106,12 @@
     invalid_value,
   };
   Reason reason = Reason::truncated;
-  // Of a record that matters only while this message is open; empty: it matters in any case.
+  // The message of a record that is relevant only while that message is open; empty: the record is relevant
+  // in any case.
   std::string open_message_id;
 };
 
-// `payload` is not empty.
+// `payload` must not be empty.
 Result<JournalRecord, RecordError> decodeRecord(std::string_view payload);
 
 std::string encodeAccepted(const AcceptedMessage& message, std::int64_t class_version_number);
@@ -123,13 +124,14 @@
 std::string encodeEpoch(std::int64_t epoch);
 std::string encodeDecisionVersion(std::uint32_t number, const std::string& text);
 std::string encodeClassVersion(std::int64_t number, const MessageClass& message_class);
-// The list is no longer stored.
+// A record by which the endpoint list is no longer stored.
 std::string encodeEndpointListRemoved();
 
 using PayloadSink = std::function<void(const std::string& payload)>;
 
-// Encodes changes of the endpoint list as records of bounded size. The new version stands in the last record
-// alone, the others name the version before: a write that is cut short must not claim changes that it lacks.
+// Encodes changes of the endpoint list as records of bounded size. Only the last record contains the new list
+// version, the others contain the previous version, so that an incomplete write never claims changes that it
+// lacks.
 class EndpointChangesEncoder {
  public:
   EndpointChangesEncoder(std::int64_t index_before, std::int64_t index, bool replaces_list, PayloadSink sink);
@@ -160,7 +162,8 @@
   std::string payload_;
 };
 
-// Bytes of the framed records, for the disk budget. `endpointListBytes` is the sum of endpointBytes().
+// Sizes of the framed records in bytes, for the disk budget. `endpoint_bytes` is the sum of endpointBytes()
+// of all entries.
 std::uint64_t acceptedBytes(const AcceptedMessage& message);
 std::uint64_t finishedBytes(const std::string& message_id, const FinishedMessage& finished);
 std::uint64_t endpointBytes(const std::string& name, const std::string& entry);
@@ -169,6 +172,6 @@
 std::uint64_t decisionVersionBytes(const std::string& text);
 constexpr std::uint64_t kHealthRecordBytes = 144;  // at most, except for long endpoint names
 constexpr std::uint64_t kFixedRecordsBytes =
-    3 * (kFrameHeaderBytes + 16);  // epoch, ends of lists and batches
+    3 * (kFrameHeaderBytes + 16);  // the epoch, and the last record of the endpoint list and of the batches
 
 }  // namespace grademux
--- a/src/core/journal_record_decode.cpp
+++ b/src/core/journal_record_decode.cpp
@@ -182,8 +182,9 @@
   }
 }
 
-// The id that stands first in records of open messages, and in records of kinds that this version doesn't
-// know.
+// The message id of records that are relevant only while the message is open; empty for other kinds. Records
+// of unknown kinds, which a later version may have written, count as records of open messages: the id is
+// their first field.
 std::string openMessageId(std::string_view payload) {
   switch (payload[0]) {
     case kind_accepted:
--- a/src/core/journal_record_encode.cpp
+++ b/src/core/journal_record_encode.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kBatchBytes = 32768;  // a batch record is complete from this size on
+constexpr std::size_t kBatchBytes = 32768;  // a batch record is emitted once it has this size
 
 void appendFinished(std::string& out, const std::string& message_id, const FinishedMessage& finished) {
   const std::int64_t flags =
--- a/src/core/journal_record_format.h
+++ b/src/core/journal_record_format.h
@@ -1,6 +1,6 @@
-// The stored kinds and flags of journal records, and the encoding of their fields: numbers take 8 bytes,
-// little-endian, a text is its length as a number and its bytes. For the encoder and the decoder of
-// journal_record.h alone.
+// The stored kinds and flags of journal records, and the encoding of their fields: a number takes 8 bytes,
+// little-endian; a text is its length as a number, followed by its bytes. Used only by the encoder and the
+// decoder of journal_record.h.
 #pragma once
 
 #include <cstdint>
@@ -31,8 +31,8 @@
 };
 
 // Flags that are added to the stored number of the final status.
-constexpr std::int64_t kXxh3DigestFlag = 16;  // without it the digest is by FNV-1a, as before version 0.4
-constexpr std::int64_t kVersionFlag = 32;     // the decision version of the last attempt follows
+constexpr std::int64_t kXxh3DigestFlag = 16;  // unset: the digest is FNV-1a, as before program version 0.4
+constexpr std::int64_t kVersionFlag = 32;     // the number of the last attempt's decision version follows
 
 constexpr std::uint64_t kNumberBytes = 8;
 constexpr std::uint64_t kKindBytes = 1;
@@ -74,7 +74,7 @@
   std::string payload_;
 };
 
-// Reads the fields after the kind. After a failure all reads give 0 or an empty text.
+// Reads the fields after the kind. After a failure all reads return 0 or an empty text.
 class RecordReader {
  public:
   explicit RecordReader(std::string_view payload) : payload_(payload) {}
@@ -88,8 +88,8 @@
     reason_ = reason;
   }
 
-  // For records that are used up to the field that could not be read: clears the failure and returns whether
-  // one stood.
+  // Clears the failure and returns whether a read had failed: for records whose fields before the failure are
+  // used.
   bool takeFailure() { return std::exchange(failed_, false); }
 
   bool hasMore() const { return !failed_ && position_ < payload_.size(); }
--- a/src/core/journal_state.cpp
+++ b/src/core/journal_state.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kFollowUpBytes = 1536;  // attempts, final outcome and notice of one message
 constexpr Micros kFallbackDeadline = 60'000'000;
 
-// Fallback for messages whose class record is damaged: treated as non-idempotent, with a single attempt.
+// The fallback for messages whose class version record is damaged: non-idempotent, with a single attempt.
 ClassVersion strictestClass(const std::string& name) {
   MessageClass fallback;
   fallback.name = name;
@@ -21,8 +21,8 @@
   return std::make_shared<const MessageClass>(std::move(fallback));
 }
 
-// Whether the record says no more than a destination without a record: healthy since before 1970, nothing to
-// wait for.
+// Whether the health equals that of a destination without a record: up, its slow start in the past (a time
+// before 1970), and no Retry-After pending.
 bool isDefault(const DestinationHealth& health) {
   return !health.down && health.warming_since < 0 && health.retry_after_until == 0;
 }
@@ -44,7 +44,7 @@
 }
 
 void JournalState::onRecordsLost() {
-  endpoint_list_.invalidate();  // a draining endpoint may be among the lost changes
+  endpoint_list_.invalidate();  // a lost record may have changed an endpoint to draining
   for (auto& [id, entry] : entries_) {
     if (entry.notice_pending)
       continue;
@@ -185,7 +185,7 @@
 
 ReferencedVersions JournalState::referencedVersions() const {
   ReferencedVersions referenced;
-  if (!decision_versions_.empty())  // the last one stays, so that no number is used twice
+  if (!decision_versions_.empty())  // the last version is kept, so that no number is assigned twice
     referenced.decision_versions.insert(decision_versions_.rbegin()->first);
   for (const FinishedMessages::Item& item : finished_.items())
     referenced.decision_versions.insert(item.message.version);
--- a/src/core/journal_state.h
+++ b/src/core/journal_state.h
@@ -1,5 +1,5 @@
-// What a journal holds, in memory: built by applying its records in order, at recovery and at each append. No
-// I/O.
+// The contents of a journal in memory, built by applying the records in order: at recovery and at each
+// append. No I/O.
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace grademux {
 
-// Versions that open or remembered messages name.
+// The numbers of the versions to which open or remembered messages refer.
 struct ReferencedVersions {
   std::set<std::uint32_t> decision_versions;
   std::set<std::int64_t> class_versions;
@@ -24,11 +24,11 @@
 
 class JournalState {
  public:
-  // An error means that the record, or a part of it, could not be used.
+  // Applies one record. An error means that the record, or a part of it, could not be applied.
   Result<void, RecordError> apply(std::string_view payload);
-  // Records were lost, among which may have been an attempt of any open message: each message counts as
-  // attempted at the time of its last known attempt, so that damage never causes a second execution.
-  // Non-idempotent messages among them can fail although they were never sent.
+  // Handles the loss of records, which may have included an attempt of any open message. Each open message
+  // counts as attempted once more at the time of its last known attempt, so that damage never causes a second
+  // execution. As a consequence, a non-idempotent message can fail although it was never sent.
   void onRecordsLost();
 
   // The entry of an open message, or null.
@@ -39,7 +39,7 @@
   void retainVersions(const ReferencedVersions& referenced);
   void expireHealth(Micros before);  // Unix time of the last observation
 
-  // Bytes that a compaction would write, at most.
+  // The most bytes that a compaction would write.
   std::uint64_t liveBytes() const;
 
   std::int64_t epoch() const { return epoch_; }
@@ -73,18 +73,18 @@
 
   std::int64_t epoch_ = 0;
   std::unordered_map<std::string, JournalEntry> entries_;
-  std::uint64_t entry_bytes_ = 0;  // with the bytes reserved for what each will still write
+  std::uint64_t entry_bytes_ = 0;  // sum of reservedBytes() of the entries
   std::uint64_t last_order_ = 0;
   FinishedMessages finished_;
   JournaledEndpointList endpoint_list_;
-  std::map<HealthKey, DestinationHealth> health_;  // the latest of each
+  std::map<HealthKey, DestinationHealth> health_;  // the latest record of each key
   ClassVersionTable class_versions_;
-  DecisionVersions decision_versions_;  // the last, and those that messages name
+  DecisionVersions decision_versions_;  // the last version, and the versions to which messages refer
   std::uint64_t decision_version_bytes_ = 0;
 };
 
-// Bytes that an accepted message may take until it is finished: itself, its attempts, its final outcome and
-// its notice.
+// The bytes that an accepted message may take until it is finished: for the message, its attempts, its final
+// outcome and its notice.
 std::uint64_t reservedBytes(const AcceptedMessage& message);
 
 }  // namespace grademux
--- a/src/core/journaled_endpoint_list.h
+++ b/src/core/journaled_endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list as the journal stores it: entries as JSON by name, and the list's version. No I/O.
+// The endpoint list as stored in the journal: entries as JSON by name, and the list's version. No I/O.
 #pragma once
 
 #include <map>
@@ -10,11 +10,11 @@
 
 class JournaledEndpointList {
  public:
-  // The part of an incomplete record that could be read is applied, without its version; then the error is
-  // returned.
+  // Applies the readable part of an incomplete record without its version, and then returns the error.
   Result<void, RecordError> apply(const EndpointChangesRecord& record);
   Result<void, RecordError> apply(const LegacyEndpointListRecord& record);
-  // Changes may have been lost: the list is unusable until a record replaces it.
+  // Discards the list because changes may have been lost. Changes are ignored until a record replaces the
+  // list.
   void invalidate();
 
   const std::map<std::string, std::string>& entries() const { return entries_; }
@@ -28,7 +28,7 @@
   std::map<std::string, std::string> entries_;
   std::int64_t index_ = -1;
   std::uint64_t bytes_ = 0;  // sum of endpointBytes()
-  bool has_base_ = false;    // a whole list was stored, so that changes can be applied
+  bool has_base_ = false;    // a complete list was stored, so that changes can be applied to it
 };
 
 }  // namespace grademux
--- a/src/core/json_fields.h
+++ b/src/core/json_fields.h
@@ -1,4 +1,6 @@
-// grademux: strict reading of fields from JSON; errors name the field. Shared by all that reads JSON.
+// Strict reading of fields from JSON objects, shared by all modules that read JSON. Every function throws
+// BadInput with the name of the field if the field is missing or has the wrong type. Functions with a
+// `fallback` return it if the field is missing or null.
 #pragma once
 
 #include <cmath>
@@ -15,6 +17,7 @@
 
 using nlohmann::json;
 
+// Input that is malformed; the text names the field.
 struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -23,85 +26,89 @@
   throw BadInput(what);
 }
 
-inline const json& field(const json& o, const char* name) {
-  auto it = o.find(name);
-  if (it == o.end())
+inline const json& field(const json& parent, const char* name) {
+  auto it = parent.find(name);
+  if (it == parent.end())
     bad(std::string("missing field ") + name);
   return *it;
 }
 
-inline bool absent(const json& o, const char* name) {
-  auto it = o.find(name);
-  return it == o.end() || it->is_null();
+// Whether the field is missing or null.
+inline bool absent(const json& parent, const char* name) {
+  auto it = parent.find(name);
+  return it == parent.end() || it->is_null();
 }
 
-inline double number(const json& o, const char* name) {
-  const json& v = field(o, name);
-  if (!v.is_number())
+inline double number(const json& parent, const char* name) {
+  const json& value = field(parent, name);
+  if (!value.is_number())
     bad(std::string("not a number: ") + name);
-  return v.get<double>();
-}
-inline double number(const json& o, const char* name, double otherwise) {
-  return absent(o, name) ? otherwise : number(o, name);
-}
-inline std::int64_t integer(const json& o, const char* name) {
-  const json& v = field(o, name);
-  if (!v.is_number_integer())
-    bad(std::string("not a whole number: ") + name);
-  return v.get<std::int64_t>();
-}
-inline std::string text(const json& o, const char* name) {
-  const json& v = field(o, name);
-  if (!v.is_string())
-    bad(std::string("not a text: ") + name);
-  return v.get<std::string>();
-}
-inline std::string text(const json& o, const char* name, const char* otherwise) {
-  return absent(o, name) ? otherwise : text(o, name);
-}
-inline bool truth(const json& o, const char* name) {
-  const json& v = field(o, name);
-  if (!v.is_boolean())
-    bad(std::string("not true or false: ") + name);
-  return v.get<bool>();
-}
-inline bool truth(const json& o, const char* name, bool otherwise) {
-  return absent(o, name) ? otherwise : truth(o, name);
-}
-inline const json& array(const json& o, const char* name) {
-  const json& v = field(o, name);
-  if (!v.is_array())
+  return value.get<double>();
+}
+inline double number(const json& parent, const char* name, double fallback) {
+  return absent(parent, name) ? fallback : number(parent, name);
+}
+inline std::int64_t integer(const json& parent, const char* name) {
+  const json& value = field(parent, name);
+  if (!value.is_number_integer())
+    bad(std::string("not an integer: ") + name);
+  return value.get<std::int64_t>();
+}
+inline std::string text(const json& parent, const char* name) {
+  const json& value = field(parent, name);
+  if (!value.is_string())
+    bad(std::string("not a string: ") + name);
+  return value.get<std::string>();
+}
+inline std::string text(const json& parent, const char* name, const char* fallback) {
+  return absent(parent, name) ? fallback : text(parent, name);
+}
+inline bool truth(const json& parent, const char* name) {
+  const json& value = field(parent, name);
+  if (!value.is_boolean())
+    bad(std::string("not a boolean: ") + name);
+  return value.get<bool>();
+}
+inline bool truth(const json& parent, const char* name, bool fallback) {
+  return absent(parent, name) ? fallback : truth(parent, name);
+}
+inline const json& array(const json& parent, const char* name) {
+  const json& value = field(parent, name);
+  if (!value.is_array())
     bad(std::string("not an array: ") + name);
-  return v;
+  return value;
 }
-inline const json& object(const json& o, const char* name) {
-  const json& v = field(o, name);
-  if (!v.is_object())
+inline const json& object(const json& parent, const char* name) {
+  const json& value = field(parent, name);
+  if (!value.is_object())
     bad(std::string("not an object: ") + name);
-  return v;
+  return value;
 }
-inline const json& optionalObject(const json& o, const char* name) {
-  static const json none = json::object();
-  return absent(o, name) ? none : object(o, name);
+// An empty object if the field is missing or null.
+inline const json& optionalObject(const json& parent, const char* name) {
+  static const json empty = json::object();
+  return absent(parent, name) ? empty : object(parent, name);
 }
 
 inline Micros toMicros(double ms) {
   return static_cast<Micros>(std::llround(ms * 1000.0));
 }
-inline Micros span(const json& o, const char* name) {
-  return toMicros(number(o, name));
+// A time span that is stored in milliseconds.
+inline Micros span(const json& parent, const char* name) {
+  return toMicros(number(parent, name));
 }
-inline Micros span(const json& o, const char* name, Micros otherwise) {
-  return absent(o, name) ? otherwise : span(o, name);
+inline Micros span(const json& parent, const char* name, Micros fallback) {
+  return absent(parent, name) ? fallback : span(parent, name);
 }
-inline double toMs(Micros t) {
-  return static_cast<double>(t) / 1000.0;
+inline double toMs(Micros duration) {
+  return static_cast<double>(duration) / 1000.0;
 }
 
+// The value that `words` assigns to `word`; `name` is the field, for the error text.
 template <class T>
 T oneOf(const std::string& word, std::initializer_list<std::pair<const char*, T>> words, const char* name) {
-  for (const auto& [w, value] : words)
-    if (word == w)
+  for (const auto& [candidate, value] : words)
+    if (word == candidate)
       return value;
   bad(std::string("unknown value of ") + name + ": " + word);
 }
--- a/src/core/learned_state.h
+++ b/src/core/learned_state.h
@@ -1,5 +1,5 @@
-// What the decision module has learned, as the engine exports it and takes it over from an earlier process,
-// and how far it is still trusted. Plain types and one interface, which the wiring implements.
+// The learned state of the decision module, as the engine exports it and restores it from an earlier process,
+// and the interface that decides how far that state is still trusted.
 #pragma once
 
 #include <string>
@@ -9,10 +9,12 @@
 
 namespace grademux {
 
-// What was learned of a destination, or of one of its endpoints. Times are Unix time.
+// The learned state of a destination, or of one of its endpoints. Times are Unix time.
 struct LearnedRecord {
   LearnedEndpoint learned;
-  std::string address;  // of the endpoint at that time: another address is another machine
+  // Address of the endpoint when the state was learned. The state is valid for this address only: an endpoint
+  // at another address is another machine.
+  std::string address;
 };
 
 struct LearnedState {
@@ -20,15 +22,15 @@
   std::vector<LearnedRecord> records;
 };
 
-// Decides how far state of an earlier process is still trusted. Called on the loop thread during recovery;
-// `now` is Unix time.
+// Decides how far the learned state of an earlier process is still trusted. Called on the loop thread during
+// recovery; `now` is Unix time.
 class TrustPolicy {
  public:
   virtual ~TrustPolicy() = default;
-  // The state as it counts at `now`; fields that are not trusted are 0.
+  // The part of the state that is still trusted at `now`; fields that are not trusted are 0.
   virtual LearnedEndpoint trustedPart(const LearnedEndpoint& learned, Micros now) const = 0;
   virtual LearnedPool trustedPart(const LearnedPool& pool, Micros now) const = 0;
-  // Reduces `health` to what is still trusted. False: nothing is.
+  // Reduces `health` to the part that is still trusted. False: no part is trusted.
   virtual bool reduceToTrusted(DestinationHealth& health, Micros now, Micros slow_start_time) const = 0;
 };
 
--- a/src/core/message.cpp
+++ b/src/core/message.cpp
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-std::uint64_t fnv1a(const void* data, std::size_t size, std::uint64_t from) {
+std::uint64_t fnv1a(const void* data, std::size_t size, std::uint64_t hash) {
   const auto* bytes = static_cast<const unsigned char*>(data);
   for (std::size_t i = 0; i < size; ++i)
-    from = (from ^ bytes[i]) * kFnvPrime;
-  return from;
+    hash = (hash ^ bytes[i]) * kFnvPrime;
+  return hash;
 }
 
 namespace {
 
-// Calls `add` with the parts of the message's content in order. Each text is preceded by its size, so that no
-// two messages have the same bytes.
+// Calls `add` with the parts of the message's content in a fixed order. Each text is preceded by its size, so
+// that different messages never give the same sequence of bytes.
 template <class Add>
 void forEachPart(const AcceptedMessage& message, const Add& add) {
   const auto number = [&add](std::uint64_t value) {
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -1,5 +1,6 @@
-// grademux: what a message is on its way through the program: handed in, answered, taken on, ended. Plain
-// data that doors, admission, host and journal share; nothing here does I/O or decides.
+// The types of a message from its submission to its final outcome, and the interface by which listeners
+// submit messages. Plain data shared by listeners, admission chain, engine and journal; no I/O and no
+// decisions.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +14,21 @@
 
 namespace grademux {
 
-struct AcceptedMessage {  // what a client handed in, as it goes on to the endpoint
+// A message as the client submitted it and as it is sent to the endpoint.
+struct AcceptedMessage {
   std::string id, message_class, ordering_key, idempotency_key, body;
   std::int64_t destination = 0;
   Micros deadline = 0;  // Unix time
   bool resubmitted = false;
-  ClassVersion class_version;  // its class as it was when it was taken on; null: before versions were kept
+  // The class as it was when the message was accepted; null in journals from before class versions were
+  // stored.
+  ClassVersion class_version;
 };
 
 // One attempt of one message.
 struct AttemptId {
   std::string message_id;
-  int attempt = 0;  // its place among the attempts of the message
+  int attempt = 0;  // position among the attempts of the message, from 0
 
   friend bool operator==(const AttemptId& a, const AttemptId& b) {
     return a.attempt == b.attempt && a.message_id == b.message_id;
@@ -34,83 +38,86 @@
   }
 };
 
-// FNV-1a, 64 bits (draft-eastlake-fnv), going on from `from`. Its values are destinations' numbers, and
-// digests in journals of versions before 0.4: they stay as they are.
-std::uint64_t fnv1a(const void* data, std::size_t size, std::uint64_t from = 14695981039346656037ull);
+// FNV-1a, 64 bits (draft-eastlake-fnv); `hash` is the hash of the preceding bytes. The results must never
+// change: they are destination numbers, and digests in journals of program versions before 0.4.
+std::uint64_t fnv1a(const void* data, std::size_t size, std::uint64_t hash = 14695981039346656037ull);
 
-// What tells one message from another under the same id: class, destination, keys and body (XXH3, 64 bits;
-// the same in each process and on each machine). Time and marks of repetition are no part of it.
-std::uint64_t contentDigest(const AcceptedMessage& m);
-std::uint64_t legacyContentDigest(const AcceptedMessage& m);  // as versions before 0.4 made it
+// Distinguishes different messages that are submitted under the same id: a digest of class, destination, keys
+// and body (XXH3, 64 bits; the same in each process and on each machine). The deadline and the resubmission
+// mark are not included.
+std::uint64_t contentDigest(const AcceptedMessage& message);
+std::uint64_t legacyContentDigest(const AcceptedMessage& message);  // the digest of versions before 0.4
 
-// Ids and idempotency keys go on as HTTP field values: printable ASCII without spaces, or nothing.
-constexpr std::size_t kMaxTokenBytes = 256;                 // bytes
-constexpr Micros kMaxTimeToLive = 24LL * 3600 * 1'000'000;  // that a client may ask for
-bool isValidToken(const std::string& s);
+// Ids and idempotency keys are sent as HTTP field values: printable ASCII without spaces, or empty.
+constexpr std::size_t kMaxTokenBytes = 256;
+constexpr Micros kMaxTimeToLive = 24LL * 3600 * 1'000'000;  // the longest that a client may request
+bool isValidToken(const std::string& token);
 
-// What a door hands in: read, not yet admitted.
+// A message that a listener has read and that is not admitted yet.
 struct Submission {
   AcceptedMessage message;
-  std::string destination_name;  // named in place of the destination, until an admission step has its number
-  Micros time_to_live = 0;       // how long it may still be delivered, from when it was read
-  const char* listener_kind = "";  // the kind of door that it came by
+  std::string destination_name;  // given instead of `destination`, until an admission step resolves the name
+  Micros time_to_live = 0;       // remaining time for the delivery when the message was read
+  const char* listener_kind = "";  // kind of the listener that received the message
 };
 
 enum class FinalStatus : std::uint8_t {
   delivered,
-  returned,  // refused after it was taken on: handing it in anew is harmless
-  failed,    // no such promise
-  withdrawn  // the endpoint said that it was over already
+  returned,  // rejected after it was accepted: it can safely be submitted again
+  failed,    // not delivered; submitting it again may execute it a second time
+  withdrawn  // the endpoint reported that the message had been finished already
 };
-const char* nameOf(FinalStatus e);
-const char* nameOf(AttemptResult r);
+const char* nameOf(FinalStatus status);
+const char* nameOf(AttemptResult result);
 
 struct FinalOutcome {
   FinalStatus status = FinalStatus::delivered;
   Micros at = 0;           // Unix time
-  Micros retry_after = 0;  // handed back: come again after this; 0: none told
+  Micros retry_after = 0;  // returned: submit again after this time; 0: not specified
 };
 
-// The one answer to a submission.
+// The answer to a submission. Each submission gets exactly one.
 struct SubmissionResult {
   enum class Kind {
-    accepted,  // taken on, now or by an earlier submission of the same message
-    rejected,  // nothing ran: handing it in again is harmless
-    invalid,   // it can't be used as it is
-    conflict,  // the id is another message's
-    failed     // the module sees no way to deliver it in its time
+    accepted,  // accepted, by this or by an earlier submission of the same message
+    rejected,  // not executed: it can safely be submitted again
+    invalid,   // the submission is malformed or names an unknown class or destination
+    conflict,  // the id belongs to a message with other content
+    failed     // the decision module can't deliver it before its deadline
   };
   Kind kind = Kind::accepted;
-  Micros retry_after = 0;                     // refused: come again after this; 0: none told
-  std::string code, reason;                   // rejected: a short word for programs, and a line for people
-  std::optional<FinalOutcome> final_outcome;  // accepted: it is over already
+  Micros retry_after = 0;                     // rejected: submit again after this time; 0: not specified
+  std::string code, reason;                   // invalid: a code for programs, and a text for people
+  std::optional<FinalOutcome> final_outcome;  // accepted: set if the message has its final outcome already
 
   static SubmissionResult accepted() { return {}; }
-  static SubmissionResult rejected(Micros pause) { return {Kind::rejected, pause, {}, {}, {}}; }
-  static SubmissionResult invalid(std::string code, std::string why) {
-    return {Kind::invalid, 0, std::move(code), std::move(why), {}};
+  static SubmissionResult rejected(Micros retry_after) { return {Kind::rejected, retry_after, {}, {}, {}}; }
+  static SubmissionResult invalid(std::string code, std::string reason) {
+    return {Kind::invalid, 0, std::move(code), std::move(reason), {}};
   }
 };
 using SubmissionCallback = std::function<void(const SubmissionResult&)>;
 
-// What is known of an id.
+// The state of a message, by its id.
 struct MessageStatus {
   enum class State { unknown, open, finished } state = State::unknown;
   FinalOutcome outcome;
 };
 
-// What a door hands submissions to: the core, or the admission chain in front of it. All on the loop thread.
+// Receives submissions from listeners: the engine, or the admission chain in front of the engine. All
+// functions are called on the loop thread.
 class SubmissionHandler {
  public:
   virtual ~SubmissionHandler() = default;
-  // `reply` is called exactly once, from within this call or later, while the loop runs. After an accepted
-  // answer the message is on record and has exactly one end.
-  virtual void submit(Submission s, SubmissionCallback reply) = 0;
-  // Only what is on record counts: a message that has ended is open until its end is written.
+  // `reply` is called exactly once, from within this call or later, while the loop runs. Once `reply` gets an
+  // accepted result, the message is in the journal and gets exactly one final outcome.
+  virtual void submit(Submission submission, SubmissionCallback reply) = 0;
+  // The state according to the journal: a message stays open until its final outcome is written.
   virtual MessageStatus status(const std::string& id) const = 0;
-  // `then` is called once, with the end of a message that is open, after the end is on record; never for one
-  // that is not open, nor if the process ends first.
-  virtual void notifyWhenFinished(const std::string& id, std::function<void(const FinalOutcome&)> then) = 0;
+  // `callback` is called once with the final outcome of an open message, after the outcome is written to the
+  // journal. It is never called for a message that is not open, nor if the process ends first.
+  virtual void notifyWhenFinished(const std::string& id,
+                                  std::function<void(const FinalOutcome&)> callback) = 0;
 };
 
 }  // namespace grademux
--- a/src/core/message_registry.cpp
+++ b/src/core/message_registry.cpp
@@ -29,31 +29,33 @@
   return pending != pending_notices_.end() ? &pending->second : journal_.findFinished(id);
 }
 
-MessageRegistry::Known MessageRegistry::findSubmission(const AcceptedMessage& message, std::uint64_t digest,
-                                                       SubmissionCallback& reply, SubmissionResult& result) {
+MessageRegistry::KnownSubmission MessageRegistry::findSubmission(const AcceptedMessage& message,
+                                                                 std::uint64_t digest,
+                                                                 SubmissionCallback& reply,
+                                                                 SubmissionResult& result) {
   if (OpenMessage* open = findOpen(message.id)) {
     if (open->digest != digest) {
       result.kind = SubmissionResult::Kind::conflict;
     } else if (!open->replies.empty()) {
       open->replies.push_back(std::move(reply));
-      return Known::waiting;
+      return KnownSubmission::waiting;
     }
-    return Known::answered;
+    return KnownSubmission::answered;
   }
   const FinishedMessage* finished = findFinished(message.id);
   if (!finished)
-    return Known::no;
+    return KnownSubmission::new_id;
   if (finished->digest != (finished->legacy_digest ? legacyContentDigest(message) : digest))
     result.kind = SubmissionResult::Kind::conflict;
   else if (!finished_unwritten_.count(message.id))
     result.final_outcome = finished->outcome;
-  return Known::answered;
+  return KnownSubmission::answered;
 }
 
 MessageStatus MessageRegistry::status(const std::string& id) const {
   MessageStatus status;
   if (const OpenMessage* open = findOpen(id)) {
-    if (open->replies.empty())  // otherwise it is not written yet, and not known
+    if (open->replies.empty())  // otherwise the message is not written yet and its state is unknown
       status.state = MessageStatus::State::open;
     return status;
   }
--- a/src/core/message_registry.h
+++ b/src/core/message_registry.h
@@ -1,6 +1,6 @@
-// The messages that the engine is responsible for: open ones, finished ones whose outcome is not written yet,
-// and those whose notice has still to be delivered. Answers what is known of an id. On the loop thread; no
-// I/O of its own.
+// The messages that the engine is responsible for: open messages, finished messages whose outcome is not
+// written to the journal yet, and messages whose notice has not been delivered yet. Answers status queries by
+// id. Used on the loop thread; does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -23,14 +23,14 @@
   AcceptedMessage message;
   std::uint64_t digest = 0;  // contentDigest() of the message
   int attempts = 0;
-  std::vector<SubmissionCallback>
-      replies;  // of submissions that are not answered yet; empty once it is accepted
-  std::vector<FinalOutcomeCallback> watchers;
+  // Callbacks of the submissions that are not answered yet; empty once the message is accepted.
+  std::vector<SubmissionCallback> replies;
+  std::vector<FinalOutcomeCallback> watchers;  // called when the final outcome is published
 };
 
 class MessageRegistry {
  public:
-  // `journal` knows the finished messages; it must outlive the registry.
+  // `journal` provides the finished messages; it must outlive the registry.
   explicit MessageRegistry(const Journal& journal) : journal_(journal) {}
 
   // Null if the message is not open. The pointer is valid until the message is erased or finished.
@@ -40,29 +40,32 @@
   void eraseOpen(const std::string& id) { open_.erase(id); }
   bool hasOpen() const { return !open_.empty(); }
 
-  // Messages that were submitted since the last iteration.
+  // New arrivals: messages that were submitted since the last iteration.
   void addArrival(const std::string& id) { new_arrivals_.insert(id); }
   void removeArrival(const std::string& id) { new_arrivals_.erase(id); }
   const std::set<std::string>& newArrivals() const { return new_arrivals_; }
   std::set<std::string> takeNewArrivals();
 
-  // The answer to a submission of an id that is known; nothing if the id is new. `reply` is taken where the
-  // message waits for its first answer: it is then called with that.
-  enum class Known : std::uint8_t { no, answered, waiting };
-  Known findSubmission(const AcceptedMessage& message, std::uint64_t digest, SubmissionCallback& reply,
-                       SubmissionResult& result);
+  // Looks up the id of a submission. Returns `new_id` if the id is unknown; `answered` if `result` is the
+  // answer to the submission; `waiting` if an earlier submission of the message is not answered yet: `reply`
+  // is then moved into the registry and called with the same answer.
+  enum class KnownSubmission : std::uint8_t { new_id, answered, waiting };
+  KnownSubmission findSubmission(const AcceptedMessage& message, std::uint64_t digest,
+                                 SubmissionCallback& reply, SubmissionResult& result);
 
   MessageStatus status(const std::string& id) const;
   // See SubmissionHandler::notifyWhenFinished().
   void notifyWhenFinished(const std::string& id, FinalOutcomeCallback callback);
 
-  // An open message has its final outcome. It counts as open to all outside until publishFinished().
+  // Sets the final outcome of an open message. status() and submissions treat the message as open until
+  // publishFinished().
   void finish(const std::string& id, const FinalOutcome& outcome);
-  // The outcomes are written: calls those that wait for them.
+  // The final outcomes are written to the journal: calls the callbacks that wait for them.
   void publishFinished();
 
   void addPendingNotice(const std::string& id, const FinishedMessage& finished);
-  // The message, once its notice was delivered; nothing if no notice was pending.
+  // Removes the pending notice, which was delivered, and returns its message; nothing if no notice was
+  // pending.
   std::optional<FinishedMessage> takePendingNotice(const std::string& id);
 
  private:
--- a/src/core/result.h
+++ b/src/core/result.h
@@ -1,6 +1,6 @@
-// The one type for "a value or an error" in this program: Boost.Outcome's unchecked result. An error is a
-// type of its own that says what went wrong (JournalError, StoreError, ParseError, std::error_code for
-// sockets). Exceptions are kept for constructors and for a configuration that the program can't go on with.
+// The result type of functions that return a value or an error: Boost.Outcome's unchecked result. Each module
+// has its own error type (JournalError, StoreError, ParseError, std::error_code for sockets). Exceptions are
+// used only in constructors and for configurations with which the program can't run.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -8,11 +8,11 @@
 
 namespace grademux {
 
-// has_value() tells which; value() and error() must be called on the right one alone.
+// value() must be called only if has_value() is true, and error() only if it is false.
 template <class T, class E>
 using Result = boost::outcome_v2::unchecked<T, E>;
 
-// For a function that gives nothing but may fail: `return ok();`.
+// The success value of a function that returns no value but may fail: `return ok();`.
 inline auto ok() {
   return boost::outcome_v2::success();
 }
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// How one field of a JSON object is read into a member of `Owner`. The member's type gives the unit: Micros
-// are read from milliseconds, all else as it is.
+// Describes how one field of a JSON object is read into a member of `Owner`. Members of type Micros are read
+// from milliseconds, all other members without conversion.
 template <class Owner>
 struct Field {
   using Reader = void (*)(const json& object, const char* name, Owner& owner);
@@ -21,8 +21,8 @@
 
   const char* name;
   Target target;
-  std::optional<double> fallback =
-      std::nullopt;  // in the unit of the field; without it the field is required
+  // In the unit of the field; without a fallback the field is required.
+  std::optional<double> fallback = std::nullopt;
 };
 
 void readValue(const json& object, const char* name, std::optional<double> fallback, int& value) {
@@ -121,8 +121,8 @@
 
 void readClasses(const json& object, const char* name, Settings& settings);
 
-// The platform's names of the settings, in the order in which they are read. Nothing past this file knows
-// them.
+// The platform's names of the settings, in the order in which they are read. These names are used only in
+// this file.
 
 constexpr Field<MessageClass> kClassFields[] = {
     {"Name", &MessageClass::name},
@@ -180,7 +180,7 @@
   }
 }
 
-// The kinds are listed by name; their properties stand in arrays of the section `Domain`, in the same order.
+// The kinds are listed by name; their properties are in arrays of the section `Domain`, in the same order.
 void readKinds(const json& settings_json, const json& domain, Settings& settings) {
   if (!absent(settings_json, "Kinds"))
     for (const json& kind : array(settings_json, "Kinds"))
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,10 +1,11 @@
-// grademux: the settings that both the adapter and the sender are given, from JSON to Settings.
+// Reads the settings of the sender from JSON.
 #pragma once
 
 #include "json_fields.h"
 
 namespace grademux {
 
-Settings readSettings(const json& o);  // throws BadInput naming the field
+// Throws BadInput with the name of the missing or malformed field.
+Settings readSettings(const json& settings_json);
 
 }  // namespace grademux
--- a/src/core/transport.h
+++ b/src/core/transport.h
@@ -1,6 +1,6 @@
-// grademux: the seam of everything that performs calls to endpoints. A transport makes one attempt when it is
-// told to and reports one Outcome for it; when, where and whether again is decided elsewhere. All functions
-// are called on the loop thread.
+// The interface of the component that performs calls to endpoints. A transport makes one attempt for each
+// request and reports one AttemptOutcome for it. The decision module decides when, to which endpoint and
+// whether to retry. All functions are called on the loop thread.
 #pragma once
 
 #include <functional>
@@ -13,40 +13,41 @@
 
 constexpr Micros kNoWriteLimit = std::numeric_limits<Micros>::max();
 
-// One attempt, as a transport is told to make it. Spans are in microseconds, from call() on.
+// A request for one attempt. Time spans are in microseconds and start at startAttempt().
 struct AttemptRequest {
-  const AcceptedMessage& message;  // read within call() alone
+  const AcceptedMessage& message;  // valid only during startAttempt()
   int attempt = 0;
   std::string endpoint;
-  Micros timeout = 0;  // the attempt is over by then
-  // The last byte is written within this span, or the attempt ends as not_sent: later a repeat might have an
-  // effect of its own.
+  Micros timeout = 0;  // the attempt ends within this span
+  // The last byte must be written within this span, otherwise the attempt ends as not_sent: a retry that is
+  // written later might execute the message a second time.
   Micros write_within = kNoWriteLimit;
-  std::string version_stamp =
-      {};  // the version that it was decided under, for the endpoint to see; empty: none
+  // The decision version of the attempt, for the endpoint; empty: none.
+  std::string version_stamp = {};
 };
 
 class Transport {
  public:
-  using OnOutcome = std::function<void(AttemptOutcome)>;  // once for each call(), never from within it
+  // Called once for each startAttempt(), never from within it.
+  using OnOutcome = std::function<void(AttemptOutcome)>;
 
   virtual ~Transport() = default;
-  // An endpoint is listed, new or at another address: the next call goes there.
+  // Sets the address of a listed endpoint; later attempts go to this address.
   virtual void setAddress(const std::string& endpoint, const std::string& address) = 0;
-  // It is listed no more. Calls that have been written run on to their outcome.
+  // The endpoint is no longer listed. Attempts that are already written continue to their outcome.
   virtual void removeEndpoint(const std::string& endpoint) = 0;
-  // What the list says of the endpoint has changed: calls whose last byte is not written yet were decided by
-  // what it said before. They are not made any more and end as not_sent.
+  // The list entry of the endpoint has changed. Attempts whose last byte is not written yet were decided on
+  // the old entry: they are dropped and end as not_sent.
   virtual void cancelUnwritten(const std::string& endpoint) = 0;
-  // An endpoint that is unknown or has no usable address ends in connect_failed. What may have reached the
-  // endpoint must not be reported as something that never ran.
+  // An attempt to an endpoint that is unknown or has no usable address ends as connect_failed. An attempt
+  // that may have reached the endpoint must not get an outcome that means that the message never executed.
   virtual void startAttempt(const AttemptRequest& request) = 0;
-  // Ends an attempt that is out; its outcome is `cancelled`, unless its answer has come by now. Does nothing
-  // for one that is over.
+  // Cancels an attempt in flight; its outcome is `cancelled`, unless its response has already arrived. Has no
+  // effect on an attempt that has ended.
   virtual void cancelAttempt(const std::string& id, int attempt) = 0;
-  // Connections without a call are closed.
+  // Closes the endpoint's connections that carry no attempt.
   virtual void closeIdleConnections(const std::string& endpoint) = 0;
-  // Attempts without an outcome.
+  // The number of attempts without an outcome.
   virtual std::size_t attemptsInFlight() const = 0;
 };
 
--- a/src/core/worker.h
+++ b/src/core/worker.h
@@ -1,4 +1,4 @@
-// grademux: one thread beside the loop, for work that would hold the loop up. It is started by the first job.
+// A background thread for work that would block the loop thread. The first job starts the thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,9 +12,11 @@
 
 class Worker {
  public:
-  // Runs on the worker; what it gives back then runs on the loop. Neither may throw.
+  // Runs on the background thread and returns a continuation, which runs on the loop thread. Neither may
+  // throw.
   using Job = std::function<std::function<void()>()>;
 
+  // `io` must outlive the worker. The destructor waits for all jobs.
   explicit Worker(boost::asio::io_context& io) : io_(io) {}
   ~Worker() {
     if (pool_)
@@ -23,7 +25,7 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // On the loop; jobs run one after another.
+  // Queues a job; must be called on the loop thread. Jobs run one after another.
   void run(Job job) {
     if (!pool_)
       pool_ = std::make_unique<boost::asio::thread_pool>(1);
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -37,11 +37,11 @@
     const Micros backoff = backoff_.next(kInitialBackoff, kMaxBackoff);
     const Micros max_spread =
         ++consecutive_rejections_ > kFirstRejections ? kMaxRetrySpread : kFirstRetrySpread;
-    return std::max(backoff, backoff_.within(spread(kFleetRetriesPerSecond, max_spread)));
+    return std::max(backoff, backoff_.randomWithin(spread(kFleetRetriesPerSecond, max_spread)));
   }
   // A poll was answered: the delays start anew.
   void onAnswered() {
-    backoff_.succeeded();
+    backoff_.reset();
     consecutive_rejections_ = 0;
   }
 
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -220,7 +220,7 @@
     log::write(log::Event::fleet_plan_received,
                {{"plan", plan.number}, {"by", plan.author}, {"why", plan.reason}});
     writeAuditRecord({{"kind", "heard"}, {"plan", toJson(plan)}, {"digest", planDigest(plan)}});
-    catch_up_backoff_.succeeded();
+    catch_up_backoff_.reset();
   }
   older_plan_ = -1;
   return is_new;
@@ -244,7 +244,7 @@
   if (failed)
     return scope_.runAfter(read_timer_, store_backoff_.next(kMinRetryDelay, kMaxRetryDelay),
                            [this] { readPlan(); });
-  store_backoff_.succeeded();
+  store_backoff_.reset();
   const bool was_held = boottimeNow() - requested_at >= kMinRetryDelay || received;
   if (was_held && read_index_ > 0)
     return readPlan();
@@ -346,14 +346,14 @@
   if (catching_up_ || std::none_of(missing.begin(), missing.end(), canCatchUpHere))
     return;
   catching_up_ = true;
-  scope_.runAfter(catch_up_timer_, store_backoff_.within(kCatchUpSpread), [this] { catchUp(); });
+  scope_.runAfter(catch_up_timer_, store_backoff_.randomWithin(kCatchUpSpread), [this] { catchUp(); });
 }
 
 void FleetMember::catchUp() {
   const std::vector<MissingRequirement> missing = compliance_.missingFor(runningVersions());
   if (missing.empty()) {
     catching_up_ = false;
-    catch_up_backoff_.succeeded();
+    catch_up_backoff_.reset();
     return;
   }
   callbacks_.catch_up(missing);
@@ -361,7 +361,7 @@
     return;
   if (compliance_.missingFor(runningVersions()).empty()) {
     catching_up_ = false;
-    catch_up_backoff_.succeeded();
+    catch_up_backoff_.reset();
     return updateCompliance();
   }
   scope_.runAfter(catch_up_timer_, catch_up_backoff_.next(kMinCatchUpDelay, kMaxCatchUpDelay),
--- a/src/fleet/zone_coordinator.cpp
+++ b/src/fleet/zone_coordinator.cpp
@@ -101,7 +101,7 @@
   // Spreads the reads over the fleet, whatever its size.
   constexpr Micros kDraws = 1000;
   const double chance = kDraws * kEvaluatingSenders / std::max(1, callbacks_.sender_count());
-  if (static_cast<double>(backoff_.within(kDraws)) >= chance)
+  if (static_cast<double>(backoff_.randomWithin(kDraws)) >= chance)
     return;
   evaluating_ = true;
   store_.listPrefix(config_.sendersPrefix(),
--- a/src/knowledge/learned_state_store.cpp
+++ b/src/knowledge/learned_state_store.cpp
@@ -100,8 +100,8 @@
 // Old and new file are there together for a moment.
 std::uint64_t LearnedStateStore::mostBytes() const {
   const std::uint64_t room =
-      available_bytes_() + blocks(bytes_);  // the old one is counted among what takes room
-  return std::min(spec_.max_bytes, room / 2 / kFileBlock * kFileBlock);
+      available_bytes_() + sizeOnDisk(bytes_);  // the old one is counted among what takes room
+  return std::min(spec_.max_bytes, room / 2 / kFileBlockBytes * kFileBlockBytes);
 }
 
 LearnedStateStore::Written LearnedStateStore::writeFile(const std::string& path, const LearnedStateFile& book,
@@ -141,7 +141,7 @@
     bytes_ = 0;
     space_freed_ = false;
   }
-  report_bytes_(blocks(bytes_));
+  report_bytes_(sizeOnDisk(bytes_));
   if (w.wrong.empty())
     log::write(log::Event::knowledge_written,
                {{"records", w.records}, {"left_out", w.left_out}, {"bytes", w.bytes}, {"took_us", w.took}});
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -188,7 +188,7 @@
     return;
   EndpointListAnswer answer;
   answer.index = version_ + 1;
-  answer.whole = whole;
+  answer.is_snapshot = whole;
   answer.changes = std::move(change.entries);
   version_ = hear_(std::move(answer));
   log::write(log::Event::membership_changed,
--- a/tests/core/delivery_engine_test.cpp
+++ b/tests/core/delivery_engine_test.cpp
@@ -1,5 +1,5 @@
-// The engine between listeners and decision module, on a loop of its own: when submissions are answered, and
-// how.
+// The delivery engine with a recording transport on its own event loop: when and how submissions are
+// answered, and what the decision module and the transport get.
 #include "../../src/core/delivery_engine.h"
 
 #include <boost/asio/io_context.hpp>
@@ -18,11 +18,11 @@
   void setAddress(const std::string&, const std::string&) override {}
   void removeEndpoint(const std::string&) override {}
   void cancelUnwritten(const std::string& endpoint) override { cancelled.push_back(endpoint); }
-  void startAttempt(const AttemptRequest& request) override { called.push_back(request.message.id); }
+  void startAttempt(const AttemptRequest& request) override { started.push_back(request.message.id); }
   void cancelAttempt(const std::string&, int) override {}
   void closeIdleConnections(const std::string&) override {}
-  std::size_t attemptsInFlight() const override { return called.size(); }
-  std::vector<std::string> called, cancelled;
+  std::size_t attemptsInFlight() const override { return started.size(); }
+  std::vector<std::string> started, cancelled;  // message ids, endpoints
 };
 
 struct EngineFixture {
@@ -36,22 +36,25 @@
                                {"endpoints", json::array({loopback::listed("e1", "127.0.0.1:1", 7)})}}));
     run();
   }
+  // Runs the event loop for 20 ms.
   void run() {
     io.restart();
     io.run_for(std::chrono::milliseconds(20));
   }
+  // Returns the results of the submission, to which each answer is added.
   std::vector<SubmissionResult>& submit(const std::string& id, std::int64_t destination = 7,
                                         const std::string& body = "b") {
-    Submission s;
-    s.message.id = id;
-    s.message.message_class = "safe";
-    s.message.destination = destination;
-    s.message.body = body;
-    s.time_to_live = 10 * kS;
+    Submission submission;
+    submission.message.id = id;
+    submission.message.message_class = "safe";
+    submission.message.destination = destination;
+    submission.message.body = body;
+    submission.time_to_live = 10 * kS;
     answers.emplace_back();
-    std::vector<SubmissionResult>& mine = answers.back();
-    engine.submit(std::move(s), [&mine](const SubmissionResult& a) { mine.push_back(a); });
-    return mine;
+    std::vector<SubmissionResult>& results = answers.back();
+    engine.submit(std::move(submission),
+                  [&results](const SubmissionResult& result) { results.push_back(result); });
+    return results;
   }
   loopback::TempFolder folder;
   boost::asio::io_context io;
@@ -62,7 +65,7 @@
   std::deque<std::vector<SubmissionResult>> answers;
 };
 
-// Risk: the second of two submissions of one message is answered before the message is written.
+// Guards against answering the second of two submissions of one message before the message is written.
 TEST(DeliveryEngine, AnswersASecondSubmissionInOneIterationLikeTheFirst) {
   EngineFixture fixture;
   const auto& first = fixture.submit("a");
@@ -76,36 +79,36 @@
   ASSERT_EQ(1u, first.size());
   ASSERT_EQ(1u, second.size());
   EXPECT_EQ(SubmissionResult::Kind::accepted, second[0].kind);
-  EXPECT_EQ(1u, fixture.transport.called.size());
+  EXPECT_EQ(1u, fixture.transport.started.size());
   EXPECT_EQ(MessageStatus::State::open, fixture.engine.status("a").state);
 }
 
-// Risk: a final outcome is published that a restart would revoke.
+// Guards against publishing a final outcome before it is written: a restart would revoke it.
 TEST(DeliveryEngine, PublishesAFinalOutcomeOnceItIsWritten) {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.run();
-  ASSERT_EQ(1u, fixture.transport.called.size());
-  std::vector<FinalOutcome> ends;
-  fixture.engine.notifyWhenFinished("a", [&](const FinalOutcome& e) { ends.push_back(e); });
-  AttemptOutcome o;
-  o.id = "a";
-  o.already_finished = true;
-  fixture.engine.onAttemptFinished(o);
+  ASSERT_EQ(1u, fixture.transport.started.size());
+  std::vector<FinalOutcome> outcomes;
+  fixture.engine.notifyWhenFinished("a", [&](const FinalOutcome& outcome) { outcomes.push_back(outcome); });
+  AttemptOutcome outcome;
+  outcome.id = "a";
+  outcome.already_finished = true;
+  fixture.engine.onAttemptFinished(outcome);
   EXPECT_EQ(MessageStatus::State::open, fixture.engine.status("a").state);
-  EXPECT_TRUE(ends.empty());
+  EXPECT_TRUE(outcomes.empty());
   const auto& again = fixture.submit("a");
   ASSERT_EQ(1u, again.size());
   EXPECT_FALSE(again[0].final_outcome);
   fixture.run();
-  ASSERT_EQ(1u, ends.size());
-  EXPECT_EQ(FinalStatus::delivered, ends[0].status);
+  ASSERT_EQ(1u, outcomes.size());
+  EXPECT_EQ(FinalStatus::delivered, outcomes[0].status);
   EXPECT_EQ(MessageStatus::State::finished, fixture.engine.status("a").state);
   EXPECT_TRUE(fixture.submit("a")[0].final_outcome.has_value());
 }
 
-// Risk: an attempt whose connect was slow goes to an endpoint that is draining by then, or serves another
-// destination.
+// Guards against sending an attempt after a slow connect to an endpoint that is draining by then, or that
+// serves another destination.
 TEST(DeliveryEngine, CancelsUnwrittenAttemptsWhenTheEndpointChanges) {
   EngineFixture fixture;
   fixture.transport.cancelled.clear();
@@ -116,7 +119,7 @@
                                            loopback::listed("e2", "127.0.0.1:2", 8)})}};
   };
   fixture.engine.onEndpointList(parseEndpointList(listed("Ready", 7)));
-  EXPECT_EQ(std::vector<std::string>{"e2"}, fixture.transport.cancelled);  // the other is as it was
+  EXPECT_EQ(std::vector<std::string>{"e2"}, fixture.transport.cancelled);  // e1 has not changed
   fixture.run();
   fixture.engine.onEndpointList(parseEndpointList(listed("Terminating", 7)));
   EXPECT_EQ((std::vector<std::string>{"e2", "e1"}), fixture.transport.cancelled);
@@ -125,65 +128,67 @@
   EXPECT_EQ((std::vector<std::string>{"e2", "e1", "e1"}), fixture.transport.cancelled);
 }
 
-// One wait binds all endpoints of a destination, or one alone where its kind has routes apart.
+// A Retry-After applies to all endpoints of a destination, or to one endpoint alone if its kind has separate
+// routes.
 TEST(DeliveryEngine, ScopesRetryAfterToTheDestinationOrASeparateRoute) {
   EngineFixture fixture;
-  auto apart1 = loopback::listed("a1", "127.0.0.1:3", 8), apart2 = loopback::listed("a2", "127.0.0.1:4", 8);
-  apart1["type"] = apart2["type"] = "apart";
+  auto separate1 = loopback::listed("a1", "127.0.0.1:3", 8),
+       separate2 = loopback::listed("a2", "127.0.0.1:4", 8);
+  separate1["type"] = separate2["type"] = "apart";
   fixture.engine.onEndpointList(parseEndpointList(
       json{{"index", 2},
            {"snapshot", false},
            {"endpoints", json::array({loopback::listed("e2", "127.0.0.1:2", 7),
-                                      loopback::listed("e3", "127.0.0.1:5", 9), apart1, apart2})}}));
+                                      loopback::listed("e3", "127.0.0.1:5", 9), separate1, separate2})}}));
   EXPECT_EQ(fixture.engine.retryAfterScope("e1"), fixture.engine.retryAfterScope("e2"));
   EXPECT_NE(fixture.engine.retryAfterScope("e1"), fixture.engine.retryAfterScope("e3"));
   EXPECT_NE(fixture.engine.retryAfterScope("a1"), fixture.engine.retryAfterScope("a2"));
   EXPECT_NE(fixture.engine.retryAfterScope("gone"), fixture.engine.retryAfterScope("gone too"));
 }
 
-// Risk: a list of 20,000 is one turn, and nothing is sent before all of it was heard.
+// Guards against processing a list of 20,000 endpoints in one iteration, during which no message is sent.
 TEST(DeliveryEngine, AppliesALongListInSlicesWhileDeliveriesContinue) {
   EngineFixture fixture;
   std::vector<std::size_t> slices;
   std::vector<std::string> sent_between;
-  std::size_t heard = 1;
+  std::size_t received = 1;
   fixture.engine.setObserver(
       [&](Micros, const std::vector<Event>& events, const std::vector<Action>& actions) {
-        for (const Event& e : events)
-          if (const auto* u = std::get_if<EndpointListUpdate>(&e)) {
-            slices.push_back(u->endpoints.size());
-            heard += u->endpoints.size();
+        for (const Event& event : events)
+          if (const auto* update = std::get_if<EndpointListUpdate>(&event)) {
+            slices.push_back(update->endpoints.size());
+            received += update->endpoints.size();
           }
-        for (const Action& a : actions)
-          if (const auto* s = std::get_if<StartAttempt>(&a))
-            if (heard < 20'000)
-              sent_between.push_back(s->id);
+        for (const Action& action : actions)
+          if (const auto* start = std::get_if<StartAttempt>(&action))
+            if (received < 20'000)
+              sent_between.push_back(start->id);
       });
-  json all = json::array({loopback::listed("e1", "127.0.0.1:1", 7)});
+  json entries = json::array({loopback::listed("e1", "127.0.0.1:1", 7)});
   for (int i = 2; i <= 20'000; ++i)
-    all.push_back(loopback::listed("e" + std::to_string(i), "127.0.0.1:1", 100 + i));
+    entries.push_back(loopback::listed("e" + std::to_string(i), "127.0.0.1:1", 100 + i));
   EXPECT_EQ(2, fixture.engine.onEndpointList(
-                   parseEndpointList(json{{"index", 2}, {"snapshot", true}, {"endpoints", all}})));
+                   parseEndpointList(json{{"index", 2}, {"snapshot", true}, {"endpoints", entries}})));
   const auto& answers = fixture.submit("m1");
-  for (int i = 0; i < 2000 && heard < 20'000; ++i)
+  for (int i = 0; i < 2000 && received < 20'000; ++i)
     fixture.run();
-  EXPECT_EQ(heard, 20'000u);
+  EXPECT_EQ(received, 20'000u);
   EXPECT_EQ(slices.size(), 20u);
-  for (const std::size_t s : slices)
-    EXPECT_LE(s, 1000u);
+  for (const std::size_t size : slices)
+    EXPECT_LE(size, 1000u);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, SubmissionResult::Kind::accepted);
   EXPECT_EQ(sent_between, std::vector<std::string>{"m1"});
-  // Of a later whole list that differs in one entry, one is heard.
-  all[5]["status"] = "Terminating";
+  // A later snapshot that differs in one entry causes one change.
+  entries[5]["status"] = "Terminating";
   fixture.engine.onEndpointList(
-      parseEndpointList(json{{"index", 3}, {"snapshot", true}, {"endpoints", all}}));
+      parseEndpointList(json{{"index", 3}, {"snapshot", true}, {"endpoints", entries}}));
   fixture.run();
   EXPECT_EQ(slices.back(), 1u);
 }
 
-// Risk: messages for a destination whose last endpoint has just left are turned away as unknown.
-TEST(DeliveryEngine, KnowsARemovedDestinationAsLongAsAMessageMayLast) {
+// Guards against rejecting messages as invalid whose destination has just lost its last endpoint.
+TEST(DeliveryEngine, AcceptsMessagesForARecentlyRemovedDestination) {
   EngineFixture fixture;
   fixture.engine.onEndpointList(
       parseEndpointList(json{{"index", 2}, {"snapshot", true}, {"endpoints", json::array()}}));
@@ -197,80 +202,80 @@
   EXPECT_EQ(other[0].code, "unknown-destination");
 }
 
-// State of an endpoint at another address, of a destination that is no longer listed, or that is too old, is
-// dropped.
+// Learned state is dropped if it is too old, if its endpoint is listed at another address, or if its
+// destination is not listed.
 TEST(DeliveryEngine, RecoversLearnedStateForTheSameAddressAlone) {
-  for (const bool same : {true, false}) {
+  for (const bool same_address : {true, false}) {
     EngineFixture fixture;
-    std::vector<LearnedEndpoint> heard;
+    std::vector<LearnedEndpoint> received;
     std::size_t pools = 0;
     fixture.engine.setObserver([&](Micros, const std::vector<Event>& events, const std::vector<Action>&) {
-      for (const Event& e : events) {
-        if (const auto* l = std::get_if<LearnedEndpoint>(&e))
-          heard.push_back(*l);
-        pools += std::holds_alternative<LearnedPool>(e);
+      for (const Event& event : events) {
+        if (const auto* learned = std::get_if<LearnedEndpoint>(&event))
+          received.push_back(*learned);
+        pools += std::holds_alternative<LearnedPool>(event);
       }
     });
-    knowledge::LearnedStateFile book;
-    LearnedEndpoint l;
-    l.destination = 7;
-    l.rate_limit = 50;
-    l.typical_latency = 30'000;
-    l.samples = 20;
-    l.last_outcome_at = l.last_message_at = unixNow() - kS;
-    book.records.push_back({l, ""});
-    l.endpoint = "e1";
-    book.records.push_back({l, same ? "127.0.0.1:1" : "127.0.0.1:2"});
-    l.endpoint = "gone";
-    book.records.push_back({l, "127.0.0.1:1"});
-    l.endpoint = "";
-    l.destination = 8;
-    book.records.push_back({l, ""});
-    l.destination = 7;
-    l.last_outcome_at = l.last_message_at = unixNow() - 48 * 3600 * kS;
-    book.records.push_back({l, ""});
-    book.pool = {20'000, 30, 0, 0, 0, unixNow()};
-    fixture.engine.recover({}, knowledge::TrustDecayPolicy(), book);
-    ASSERT_EQ(heard.size(), same ? 2u : 1u);
-    EXPECT_EQ(heard[0].endpoint, "");
-    EXPECT_NEAR(static_cast<double>(monotonicNow() - heard[0].last_outcome_at), 1e6, 5e5);
+    knowledge::LearnedStateFile stored;
+    LearnedEndpoint learned;
+    learned.destination = 7;
+    learned.rate_limit = 50;
+    learned.typical_latency = 30'000;
+    learned.samples = 20;
+    learned.last_outcome_at = learned.last_message_at = unixNow() - kS;
+    stored.records.push_back({learned, ""});
+    learned.endpoint = "e1";
+    stored.records.push_back({learned, same_address ? "127.0.0.1:1" : "127.0.0.1:2"});
+    learned.endpoint = "gone";
+    stored.records.push_back({learned, "127.0.0.1:1"});
+    learned.endpoint = "";
+    learned.destination = 8;
+    stored.records.push_back({learned, ""});
+    learned.destination = 7;
+    learned.last_outcome_at = learned.last_message_at = unixNow() - 48 * 3600 * kS;
+    stored.records.push_back({learned, ""});
+    stored.pool = {20'000, 30, 0, 0, 0, unixNow()};
+    fixture.engine.recover({}, knowledge::TrustDecayPolicy(), stored);
+    ASSERT_EQ(received.size(), same_address ? 2u : 1u);
+    EXPECT_EQ(received[0].endpoint, "");
+    EXPECT_NEAR(static_cast<double>(monotonicNow() - received[0].last_outcome_at), 1e6, 5e5);
     EXPECT_EQ(pools, 1u);
-    if (same) {
-      EXPECT_EQ(heard[1].endpoint, "e1");
+    if (same_address) {
+      EXPECT_EQ(received[1].endpoint, "e1");
     }
   }
 }
 
-// Risk: an export never completes, or lacks the address that a record is valid for.
+// Guards against an export that never completes, or whose records lack the address for which they are valid.
 TEST(DeliveryEngine, ExportsLearnedStateWithAddressesAndInUnixTime) {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.run();
-  AttemptOutcome o;
-  o.id = "a";
-  o.round_trip = 30 * kMs;
-  o.already_finished = true;
-  fixture.engine.onAttemptFinished(std::move(o));
+  AttemptOutcome outcome;
+  outcome.id = "a";
+  outcome.round_trip = 30 * kMs;
+  outcome.already_finished = true;
+  fixture.engine.onAttemptFinished(std::move(outcome));
   fixture.run();
-  std::vector<knowledge::LearnedRecord> known;
-  int told = 0;
-  fixture.engine.exportLearned(INT64_MIN, 10,
-                               [&](std::vector<knowledge::LearnedRecord> k, const LearnedExported& end) {
-                                 known = std::move(k);
-                                 ++told;
-                                 EXPECT_TRUE(end.complete);
-                               });
+  std::vector<knowledge::LearnedRecord> exported;
+  int exports = 0;
+  fixture.engine.exportLearned(
+      INT64_MIN, 10, [&](std::vector<knowledge::LearnedRecord> records, const LearnedExported& end) {
+        exported = std::move(records);
+        ++exports;
+        EXPECT_TRUE(end.complete);
+      });
   fixture.run();
-  EXPECT_EQ(told, 1);
-  ASSERT_EQ(known.size(), 2u);
-  EXPECT_EQ(known[1].learned.endpoint, "e1");
-  EXPECT_EQ(known[1].address, "127.0.0.1:1");
-  EXPECT_EQ(known[1].learned.typical_latency, 30 * kMs);
-  EXPECT_NEAR(static_cast<double>(known[0].learned.last_outcome_at), static_cast<double>(unixNow()), 5e6);
+  EXPECT_EQ(exports, 1);
+  ASSERT_EQ(exported.size(), 2u);
+  EXPECT_EQ(exported[1].learned.endpoint, "e1");
+  EXPECT_EQ(exported[1].address, "127.0.0.1:1");
+  EXPECT_EQ(exported[1].learned.typical_latency, 30 * kMs);
+  EXPECT_NEAR(static_cast<double>(exported[0].learned.last_outcome_at), static_cast<double>(unixNow()), 5e6);
   EXPECT_EQ(fixture.engine.learnedState().records.size(), 2u);
 }
 
-// A guard whose permission the test revokes.
+// A guard whose permission the test can revoke.
 struct RevocableGuard : ActionGuard {
   bool isActionAllowed() override { return allowed; }
   const std::string& version() override { return text; }
@@ -279,47 +284,50 @@
   std::string text = "{\"plan\":1}";
 };
 
-// Risk: the permission ends between two iterations, and what arrived before is accepted or sent all the same.
+// Guards against accepting or sending a message that arrived before the guard revoked the permission, between
+// two iterations.
 TEST(DeliveryEngine, AcceptsAndSendsNothingOnceTheGuardForbidsIt) {
   EngineFixture fixture;
   RevocableGuard guard;
   fixture.engine.setActionGuard(&guard);
   fixture.submit("a");
   fixture.run();
-  ASSERT_EQ(1u, fixture.transport.called.size());
+  ASSERT_EQ(1u, fixture.transport.started.size());
   EXPECT_EQ(Journal::readMessage(fixture.folder.path(), "a").attempts.at(0).version, 1u);
   const auto& late = fixture.submit("b");
   guard.allowed = false;
   fixture.run();
   ASSERT_EQ(1u, late.size());
   EXPECT_EQ(SubmissionResult::Kind::rejected, late[0].kind);
-  EXPECT_EQ(1u, fixture.transport.called.size());
-  EXPECT_FALSE(Journal::readMessage(fixture.folder.path(), "b").found);  // a restart would resume it
-  const auto& again = fixture.submit("b");  // harmless: it may be submitted again
+  EXPECT_EQ(1u, fixture.transport.started.size());
+  // If the message were in the journal, a restart would deliver it.
+  EXPECT_FALSE(Journal::readMessage(fixture.folder.path(), "b").found);
+  const auto& again = fixture.submit("b");  // the rejected message may be submitted again
   guard.allowed = true;
   fixture.run();
   EXPECT_EQ(SubmissionResult::Kind::accepted, again.at(0).kind);
-  EXPECT_EQ(2u, fixture.transport.called.size());
+  EXPECT_EQ(2u, fixture.transport.started.size());
 }
 
-// Risk: an open message is lost or sent while the engine is closed, or not sent once it is open again.
+// Guards against losing or sending an open message while the engine is closed, and against not sending it
+// after the engine is opened.
 TEST(DeliveryEngine, HoldsOpenMessagesWhileClosedAndSendsThemWhenOpened) {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.run();
-  AttemptOutcome o;
-  o.id = "a";
-  o.result = AttemptResult::connect_failed;
+  AttemptOutcome outcome;
+  outcome.id = "a";
+  outcome.result = AttemptResult::connect_failed;
   fixture.engine.close();
-  fixture.engine.onAttemptFinished(o);
+  fixture.engine.onAttemptFinished(outcome);
   fixture.run();
-  EXPECT_EQ(1u, fixture.transport.called.size());  // its retry waits
+  EXPECT_EQ(1u, fixture.transport.started.size());  // the retry waits
   EXPECT_EQ(SubmissionResult::Kind::rejected, fixture.submit("b").at(0).kind);
   EXPECT_EQ(MessageStatus::State::open, fixture.engine.status("a").state);
   fixture.engine.open();
-  for (int i = 0; i < 200 && fixture.transport.called.size() < 2; ++i)
+  for (int i = 0; i < 200 && fixture.transport.started.size() < 2; ++i)
     fixture.run();
-  EXPECT_EQ(2u, fixture.transport.called.size());
+  EXPECT_EQ(2u, fixture.transport.started.size());
 }
 
 }  // namespace
--- a/tests/core/journal_fixture_test.cpp
+++ b/tests/core/journal_fixture_test.cpp
@@ -1,5 +1,5 @@
-// Journals written by version 0.4 of the program, before its types were renamed: the stored format is
-// unchanged.
+// Reads journals that program version 0.4 wrote, before its types were renamed. Guards against an unintended
+// change of the stored format.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
   std::int64_t epoch_of_reader;
 };
 
-// Opens a copy of a stored journal, as the next process would.
+// Opens a copy of a stored journal, as the next process would open the original.
 class JournalFixture : public ::testing::TestWithParam<StoredJournal> {
  protected:
   JournalFixture() {
@@ -31,7 +31,7 @@
   const JournalEntry& entry(const std::string& id) const {
     const auto& entries = journal_->recovered().entries;
     const auto found = std::find_if(entries.begin(), entries.end(),
-                                    [&](const JournalEntry& e) { return e.message.id == id; });
+                                    [&](const JournalEntry& entry) { return entry.message.id == id; });
     if (found == entries.end())
       throw std::runtime_error("not recovered: " + id);
     return *found;
@@ -49,8 +49,8 @@
 
 TEST_P(JournalFixture, RecoversOpenMessagesInTheOrderOfAcceptance) {
   std::vector<std::string> ids;
-  for (const JournalEntry& e : journal_->recovered().entries)
-    ids.push_back(e.message.id);
+  for (const JournalEntry& entry : journal_->recovered().entries)
+    ids.push_back(entry.message.id);
   EXPECT_EQ(ids, (std::vector<std::string>{"open", "repeated", "returned", "unclassed", "failed"}));
 }
 
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings that cannot be.
+// Invalid settings are rejected by the sender's constructor.
 #include <algorithm>
 
 #include "../decision/sender_fixture.h"
@@ -7,21 +7,21 @@
 
 namespace {
 
-TEST(Settings, RejectedWithTheFieldsName) {
-  Settings s = makeSettings();
-  s.max_in_flight = 0;
+TEST(Settings, RejectsInvalidValuesWithTheFieldName) {
+  Settings settings = makeSettings();
+  settings.max_in_flight = 0;
   try {
-    Sender sender(s, 1);
+    Sender sender(settings, 1);
     FAIL();
-  } catch (const std::invalid_argument& e) {
-    EXPECT_NE(std::string(e.what()).find("slots"), std::string::npos);
+  } catch (const std::invalid_argument& error) {
+    EXPECT_NE(std::string(error.what()).find("slots"), std::string::npos);
   }
-  s = makeSettings();
-  s.classes.clear();
-  EXPECT_THROW(Sender(s, 1), std::invalid_argument);
-  s = makeSettings();
-  s.min_decide_interval = -1;
-  EXPECT_THROW(Sender(s, 1), std::invalid_argument);
+  settings = makeSettings();
+  settings.classes.clear();
+  EXPECT_THROW(Sender(settings, 1), std::invalid_argument);
+  settings = makeSettings();
+  settings.min_decide_interval = -1;
+  EXPECT_THROW(Sender(settings, 1), std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/daemon/standing_alone_test.cpp
+++ b/tests/daemon/standing_alone_test.cpp
@@ -379,7 +379,7 @@
   EXPECT_EQ(a.end("m2"), "given_up");
   EXPECT_EQ(a.end("m3"), "given_up");
   EXPECT_TRUE(a.logged("message.orphaned message=m2")) << a.log();
-  EXPECT_TRUE(a.logged("its partner is listed no more"));
+  EXPECT_TRUE(a.logged("its partner is no longer listed"));
   EXPECT_EQ(a.log().find("message.orphaned message=m3"), std::string::npos);
   // The class that it came under went on for it: it ends as others do.
   EXPECT_EQ(a.log().find("message.orphaned message=m1"), std::string::npos);
