--- a/src/audit/audit_log.cpp
+++ b/src/audit/audit_log.cpp
@@ -57,7 +57,7 @@
 
 AuditLog::AuditLog(std::string folder, std::string sender, AuditBudget budget)
     : folder_(std::move(folder)), sender_(std::move(sender)), budget_(budget) {
-  begin();
+  prepareFolder();
 }
 
 AuditLog::~AuditLog() {
@@ -65,8 +65,9 @@
     ::close(fd_);
 }
 
-// Sets a log aside that was copied from another sender: its records would be taken for this sender's.
-void AuditLog::begin() {
+// Renames the folder if its log was copied from another sender: its records would be mistaken for this
+// sender's.
+void AuditLog::prepareFolder() {
   std::error_code error;
   std::int64_t last_sequence = 0;
   const AuditSummary existing = readAuditLog(
@@ -85,19 +86,20 @@
   sequence_ = last_sequence;
 }
 
-// Each segment starts a new chain from its number: a segment that is removed is noticed by its number and by
-// the sequence of the records.
-bool AuditLog::open(Micros now) {
+// Each segment starts a new chain of checksums from its number. The reader detects a removed segment by the
+// segment numbers and by the sequence numbers of the records.
+bool AuditLog::openSegment(Micros now) {
   if (fd_ >= 0)
     ::close(fd_);
   ++segment_;
   const std::string path = folder_ + "/" + segmentName(segment_);
   fd_ = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC, 0644);
-  size_ = 0;
-  check_ = static_cast<std::uint64_t>(segment_);
+  segment_bytes_ = 0;
+  checksum_ = static_cast<std::uint64_t>(segment_);
   if (fd_ < 0)
     return false;
-  if (put({{"kind", "segment"}, {"sender", sender_}, {"segment", segment_}, {"at", now}, {"seq", sequence_}}))
+  if (append(
+          {{"kind", "segment"}, {"sender", sender_}, {"segment", segment_}, {"at", now}, {"seq", sequence_}}))
     return true;
   ::close(fd_);
   ::unlink(path.c_str());
@@ -106,7 +108,7 @@
   return false;
 }
 
-// Removes the oldest segments until the budget has room for another one and no segment is too old.
+// Removes the oldest segments until the budget has room for another segment and no segment is too old.
 void AuditLog::prune() {
   const std::vector<std::int64_t> segments = listSegments(folder_);
   std::error_code error;
@@ -129,46 +131,46 @@
   }
 }
 
-bool AuditLog::put(const json& record) {
-  std::uint64_t checksum = check_;
+bool AuditLog::append(const json& record) {
+  std::uint64_t checksum = checksum_;
   const std::string bytes = encodeRecord(record, checksum);
   if (!writeAll(fd_, bytes)) {
-    // Half a record would be read as damage.
-    if (::ftruncate(fd_, static_cast<off_t>(size_)) != 0) {
+    // A partial record would be read as damage: the segment is cut back to its last complete record.
+    if (::ftruncate(fd_, static_cast<off_t>(segment_bytes_)) != 0) {
       ::close(fd_);
       fd_ = -1;
     }
     return false;
   }
-  size_ += bytes.size();
-  check_ = checksum;
+  segment_bytes_ += bytes.size();
+  checksum_ = checksum;
   return true;
 }
 
 bool AuditLog::write(json record, Micros now) {
   const auto count_missing = [&] {
-    if (missing_++ == 0)
+    if (missing_records_++ == 0)
       missing_since_ = now;
     return false;
   };
-  if (fd_ < 0 || size_ >= budget_.bytes / kSegmentsPerBudget) {
-    if (!open(now))
+  if (fd_ < 0 || segment_bytes_ >= budget_.bytes / kSegmentsPerBudget) {
+    if (!openSegment(now))
       return count_missing();
     prune();
   }
-  if (missing_ > 0) {
-    if (!put({{"kind", "missing"},
-              {"records", missing_},
-              {"since", missing_since_},
-              {"at", now},
-              {"seq", sequence_ + 1}}))
+  if (missing_records_ > 0) {
+    if (!append({{"kind", "missing"},
+                 {"records", missing_records_},
+                 {"since", missing_since_},
+                 {"at", now},
+                 {"seq", sequence_ + 1}}))
       return count_missing();
     ++sequence_;
-    missing_ = 0;
+    missing_records_ = 0;
   }
   record["at"] = now;
   record["seq"] = sequence_ + 1;
-  if (!put(record))
+  if (!append(record))
     return count_missing();
   ++sequence_;
   return true;
--- a/src/audit/audit_log.h
+++ b/src/audit/audit_log.h
@@ -1,8 +1,9 @@
-// grademux audit: the trail of one sender: what it acted by and since when, in records that are chained by
-// hash. It stands in a folder of its own beside the journal, with its own budget, and is never in a message's
-// way. Form (docs/design/fleet.md has it in full): segments `trail-NNNNNNNN`; a record is the mark, the
-// payload's length (4 bytes, little-endian), XXH3-64 over the check of the record before and the payload
-// (8 bytes), and the payload, MessagePack of one object. The first record of a segment tells whose it is.
+// Writes the audit log of one sender: the versions that the sender acted by and since when, in records that
+// are chained by checksums. The log has its own folder beside the journal and its own budget; no message
+// waits for a record. Segments are files `trail-NNNNNNNN`; a record is the record mark, the payload's length
+// (4 bytes, little-endian), XXH3-64 over the checksum of the record before and the payload (8 bytes), and the
+// payload, one object as MessagePack. The first record of a segment names the sender. docs/design/fleet.md
+// specifies the format.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +16,8 @@
 namespace grademux::audit {
 
 struct AuditBudget {
-  std::uint64_t bytes = 8u << 20;  // of all segments together
-  Micros age = 30LL * 24 * 3600 * 1'000'000;
+  std::uint64_t bytes = 8u << 20;             ///< Of all segments together.
+  Micros age = 30LL * 24 * 3600 * 1'000'000;  ///< Older segments are removed.
 };
 
 constexpr char kRecordMagic[] = "\xA7GT1";
@@ -24,40 +25,39 @@
 constexpr std::uint32_t kMaxRecordBytes = 1u << 20;
 
 std::string segmentName(std::int64_t number);
-// The numbers of the segments in a folder, in order; none if it can't be read.
+/// The numbers of the segments in a folder, in order; empty if the folder can't be read.
 std::vector<std::int64_t> listSegments(const std::string& folder);
-std::string encodeRecord(const json& record,
-                         std::uint64_t& check);  // `check`: of the record before, then of this
+/// `checksum`: in: of the record before; out: of this record.
+std::string encodeRecord(const json& record, std::uint64_t& checksum);
 
-// Writes from one thread at a time, blocking: call it off the loop. What can't be written is counted, and the
-// next record that can says how many are missing and since when.
+/// Used by one thread at a time, which is not the loop thread: writes block. Records that can't be written
+/// are counted; a record before the next one that is written has their number and the time of the first.
 class AuditLog {
  public:
-  // `sender`, `id`: whose trail it is; a folder with another sender's is set aside under a name of its own,
-  // which `said` tells. Goes on in a new segment, whatever the last one holds.
+  /// Continues the log of `sender` in a new segment, even if the last one is damaged. A folder with the log
+  /// of another sender is renamed first; foreignFolder() returns the new name.
   AuditLog(std::string folder, std::string sender, AuditBudget budget);
   ~AuditLog();
   AuditLog(const AuditLog&) = delete;
   AuditLog& operator=(const AuditLog&) = delete;
 
-  // False: it can't be kept now.
+  /// `now`: Unix time. Returns false if the record could not be written.
   bool write(json record, Micros now);
-  const std::string& foreignFolder() const {
-    return foreign_folder_;
-  }  // another sender's; empty: none was there
+  /// The folder that another sender's log was moved to; empty: there was none.
+  const std::string& foreignFolder() const { return foreign_folder_; }
 
  private:
-  void begin();
-  bool open(Micros now);
+  void prepareFolder();
+  bool openSegment(Micros now);
   void prune();
-  bool put(const json& record);
+  bool append(const json& record);
 
   std::string folder_, sender_, foreign_folder_;
   AuditBudget budget_;
   int fd_ = -1;
-  std::int64_t segment_ = 0, sequence_ = 0;
-  std::uint64_t check_ = 0, size_ = 0;
-  std::int64_t missing_ = 0;  // records
+  std::int64_t segment_ = 0, sequence_ = 0;         // numbers of the open segment and of the last record
+  std::uint64_t checksum_ = 0, segment_bytes_ = 0;  // of the last record; size of the open segment
+  std::int64_t missing_records_ = 0;
   Micros missing_since_ = 0;
 };
 
--- a/src/audit/audit_reader.cpp
+++ b/src/audit/audit_reader.cpp
@@ -21,7 +21,8 @@
   return found != record.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
-// The records and gaps of one folder, in order. Sequence numbers and segment headers show what is missing.
+// Returns the records and gaps of one folder in order. Sequence numbers and segment headers show which
+// records are missing.
 class LogReader {
  public:
   using Item = std::variant<AuditRecord, AuditGap>;
@@ -31,7 +32,7 @@
         expected_sender_(std::move(expected_sender)),
         segments_(listSegments(folder_)) {}
 
-  // Returns false at the end.
+  // Sets `item` to the next record or gap. Returns false at the end of the log.
   bool next(Item& item) {
     while (ready_.empty() && !ended_)
       readNext();
@@ -96,13 +97,13 @@
     if (summary_.sender.empty())
       summary_.sender = sender;
     if (!expected_sender_.empty() && sender != expected_sender_)
-      gap_reason_ = segment_name_ + " is of " + sender;
+      gap_reason_ = segment_name_ + " belongs to " + sender;
     else if (sender != summary_.sender)
-      gap_reason_ = segment_name_ + " is of " + sender + ", not of " + summary_.sender;
+      gap_reason_ = segment_name_ + " belongs to " + sender + ", not to " + summary_.sender;
     if (started_ && sequence > sequence_ && gap_reason_.empty())
       gap_reason_ = std::to_string(sequence - sequence_) + " records are missing before " + segment_name_;
     if (!started_ && sequence > 0)
-      gap_reason_ = "what came before " + segment_name_ + " is gone";
+      gap_reason_ = "the records before " + segment_name_ + " are missing";
     flushGap(at);
     started_ = true;
     sequence_ = std::max(sequence_, sequence);
@@ -139,7 +140,7 @@
   std::size_t next_segment_ = 0;
   SegmentReader reader_;
   std::string segment_name_;
-  std::string gap_reason_;  // of a gap that ends with the next record; empty: none
+  std::string gap_reason_;  // reason of the gap before the next record; empty: none
   std::int64_t sequence_ = 0;
   bool started_ = false;
   bool ended_ = false;
@@ -156,7 +157,8 @@
   Micros at = 0;  // place of the item in the common order
 };
 
-// A gap is placed where it ends, and an item never before the one that precedes it in its log.
+// Reads the next item of a log. No item is placed before its predecessor in the same log; a gap has the place
+// of its predecessor.
 bool advance(Head& head) {
   if (!head.log->next(head.item))
     return false;
@@ -167,23 +169,23 @@
 
 }  // namespace
 
-AuditSummary readAuditLog(const std::string& folder, const std::string& expected,
-                          const std::function<void(const AuditRecord&)>& entry,
-                          const std::function<void(const AuditGap&)>& gap) {
-  LogReader log(folder, expected);
+AuditSummary readAuditLog(const std::string& folder, const std::string& expected_sender,
+                          const std::function<void(const AuditRecord&)>& on_record,
+                          const std::function<void(const AuditGap&)>& on_gap) {
+  LogReader log(folder, expected_sender);
   LogReader::Item item;
   while (log.next(item)) {
     if (const auto* record = std::get_if<AuditRecord>(&item))
-      entry(*record);
+      on_record(*record);
     else
-      gap(std::get<AuditGap>(item));
+      on_gap(std::get<AuditGap>(item));
   }
   return log.summary();
 }
 
 void readAuditLogs(const std::vector<std::string>& folders,
-                   const std::function<void(std::size_t, const AuditRecord&)>& entry,
-                   const std::function<void(std::size_t, const AuditGap&)>& gap) {
+                   const std::function<void(std::size_t, const AuditRecord&)>& on_record,
+                   const std::function<void(std::size_t, const AuditGap&)>& on_gap) {
   std::vector<Head> heads(folders.size());
   using Place = std::pair<Micros, std::size_t>;  // time and index of the log
   std::priority_queue<Place, std::vector<Place>, std::greater<>> order;
@@ -197,9 +199,9 @@
     order.pop();
     const LogReader::Item item = std::move(heads[index].item);
     if (const auto* record = std::get_if<AuditRecord>(&item))
-      entry(index, *record);
+      on_record(index, *record);
     else
-      gap(index, std::get<AuditGap>(item));
+      on_gap(index, std::get<AuditGap>(item));
     if (advance(heads[index]))
       order.emplace(heads[index].at, index);
   }
--- a/src/audit/audit_reader.h
+++ b/src/audit/audit_reader.h
@@ -1,5 +1,5 @@
-// grademux audit: reads trails, also of a sender that runs, record by record in bounded memory. What can't be
-// vouched for is told as a gap, never passed over.
+// Reads audit logs record by record in bounded memory, also while the sender runs. Missing, damaged and
+// foreign records are reported as gaps, never skipped silently.
 #pragma once
 
 #include <functional>
@@ -9,35 +9,39 @@
 namespace grademux::audit {
 
 struct AuditGap {
-  Micros from = 0, to = 0;  // Unix time of the records around it, by the sender's clock; 0: open
+  /// Unix time by the sender's clock of the records before and after the gap; 0: there is no such record.
+  Micros from = 0, to = 0;
   std::string reason;
 };
 
 struct AuditRecord {
   std::string sender;
   std::int64_t sequence = 0;
-  Micros at = 0;                   // Unix time, by the sender's clock
-  Micros store_clock_offset = 0;   // the store's clock less the sender's, when last known
-  bool store_clock_known = false;  // `ahead` is known
+  Micros at = 0;                   ///< Unix time by the sender's clock.
+  Micros store_clock_offset = 0;   ///< The store's clock minus the sender's, as last known.
+  bool store_clock_known = false;  ///< Whether `store_clock_offset` is known.
   json record;
-  // On the store's clock where that is known: the one on which records of several senders have an order.
+  /// Time by the store's clock if the offset is known, else by the sender's clock. The store's clock orders
+  /// the records of several senders.
   Micros storeTime() const { return at + (store_clock_known ? store_clock_offset : 0); }
 };
 
 struct AuditSummary {
-  std::string sender;  // empty: there is no trail
+  std::string sender;  ///< Empty: there is no audit log.
   std::int64_t records = 0;
-  Micros first = 0, last = 0;
+  Micros first = 0, last = 0;  ///< Unix time of the first and of the last record, by the sender's clock.
 };
 
-// In the order of writing. `expected`: whose it should be; empty: anybody's.
-AuditSummary readAuditLog(const std::string& folder, const std::string& expected,
-                          const std::function<void(const AuditRecord&)>& entry,
-                          const std::function<void(const AuditGap&)>& gap);
+/// Passes records and gaps on in the order of writing. Segments of a sender other than `expected_sender` are
+/// reported as gaps; empty: any sender.
+AuditSummary readAuditLog(const std::string& folder, const std::string& expected_sender,
+                          const std::function<void(const AuditRecord&)>& on_record,
+                          const std::function<void(const AuditGap&)>& on_gap);
 
-// Several trails as one, by the clock of the store; `each` gives the trail's place in `folders`, too.
+/// Merges several logs in the order of the store's clock. The callbacks' first argument is the log's index in
+/// `folders`.
 void readAuditLogs(const std::vector<std::string>& folders,
-                   const std::function<void(std::size_t, const AuditRecord&)>& entry,
-                   const std::function<void(std::size_t, const AuditGap&)>& gap);
+                   const std::function<void(std::size_t, const AuditRecord&)>& on_record,
+                   const std::function<void(std::size_t, const AuditGap&)>& on_gap);
 
 }  // namespace grademux::audit
--- a/src/audit/command.cpp
+++ b/src/audit/command.cpp
@@ -14,7 +14,7 @@
 
 constexpr Micros kStoreClockAccuracy = 2'000'000;
 
-// The state of one sender, up to the record that was read last.
+// The state of one sender as of the record that was read last.
 struct SenderState {
   std::string sender;
   std::string compliance = "?";
@@ -47,24 +47,24 @@
 
 std::string SenderState::describe() const {
   if (!has_records)
-    return "unknown: nothing is on record before";
+    return "unknown: there is no earlier record";
   return running ? compliance : "not running";
 }
 
-// How far the clocks of the senders differ.
+// The range of the offsets between the senders' clocks and the store's clock.
 class ClockRange {
  public:
   void add(Micros offset) {
-    least_ = empty_ ? offset : std::min(least_, offset);
-    most_ = empty_ ? offset : std::max(most_, offset);
+    min_offset_ = empty_ ? offset : std::min(min_offset_, offset);
+    max_offset_ = empty_ ? offset : std::max(max_offset_, offset);
     empty_ = false;
   }
-  Micros width() const { return most_ - least_; }
+  Micros width() const { return max_offset_ - min_offset_; }
 
  private:
   bool empty_ = true;
-  Micros least_ = 0;
-  Micros most_ = 0;
+  Micros min_offset_ = 0;
+  Micros max_offset_ = 0;
 };
 
 bool adoptsPlan(const AuditRecord& record, std::int64_t plan) {
@@ -77,7 +77,7 @@
  public:
   explicit LogQuery(const AuditQuery& query) : query_(query), states_(query.folders.size()) {}
 
-  // Returns whether the answer is complete.
+  // Prints the answer. Returns whether it is complete.
   bool run();
 
  private:
@@ -110,7 +110,7 @@
     const SenderState& state = states_[index];
     logs_without_clock_ += state.has_records && !state.has_store_clock ? 1 : 0;
     if (!state.has_records && !query_.at) {
-      std::cerr << "grademux: no trail in " << query_.folders[index] << '\n';
+      std::cerr << "grademux: no audit log in " << query_.folders[index] << '\n';
       complete_ = false;
     }
     if (query_.at && isWanted(state.sender))
@@ -155,7 +155,7 @@
   printGap(query_, sender, gap);
 }
 
-// Reports of senders that have a folder here are left out.
+// Ignores the reports of senders whose folder is given.
 void LogQuery::queryReports() {
   for (const SenderSummary& report : query_.reports) {
     const bool has_folder = std::any_of(states_.begin(), states_.end(), [&](const SenderState& state) {
@@ -186,9 +186,8 @@
   if (query_.as_json)
     return;
   if (logs_without_clock_ > 0)
-    std::cout
-        << logs_without_clock_
-        << " of the trails have no time of the store: their place in the order is by their own clocks\n";
+    std::cout << logs_without_clock_
+              << " of the audit logs have no store time: they are ordered by their own clocks\n";
   if (clocks_.width() > kStoreClockAccuracy)
     std::cout << "clocks of senders differ by up to " << clocks_.width() / 1000
               << " ms; the order is by the store's clock, which is known to within 2 s\n";
--- a/src/audit/message_query.cpp
+++ b/src/audit/message_query.cpp
@@ -1,5 +1,5 @@
-// The audit of one message: its attempts and outcome by the journals, with the versions that they were
-// decided under.
+// Answers a query on one message from the journals: its attempts and final outcome, each with the versions
+// that the sender acted by.
 #include <iostream>
 
 #include "../core/clock.h"
@@ -93,7 +93,7 @@
     printMessage(query, {senderOf(folder), folder}, message);
   }
   if (!found)
-    std::cerr << "grademux: no journal here knows " << query.message << '\n';
+    std::cerr << "grademux: no journal of the given folders has message " << query.message << '\n';
   return found;
 }
 
--- a/src/audit/query_output.h
+++ b/src/audit/query_output.h
@@ -8,15 +8,15 @@
 
 namespace grademux::audit {
 
-/// Prints the JSON object or the text, as the query asks.
+/// Prints the JSON object if the query asks for JSON, else the text.
 void printResult(const AuditQuery& query, const json& object, const std::string& text);
 void printGap(const AuditQuery& query, const std::string& sender, const AuditGap& gap);
-/// A record's kind and fields as text.
+/// The kind and the fields of a record as text.
 std::string describeRecord(const json& record);
 
-/// Prints what the journals know of the queried message. Returns whether any knows it.
+/// Prints what the journals contain about the queried message. Returns whether any contains it.
 bool queryMessage(const AuditQuery& query);
-/// Prints what a sender's last report says. Returns whether it answers the query.
+/// Prints the answer from a sender's last report. Returns whether the report answers the query.
 bool queryReport(const AuditQuery& query, const SenderSummary& report);
 
 }  // namespace grademux::audit
--- a/src/audit/record_format.cpp
+++ b/src/audit/record_format.cpp
@@ -25,13 +25,13 @@
   return XXH3_64bits(chained.data(), chained.size());
 }
 
-std::string encodeRecord(const json& record, std::uint64_t& check) {
+std::string encodeRecord(const json& record, std::uint64_t& checksum) {
   std::string payload;
   json::to_msgpack(record, payload);
-  check = recordChecksum(check, payload.data(), payload.size());
+  checksum = recordChecksum(checksum, payload.data(), payload.size());
   std::string encoded(kRecordMagic, kRecordMagicSize);
   appendLittleEndian(encoded, payload.size(), kLengthBytes);
-  appendLittleEndian(encoded, check, kChecksumBytes);
+  appendLittleEndian(encoded, checksum, kChecksumBytes);
   return encoded + payload;
 }
 
--- a/src/audit/record_format.h
+++ b/src/audit/record_format.h
@@ -1,6 +1,7 @@
-// Form of audit records on disk: record mark, payload length (4 bytes, little-endian), checksum (8 bytes),
-// payload (one MessagePack object). The checksum covers the checksum of the record before and the payload;
-// the first record of a segment follows the segment's number. Pure functions.
+// Encoding of audit records on disk: record mark, payload length (4 bytes, little-endian), checksum (8
+// bytes), payload (one MessagePack object). The checksum covers the checksum of the record before and the
+// payload; for the first record of a segment, the segment's number takes the place of the checksum before.
+// Pure functions.
 #pragma once
 
 #include <cstdint>
--- a/src/audit/report_query.cpp
+++ b/src/audit/report_query.cpp
@@ -1,4 +1,4 @@
-// The audit of a sender whose folder is not at hand, from its last report at the store.
+// Answers a query on a sender whose folder is not given, from its last report at the store.
 #include "../core/clock.h"
 #include "query_output.h"
 
@@ -23,7 +23,7 @@
 bool queryTime(const AuditQuery& query, const SenderSummary& report) {
   const ActionPeriod* period = periodAt(report, *query.at);
   const bool known = period && (report.live || *query.at <= report.at);
-  const std::string description = !period ? "unknown: nothing is on record before"
+  const std::string description = !period ? "unknown: there is no earlier record"
                                           : "plan " + std::to_string(period->plan) +
                                                 (period->allowed ? "" : ", might not act") + " since " +
                                                 utcText(period->from, true);
@@ -62,7 +62,8 @@
   if (query.plan)
     return queryPlan(query, report);
   if (query.gaps) {
-    printGap(query, report.sender, {report.at, 0, "its folder is not here, and the store tells no more"});
+    printGap(query, report.sender,
+             {report.at, 0, "its folder is not given, and its last report at the store is from before"});
     return false;
   }
   printResult(query,
--- a/src/audit/segment_reader.cpp
+++ b/src/audit/segment_reader.cpp
@@ -30,7 +30,7 @@
       readLittleEndian(buffer_, position_ + kRecordMagicSize + kLengthBytes, kChecksumBytes);
   const char* payload = buffer_.data() + position_ + kRecordHeaderSize;
   const std::uint64_t previous = checksum_;
-  checksum_ = checksum;  // If only the payload is damaged, this still verifies the next record.
+  checksum_ = checksum;  // If only the payload is damaged, the next record is still verified.
   if (recordChecksum(previous, payload, size) != checksum)
     return skipToNextMark();
   record = json::from_msgpack(payload, payload + size, true, false);
--- a/src/audit/segment_reader.h
+++ b/src/audit/segment_reader.h
@@ -20,9 +20,9 @@
     end
   };
 
-  /// Continues with this segment, whether or not the file exists.
+  /// Starts with another segment. If the file does not exist, next() returns `end`.
   void open(const std::string& path, std::int64_t segment);
-  /// Whether next() may return more.
+  /// Whether next() may return more records.
   bool isOpen() const { return file_ != nullptr; }
   Status next(json& record);
 
@@ -34,7 +34,7 @@
   std::unique_ptr<std::ifstream> file_;
   std::string buffer_;
   std::size_t position_ = 0;
-  std::uint64_t checksum_ = 0;  // of the record before
+  std::uint64_t checksum_ = 0;  // of the record before; of the first: the segment number
 };
 
 }  // namespace grademux::audit
--- a/src/daemon/commands/fleet_command.cpp
+++ b/src/daemon/commands/fleet_command.cpp
@@ -40,8 +40,8 @@
 
 CLI::App* FleetCommand::addChangeCommand(CLI::App& parent, const char* name, const char* description) {
   CLI::App* command = addStoreCommand(parent, name, description);
-  command->add_option("--why", change_.why, "stands in the plan and in every trail")->required();
-  command->add_option("--by", change_.by, "who says so (user@host)");
+  command->add_option("--why", change_.reason, "stands in the plan and in every trail")->required();
+  command->add_option("--by", change_.author, "who says so (user@host)");
   return command;
 }
 
--- a/src/daemon/commands/fleet_command.h
+++ b/src/daemon/commands/fleet_command.h
@@ -33,8 +33,8 @@
   /// True if the command line names a store, itself or by a daemon file.
   bool isStoreGiven() const { return !daemon_path_.empty() || !store_.store.empty(); }
 
-  fleet::Where store_;
-  fleet::Change change_;
+  fleet::StoreLocation store_;
+  fleet::PlanChange change_;
 
  private:
   std::string daemon_path_;
--- a/src/daemon/commands/fleet_fence_command.cpp
+++ b/src/daemon/commands/fleet_fence_command.cpp
@@ -20,7 +20,7 @@
  protected:
   int execute() override {
     resolveStore();
-    return fleet::shutOut(store_, change_, sender_, fence_.parsed());
+    return fleet::setFenced(store_, change_, sender_, fence_.parsed());
   }
 
  private:
--- a/src/daemon/commands/fleet_plan_command.cpp
+++ b/src/daemon/commands/fleet_plan_command.cpp
@@ -38,7 +38,7 @@
 
  private:
   void addRequirementOptions() {
-    propose_->add_option("--like", change_.like, "asks for the settings and daemon file of this sender");
+    propose_->add_option("--like", change_.example_sender, "asks for the settings and daemon file of this sender");
     propose_->add_option("--settings", change_.settings, "a digest; '' for any");
     propose_->add_option("--daemon-file", change_.daemon, "a digest; '' for any");
     propose_->add_option("--program", change_.program, "the least version; '' for any");
@@ -54,7 +54,7 @@
         propose_->add_option("--binds-after", binds_after_seconds_, "seconds; no less than the lease before");
     binds_after_->check(CLI::Range(0.0, 86400.0));
     propose_
-        ->add_option("--most-shut-out", change_.most_shut_out,
+        ->add_option("--most-shut-out", change_.max_fenced_fraction,
                      "share of the senders; past it the plan is halted")
         ->check(CLI::Range(0.0, 1.0));
   }
@@ -65,7 +65,7 @@
     if (lease_seconds_ > 0)
       change_.lease = static_cast<Micros>(lease_seconds_ * kMicrosPerSecond);
     if (binds_after_->count() > 0)
-      change_.binds_after = static_cast<Micros>(binds_after_seconds_ * kMicrosPerSecond);
+      change_.effective_after = static_cast<Micros>(binds_after_seconds_ * kMicrosPerSecond);
     return fleet::propose(store_, change_);
   }
 
--- a/src/fleet/callback_scope.h
+++ b/src/fleet/callback_scope.h
@@ -27,7 +27,7 @@
     };
   }
 
-  /// Runs the callback once after `delay`; replaces what the timer waited for before.
+  /// Runs the callback once after `delay`; cancels the earlier wait of the timer.
   template <class Callback>
   void runAfter(boost::asio::steady_timer& timer, Micros delay, Callback callback) const {
     timer.expires_after(std::chrono::microseconds(delay));
--- a/src/fleet/command.h
+++ b/src/fleet/command.h
@@ -1,6 +1,6 @@
-// The operators' commands on a fleet: they show its plan, senders and zones, and change the plan. Each
-// returns the exit status, 0 or 1, or throws std::exception with a message for people when nothing was done.
-// Blocking; for command-line programs only.
+// The operators' commands on a fleet: they show the plan, the senders and the zones, and change the plan.
+// Each command returns the exit status, 0 or 1, or throws std::exception with a message for the operator when
+// nothing was changed. Blocking; for command-line programs only.
 #pragma once
 
 #include <optional>
@@ -13,42 +13,43 @@
 namespace grademux::fleet {
 
 /// The store of a fleet.
-struct Where {
-  std::vector<std::string> store;  ///< HOST:PORT each.
-  std::string prefix = "grademux";
+struct StoreLocation {
+  std::vector<std::string> store;   ///< HOST:PORT each.
+  std::string prefix = "grademux";  ///< Of the fleet's keys.
 };
 
-/// What a new plan changes in the one before.
-struct Change {
-  std::string by;   ///< Empty: the user and host of this process.
-  std::string why;  ///< Must not be empty.
+/// What a new plan changes in the plan before.
+struct PlanChange {
+  std::string author;  ///< Empty: the user and host of this process.
+  std::string reason;  ///< Must not be empty.
   /// Required digests and program version; empty text: any.
   std::optional<std::string> settings, daemon, program;
   std::optional<std::int64_t> list_version;
-  std::string like;  ///< Requires the digests of this sender.
+  std::string example_sender;  ///< The plan requires the digests of this sender; empty: none.
   std::optional<bool> strict;
-  std::optional<Micros> lease, binds_after;
-  std::optional<double> most_shut_out;
+  std::optional<Micros> lease, effective_after;
+  std::optional<double> max_fenced_fraction;
 };
 
 /// The last report of each sender.
-std::vector<SenderReport> reports(const Where& where);
-int status(const Where& where, bool as_json);
-int showPlan(const Where& where, bool as_json);
+std::vector<SenderReport> reports(const StoreLocation& location);
+int status(const StoreLocation& location, bool as_json);
+int showPlan(const StoreLocation& location, bool as_json);
 /// Changes the requirements.
-int propose(const Where& where, const Change& change);
+int propose(const StoreLocation& location, const PlanChange& change);
 /// Keeps the requirements and makes the plan strict.
-int bind(const Where& where, const Change& change);
-/// Returns to the requirements of the plan before; `halt` marks the plan that is left as faulty.
-int revert(const Where& where, const Change& change, bool halt);
+int bind(const StoreLocation& location, const PlanChange& change);
+/// Returns to the requirements of the plan before; `halt` marks the new plan as halted.
+int revert(const StoreLocation& location, const PlanChange& change, bool halt);
 /// Shows the states of the zones and the senders' votes.
-int zones(const Where& where, bool as_json);
-/// `leave` evacuates and pins; `come_back` starts the recovery; `at_once` makes the zone active; `hold` pins
-/// the state; `release` lets the senders' votes decide.
-enum class ZoneWord { leave, come_back, at_once, hold, release };
-/// `region`: `name` is a region, and the command applies to all of its zones.
-int zone(const Where& where, const Change& change, const std::string& name, ZoneWord word, bool region);
-/// Fences a sender, or readmits it.
-int shutOut(const Where& where, const Change& change, const std::string& name, bool out);
+int zones(const StoreLocation& location, bool as_json);
+/// `evacuate` evacuates the zone and pins its state; `recover` starts the recovery; `activate` makes the zone
+/// active; `hold` pins the state; `release` lets the senders' votes decide.
+enum class ZoneCommand { evacuate, recover, activate, hold, release };
+/// `is_region`: `name` is a region, and the command applies to all of its zones.
+int zone(const StoreLocation& location, const PlanChange& change, const std::string& name,
+         ZoneCommand command, bool is_region);
+/// Fences a sender (`fenced`), or readmits it.
+int setFenced(const StoreLocation& location, const PlanChange& change, const std::string& name, bool fenced);
 
 }  // namespace grademux::fleet
--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -192,7 +192,7 @@
       other_requests_, "PUT", "/v1/session/create", request.dump(), timeout_,
       [](const HttpAnswer& answer, StoreReply& reply) {
         if (answer.status != 200)
-          bad("no session is given");
+          bad("the store opened no session");
         reply.session = text(json::parse(answer.body), "ID");
         reply.applied = true;
       },
--- a/src/fleet/fleet_config.h
+++ b/src/fleet/fleet_config.h
@@ -9,12 +9,12 @@
 namespace grademux::fleet {
 
 struct FleetConfig {
-  std::string name;                ///< Of this sender, unique in the fleet.
+  std::string name;                ///< Name of this sender, unique in the fleet.
   std::vector<std::string> store;  ///< HOST:PORT each.
   std::string prefix = "grademux";
-  Micros session_ttl = 30'000'000;          ///< The store ends a session that is not renewed for so long.
-  bool send_version_header = false;         ///< Requests carry X-Fleet-Version.
-  bool evacuate_zones = false;              ///< Zones change by the senders' votes, not by commands alone.
+  Micros session_ttl = 30'000'000;   ///< The store ends a session that is not renewed for this time.
+  bool send_version_header = false;  ///< Requests carry X-Fleet-Version.
+  bool evacuate_zones = false;       ///< Zone states change by the senders' votes, not by commands alone.
   Micros min_evacuation_time = 10'000'000;  ///< Doubles with each failed recovery.
   audit::AuditBudget audit_budget;
 
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -129,8 +129,8 @@
   reports_.shutDown();
 }
 
-// The session is left to the next process of this sender, which ends it by its epoch, or to its TTL. The
-// audit log is complete before another process can open it.
+// The session at the store is not ended here: it ends by its TTL, or the next process of this sender ends it
+// because its report has an older epoch. The audit log is closed before another process can open it.
 void FleetMember::release(const std::string& cause) {
   if (released_)
     return;
@@ -180,7 +180,7 @@
     error = result.error().description;
   } else {
     const StoreReply& reply = result.value();
-    read_index_ = reply.index < read_index_ ? 0 : reply.index;  // It decreases when the store is restored.
+    read_index_ = reply.index < read_index_ ? 0 : reply.index;  // A restored store has a smaller index.
     updateStoreClock(reply.store_time);
     try {
       received = receivePlan(reply.entries, requested_at);
@@ -239,7 +239,7 @@
   writeAuditRecord({{"kind", silent ? "store silent" : "store answers"}, {"why", error}});
 }
 
-// A read that the store did not hold must not be repeated without a pause.
+// A read that the store answered at once and without news is not repeated without a pause.
 void FleetMember::scheduleNextRead(bool failed, bool received, Micros requested_at) {
   if (failed)
     return scope_.runAfter(read_timer_, store_backoff_.next(kMinRetryDelay, kMaxRetryDelay),
@@ -329,8 +329,8 @@
 void FleetMember::onPlanStored(const Plan& plan, const std::string& error) {
   storing_plan_ = 0;
   if (!error.empty()) {
-    config_error_ = "the plan can't be kept: " + error;
-    return;  // The next updateCompliance() tries again.
+    config_error_ = "the plan can't be stored: " + error;
+    return;  // The next updateCompliance() stores the plan again.
   }
   if (plan.number != compliance_.newest().number &&
       !missingRequirements(runningVersions(), plan, config_.name).empty())
@@ -380,8 +380,8 @@
   updateCompliance();
 }
 
-// A plan that too many senders can't follow would fence them all. Any of them replaces it by the plan before;
-// the operator decides what comes next.
+// A plan that too many senders can't follow would fence all of them. Any of these senders replaces the plan
+// by the requirements of the plan before; the operator decides on the next plan.
 void FleetMember::haltPlanIfTooManyLag() {
   halting_ = true;
   store_->listPrefix(
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -28,15 +28,16 @@
 
 class FleetMember : public ActionGuard {
  public:
-  /// What the member reads from the sender and has it do; all on the loop thread.
+  /// Queries and commands of the member to its sender; all are called on the loop thread.
   struct Callbacks {
     std::function<std::int64_t()> list_version;  ///< Of the sender's endpoint list.
-    /// Reads again, completely and at once, what is missing. Problems are reported by onConfigApplied().
+    /// Reads the files or lists that are missing again, completely and at once. The sender reports errors by
+    /// onConfigApplied().
     std::function<void(const std::vector<MissingRequirement>&)> catch_up;
     std::function<void(const std::vector<std::string>&)> refresh_endpoints;  ///< Their visible state changed.
     std::function<const zones::ZonePolicy&()> zone_policy;
     std::function<int()> sender_count;  ///< Approximate size of the fleet.
-    /// Whether actions are allowed has changed. Before the first call they are not.
+    /// Called when actions become allowed or forbidden. They are forbidden before the first call.
     std::function<void(bool allowed, const std::string& reason)> set_allowed;
   };
   /// `folder`: where the adopted plan, the traffic baseline and the audit log are stored. `epoch`: of this
@@ -48,12 +49,14 @@
   FleetMember& operator=(const FleetMember&) = delete;
 
   /// Starts reading the plan. `running`: program version and digests. `cause`: for the audit log. `versions`:
-  /// the versions in the journal, by number; a killed process may have used one that its audit log lacks.
+  /// the versions in the journal, by number; a killed process may have used a version that its audit log
+  /// lacks.
   void start(const RunningVersions& running, const std::string& cause,
              const std::map<std::uint32_t, std::string>& versions);
-  /// Program, settings or daemon file were read again. `error`: why a file can't be used; empty if all can.
+  /// Called after program, settings or daemon file were read again. `error`: why a file can't be used; empty
+  /// if all can.
   void onConfigApplied(const RunningVersions& running, const std::string& error);
-  /// This process ends soon: ends its session at the store. Actions stay allowed while the lease lasts.
+  /// Ends the session at the store before this process ends. Actions stay allowed while the lease lasts.
   void announceShutdown();
   /// Ends the membership because another process of this sender continues or this one ends. Nothing is read
   /// or written afterwards. Blocks until the audit log is closed.
--- a/src/fleet/fleet_snapshot.cpp
+++ b/src/fleet/fleet_snapshot.cpp
@@ -16,12 +16,13 @@
 
 using Request = std::function<void(Store&, Store::Callback)>;
 
-// Sends one request, to each address once and then one more time until it is answered. Throws if it is not.
-StoreReply call(const Where& where, const Request& request) {
+// Sends one request until it is answered: to each address once, and to the first address once more. Throws if
+// none answers.
+StoreReply call(const StoreLocation& location, const Request& request) {
   boost::asio::io_context io;
-  Consul store(io, where.store);
+  Consul store(io, location.store);
   StoreResult last = StoreError{};
-  for (std::size_t tries = 0; tries <= where.store.size() && !last.has_value(); ++tries) {
+  for (std::size_t tries = 0; tries <= location.store.size() && !last.has_value(); ++tries) {
     io.restart();
     bool answered = false;
     request(store, [&](const StoreResult& result) {
@@ -36,9 +37,9 @@
   return last.value();
 }
 
-FleetConfig configOf(const Where& where) {
+FleetConfig configOf(const StoreLocation& location) {
   FleetConfig config;
-  config.prefix = where.prefix;
+  config.prefix = location.prefix;
   return config;
 }
 
@@ -102,10 +103,10 @@
   return static_cast<std::size_t>(std::count_if(senders.begin(), senders.end(), lags));
 }
 
-FleetSnapshot readFleet(const Where& where) {
-  const FleetConfig config = configOf(where);
-  const StoreReply reply = call(where, [&](Store& store, Store::Callback done) {
-    store.listPrefix(where.prefix + "/", std::move(done));
+FleetSnapshot readFleet(const StoreLocation& location) {
+  const FleetConfig config = configOf(location);
+  const StoreReply reply = call(location, [&](Store& store, Store::Callback done) {
+    store.listPrefix(location.prefix + "/", std::move(done));
   });
   FleetSnapshot fleet;
   fleet.store_time = reply.store_time;
@@ -120,43 +121,43 @@
   return fleet;
 }
 
-Plan draftNextPlan(const FleetSnapshot& fleet, const Change& change) {
-  if (change.why.empty())
-    throw std::runtime_error("--why is expected: it stands in the plan and in every trail");
-  const std::string author = change.by.empty() ? operatorName() : change.by;
-  Plan next = nextPlan(newestKnownPlan(fleet), author, change.why, unixNow());
+Plan draftNextPlan(const FleetSnapshot& fleet, const PlanChange& change) {
+  if (change.reason.empty())
+    throw std::runtime_error("--why is expected: it is stored in the plan and in every audit log");
+  const std::string author = change.author.empty() ? operatorName() : change.author;
+  Plan next = nextPlan(newestKnownPlan(fleet), author, change.reason, unixNow());
   if (change.strict)
     next.strict = *change.strict;
   if (change.lease)
     next.lease = *change.lease;
-  if (change.binds_after)
-    next.effective_after = *change.binds_after;
-  if (change.most_shut_out)
-    next.max_fenced_fraction = *change.most_shut_out;
+  if (change.effective_after)
+    next.effective_after = *change.effective_after;
+  if (change.max_fenced_fraction)
+    next.max_fenced_fraction = *change.max_fenced_fraction;
   return next;
 }
 
-int replacePlan(const Where& where, const FleetSnapshot& fleet, const Plan& next) {
+int replacePlan(const StoreLocation& location, const FleetSnapshot& fleet, const Plan& next) {
   parsePlan(toJson(next));  // Checks the ranges of the fields.
   if (const auto checked = checkTransition(newestKnownPlan(fleet), next); !checked.has_value())
     throw std::runtime_error("plan " + std::to_string(next.number) +
                              " is refused: " + checked.error().description);
-  // A lost answer does not tell whether the change was made: the plan in the store does.
+  // Without an answer, whether the change was made is read from the plan in the store.
   std::string call_error;
   StoreReply reply;
   try {
-    reply = call(where, [&](Store& store, Store::Callback done) {
-      store.compareAndSwap(configOf(where).planKey(), toJson(next).dump(), fleet.modify_index,
+    reply = call(location, [&](Store& store, Store::Callback done) {
+      store.compareAndSwap(configOf(location).planKey(), toJson(next).dump(), fleet.modify_index,
                            std::move(done));
     });
   } catch (const std::exception& error) {
     call_error = error.what();
   }
   if (!reply.applied) {
-    const FleetSnapshot now = readFleet(where);
+    const FleetSnapshot now = readFleet(location);
     if (planDigest(now.plan) != planDigest(next)) {
       if (now.modify_index == fleet.modify_index)
-        throw std::runtime_error(call_error.empty() ? "the store took nothing" : call_error);
+        throw std::runtime_error(call_error.empty() ? "the store did not apply the change" : call_error);
       std::cerr << "grademux: not done: meanwhile " << now.plan.author << " made plan " << now.plan.number
                 << " (" << now.plan.reason << "), which asks for "
                 << describeRequirements(now.plan.requirements) << '\n';
@@ -180,11 +181,11 @@
                      describeRequirements(plan.requirements) + "\n  by " + plan.author + " at " +
                      utcText(plan.changed_at, false) + ": " + plan.reason + "\n";
   for (const std::string& name : plan.fenced)
-    text += "  shut out by word: " + name + "\n";
+    text += "  shut out by an operator: " + name + "\n";
   for (const auto& [zone, state] : plan.zones)
     text += "  zone " + zone + " " + grademux::zones::toString(state) + "\n";
   for (const std::string& field : plan.unknown_fields)
-    text += "  a field this program does not know: " + field + "\n";
+    text += "  a field that this program does not know: " + field + "\n";
   if (!plan.strict || fleet.store_time <= 0)
     return text;
   const Micros effective_at = plan.changed_at + plan.effective_after;
--- a/src/fleet/fleet_snapshot.h
+++ b/src/fleet/fleet_snapshot.h
@@ -22,16 +22,16 @@
 };
 
 /// Throws if the store does not answer. Keys that are not reports are named on standard error and left out.
-FleetSnapshot readFleet(const Where& where);
+FleetSnapshot readFleet(const StoreLocation& location);
 
-/// Starts a plan from the newest one that the store or any report knows, with the change's reason and
-/// options. Throws if the change has no reason.
-Plan draftNextPlan(const FleetSnapshot& fleet, const Change& change);
+/// Drafts the plan that follows the newest one in the store or in any report, with the change's author,
+/// reason and options. Throws if the change has no reason.
+Plan draftNextPlan(const FleetSnapshot& fleet, const PlanChange& change);
 
 /// Replaces the plan by compare-and-swap and prints the new one. Returns the exit status: 1 if another change
 /// came first, which is named on standard error. Throws if `next` may not follow or the store does not
 /// answer.
-int replacePlan(const Where& where, const FleetSnapshot& fleet, const Plan& next);
+int replacePlan(const StoreLocation& location, const FleetSnapshot& fleet, const Plan& next);
 
 /// The plan in lines of text, with a line break at the end.
 std::string describePlan(const FleetSnapshot& fleet);
--- a/src/fleet/plan.cpp
+++ b/src/fleet/plan.cpp
@@ -84,7 +84,7 @@
   plan.strict = truth(object, "strict");
   plan.lease = span(object, "lease_ms");
   plan.effective_after = span(object, "binds_after_ms");
-  if (plan.lease < kLeastLease || plan.lease > kMostLease)
+  if (plan.lease < kMinLease || plan.lease > kMaxLease)
     bad("lease_ms: 1000 to 3600000 is expected");
   if (plan.effective_after < 0)
     bad("binds_after_ms: no less than 0 is expected");
@@ -135,7 +135,7 @@
   if (next.strict && now.strict && next.effective_after < now.lease)
     return PlanTransitionError{PlanTransitionError::Kind::effective_before_lease_ends,
                                "it would bind after " + std::to_string(next.effective_after / 1000) +
-                                   " ms: a sender that is cut off acts on for the " +
+                                   " ms, but a sender without a connection to the store acts for the " +
                                    std::to_string(now.lease / 1000) + " ms of its lease"};
   return ok();
 }
@@ -218,9 +218,9 @@
     missing.push_back({kind, std::move(description)});
   };
   if (plan.fenced.count(name))
-    add(Kind::word, "shut out by " + plan.author + ": " + plan.reason);
+    add(Kind::fenced_by_operator, "shut out by " + plan.author + ": " + plan.reason);
   for (const std::string& field : plan.unknown_fields)
-    add(Kind::field, "program " + running.program + " does not know " + field);
+    add(Kind::unknown_field, "program " + running.program + " does not know " + field);
   const PlanRequirements& required = plan.requirements;
   if (!required.program.empty() && isOlderVersion(running.program, required.program))
     add(Kind::program, "program " + running.program + ", " + required.program + " or newer is asked for");
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -1,6 +1,6 @@
-// grademux fleet: the plan, the one small document that all senders of a fleet agree on, and the version that
-// each of them acts by. Data, its JSON form, and what follows from it without a clock.
-// docs/design/fleet.md has the rules that a plan has to keep.
+// The plan that all senders of a fleet agree on, a sender's running versions and its report: data, JSON form,
+// and the functions that need no clock. docs/design/fleet.md has the rules for plans. Plain data and pure
+// functions.
 #pragma once
 
 #include <map>
@@ -14,35 +14,39 @@
 
 namespace grademux::fleet {
 
-constexpr Micros kLeastLease = 1'000'000, kMostLease = 3'600'000'000LL;
+constexpr Micros kMinLease = 1'000'000, kMaxLease = 3'600'000'000LL;
 
-// What a sender has to run to act under a plan. Empty or -1: whatever it has.
+/// What a sender must run to act under a plan. Empty text or -1: no requirement.
 struct PlanRequirements {
-  std::string settings, daemon;    // digests
-  std::string program;             // the least version of it, as 0.4.0
-  std::int64_t list_version = -1;  // the least version of the list
+  std::string settings, daemon;    ///< Digests of the settings and of the daemon file.
+  std::string program;             ///< The minimum program version, for example 0.4.0.
+  std::int64_t list_version = -1;  ///< The minimum version of the endpoint list.
 };
 
 struct Plan {
-  std::int64_t number = 0;                               // only grows; 0: there is none yet
-  PlanRequirements requirements, previous_requirements;  // before: those of the last plan that was not halted
-  bool strict = false;        // a sender whose lease has ended stops; else it serves on, and is named
-  Micros lease = 30'000'000;  // that a sender may act on the word of one read
-  Micros effective_after = 30'000'000;  // from its change; no less than the lease of the plan before
-  double max_fenced_fraction = 0.25;    // share of the senders; past it the plan is halted
-  std::set<std::string> fenced;         // by an operator's word
+  std::int64_t number = 0;  ///< Increases with each plan; 0: there is no plan yet.
+  /// `previous_requirements`: of the last plan that was not halted.
+  PlanRequirements requirements, previous_requirements;
+  bool strict = false;        ///< A sender whose lease has ended stops; else it continues and is reported.
+  Micros lease = 30'000'000;  ///< For how long a sender may act after one read of the plan.
+  /// Time from the change until the plan is effective; at least the lease of the plan before.
+  Micros effective_after = 30'000'000;
+  double max_fenced_fraction = 0.25;  ///< Of the senders; a plan that would fence more is halted.
+  std::set<std::string> fenced;       ///< Names of the senders that an operator has fenced.
   bool halted = false;
-  zones::ZoneStates zones;  // how the fleet stands to them
+  zones::ZoneStates zones;
   std::string author, reason;
-  Micros changed_at = 0;                    // Unix time, by the clock of who changed it
-  std::vector<std::string> unknown_fields;  // fields that this program does not know: it can't act under it
+  Micros changed_at = 0;  ///< Unix time by the author's clock.
+  /// Fields that this program does not implement: it can't act under the plan.
+  std::vector<std::string> unknown_fields;
 };
 
-// Throws BadInput that names the field.
-Plan parsePlan(const json& o);
-json toJson(const Plan& p);
-// Tells two plans of one number from one another: XXH3 over the document, 16 hexadecimal digits.
-std::string planDigest(const Plan& p);
+/// Throws BadInput that names the field.
+Plan parsePlan(const json& object);
+json toJson(const Plan& plan);
+/// XXH3 over the plan's JSON, 16 hexadecimal digits; distinguishes two plans with the same number.
+std::string planDigest(const Plan& plan);
+/// XXH3 over any text, 16 hexadecimal digits.
 std::string planDigest(const std::string& canonical);
 
 /// Why a plan can't follow another.
@@ -53,70 +57,75 @@
 };
 /// Whether `next` may follow `now`.
 Result<void, PlanTransitionError> checkTransition(const Plan& now, const Plan& next);
-// The plan that follows, with a number of its own, made by somebody for a reason.
-Plan nextPlan(const Plan& now, const std::string& by, const std::string& why, Micros at);
-// Takes the needs of the last plan that was not halted: for when too many would be shut out, or an operator
-// says so.
-Plan haltedPlan(const Plan& now, const std::string& by, const std::string& why, Micros at);
-
-// What a sender acts by: derived from what is in force, never typed by hand.
+/// A copy of `now` with the next number; `changed_at` is Unix time.
+Plan nextPlan(const Plan& now, const std::string& author, const std::string& reason, Micros changed_at);
+/// The next plan, with the requirements of the last plan that was not halted: used when a plan would fence
+/// too many senders.
+Plan haltedPlan(const Plan& now, const std::string& author, const std::string& reason, Micros changed_at);
+
+/// The versions that a sender acts by: derived from the program and the files in use, never entered by an
+/// operator.
 struct RunningVersions {
   std::string program, settings, daemon;
   std::int64_t list_version = -1;
-  std::int64_t plan = 0;  // that it has taken over
+  std::int64_t plan = 0;  ///< The number of the adopted plan.
 
-  bool operator==(const RunningVersions& o) const {
-    return program == o.program && settings == o.settings && daemon == o.daemon &&
-           list_version == o.list_version && plan == o.plan;
+  bool operator==(const RunningVersions& other) const {
+    return program == other.program && settings == other.settings && daemon == other.daemon &&
+           list_version == other.list_version && plan == other.plan;
   }
-  bool operator!=(const RunningVersions& o) const { return !(*this == o); }
+  bool operator!=(const RunningVersions& other) const { return !(*this == other); }
 };
-json toJson(const RunningVersions& o);
-RunningVersions parseRunningVersions(const json& o);
+json toJson(const RunningVersions& versions);
+/// Throws BadInput that names the field.
+RunningVersions parseRunningVersions(const json& object);
 
-// What it lacks to act under the plan, a line each: nothing if it can.
+/// A requirement that a sender does not meet.
 struct MissingRequirement {
-  enum class Kind { program, settings, daemon, list_version, field, word } kind;
-  std::string description;
+  enum class Kind { program, settings, daemon, list_version, unknown_field, fenced_by_operator } kind;
+  std::string description;  ///< One line for the operator.
 };
-std::vector<MissingRequirement> missingRequirements(const RunningVersions& own, const Plan& plan,
+/// What a sender lacks to act under the plan; empty if it can. `name`: the sender's name in the fleet.
+std::vector<MissingRequirement> missingRequirements(const RunningVersions& running, const Plan& plan,
                                                     const std::string& name);
-std::string toString(const std::vector<MissingRequirement>& lacks);
+std::string toString(const std::vector<MissingRequirement>& missing);
 
-// Orders those who may try a zone: the same at all senders, another with each plan.
+/// Sort key of a sender among the possible probers of a zone: the same at all senders, different for each
+/// plan.
 std::string probeRank(std::int64_t plan, const std::string& name);
 
-// a before b, part by part, as numbers: 0.9.1 before 0.10.
-bool isOlderVersion(const std::string& a, const std::string& b);
+/// Compares versions part by part as numbers: 0.9.1 is older than 0.10.
+bool isOlderVersion(const std::string& version, const std::string& other);
 
-constexpr const char* kFencedName = "shut out";  // of standings, the one that reports are held against
-// From when on it acted by a plan, or might not act.
+constexpr const char* kFencedName = "shut out";  // name of Compliance::fenced in reports
+/// A period in which a sender acted under one plan, or was not allowed to act.
 struct ActionPeriod {
-  Micros from = 0;  // Unix time, of its own clock
+  Micros from = 0;  ///< Unix time by the sender's clock.
   std::int64_t plan = 0;
   bool allowed = false;
 };
-// What a sender tells of itself at the store. It outlives the sender: `past` is what is known of one whose
-// folder is gone.
+/// A sender's report at the store. It outlives the sender: `action_history` is what is known of a sender
+/// whose folder is lost.
 struct SenderReport {
   std::string name, compliance, reason, host, process;
   RunningVersions versions;
-  std::int64_t newest_plan = 0;                  // the newest plan that it has read
-  Micros lease = 0;                              // of the plan that it acts under
-  bool strict = false;                           // the same
-  Micros since = 0, at = 0;                      // Unix time, of its own clock
-  std::int64_t epoch = 0;                        // of the process, by its journal
-  std::map<std::string, zones::ZoneVote> zones;  // what it saw of each
-  std::map<std::string, std::string> regions;    // of those, where its daemon file names them
-  std::vector<ActionPeriod> action_history;      // of this process, the last kPast, oldest first
-  bool live = false;                             // its session stands; not part of the document
+  std::int64_t newest_plan = 0;  ///< Number of the newest plan that the sender has read.
+  Micros lease = 0;              ///< Of the plan that the sender acts under.
+  bool strict = false;           ///< Of the plan that the sender acts under.
+  Micros since = 0, at = 0;      ///< Of the compliance and of the report; Unix time by its clock.
+  std::int64_t epoch = 0;        ///< Of the process, from its journal.
+  std::map<std::string, zones::ZoneVote> zones;  ///< Votes by zone.
+  std::map<std::string, std::string> regions;    ///< By zone, where the sender's daemon file names one.
+  std::vector<ActionPeriod> action_history;  ///< Of this process: the last kMaxActionHistory, oldest first.
+  bool live = false;                         ///< Its session is open; not part of the JSON form.
 };
 constexpr std::size_t kMaxActionHistory = 16;
-json toJson(const SenderReport& r);
-SenderReport parseReport(const json& o);
+json toJson(const SenderReport& report);
+/// Throws BadInput that names the field.
+SenderReport parseReport(const json& object);
 
-// The plan to put in place of `plan`, if the senders that live and can't follow it are more than may be shut
-// out at once: they would be when it binds.
+/// Whether the live senders that can't follow the plan exceed the fraction of senders that may be fenced;
+/// they would be fenced when the plan becomes effective. Appends their names to `names`.
 bool tooManyLagging(const Plan& plan, const std::vector<SenderReport>& senders, std::string& names);
 
 }  // namespace grademux::fleet
--- a/src/fleet/plan_command.cpp
+++ b/src/fleet/plan_command.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-int propose(const Where& where, const Change& change) {
-  const FleetSnapshot fleet = readFleet(where);
+int propose(const StoreLocation& location, const PlanChange& change) {
+  const FleetSnapshot fleet = readFleet(location);
   Plan next = draftNextPlan(fleet, change);
-  if (!change.like.empty()) {
-    const SenderReport* example = findSender(fleet, change.like);
+  if (!change.example_sender.empty()) {
+    const SenderReport* example = findSender(fleet, change.example_sender);
     if (!example)
-      throw std::runtime_error("no sender " + change.like + " has reported");
+      throw std::runtime_error("no sender " + change.example_sender + " has reported");
     next.requirements.settings = example->versions.settings;
     next.requirements.daemon = example->versions.daemon;
   }
@@ -34,41 +34,41 @@
     next.requirements.program = *change.program;
   if (change.list_version)
     next.requirements.list_version = *change.list_version;
-  return replacePlan(where, fleet, next);
+  return replacePlan(location, fleet, next);
 }
 
-int bind(const Where& where, const Change& change) {
-  const FleetSnapshot fleet = readFleet(where);
+int bind(const StoreLocation& location, const PlanChange& change) {
+  const FleetSnapshot fleet = readFleet(location);
   if (fleet.plan.number == 0)
     throw std::runtime_error("there is no plan to bind");
   Plan next = draftNextPlan(fleet, change);
   next.strict = true;
-  return replacePlan(where, fleet, next);
+  return replacePlan(location, fleet, next);
 }
 
-int revert(const Where& where, const Change& change, bool halt) {
-  const FleetSnapshot fleet = readFleet(where);
+int revert(const StoreLocation& location, const PlanChange& change, bool halt) {
+  const FleetSnapshot fleet = readFleet(location);
   if (fleet.plan.number == 0)
-    throw std::runtime_error("there is no plan to go back from");
+    throw std::runtime_error("there is no plan to revert");
   Plan next = draftNextPlan(fleet, change);
   next.previous_requirements = fleet.plan.previous_requirements;
   next.requirements = fleet.plan.previous_requirements;
   next.halted = halt;
-  return replacePlan(where, fleet, next);
+  return replacePlan(location, fleet, next);
 }
 
-int shutOut(const Where& where, const Change& change, const std::string& name, bool out) {
-  const FleetSnapshot fleet = readFleet(where);
+int setFenced(const StoreLocation& location, const PlanChange& change, const std::string& name, bool fenced) {
+  const FleetSnapshot fleet = readFleet(location);
   Plan next = draftNextPlan(fleet, change);
-  if (out && !findSender(fleet, name))
+  if (fenced && !findSender(fleet, name))
     throw std::runtime_error("no sender " + name + " has reported");
-  if (out == (next.fenced.count(name) > 0))
-    throw std::runtime_error(name + (out ? " is shut out already" : " is not shut out"));
-  if (out)
+  if (fenced == (next.fenced.count(name) > 0))
+    throw std::runtime_error(name + (fenced ? " is shut out already" : " is not shut out"));
+  if (fenced)
     next.fenced.insert(name);
   else
     next.fenced.erase(name);
-  return replacePlan(where, fleet, next);
+  return replacePlan(location, fleet, next);
 }
 
 }  // namespace grademux::fleet
--- a/src/fleet/plan_compliance.cpp
+++ b/src/fleet/plan_compliance.cpp
@@ -27,14 +27,14 @@
   if (conflictsWithNewest(plan)) {
     lost_data_reason_ = "the store has plan " + std::to_string(plan.number) + ", here " +
                         std::to_string(newest_.number) + " is known" +
-                        (plan.number == newest_.number ? ", and it is another" : "");
+                        (plan.number == newest_.number ? ", with different content" : "");
     return false;
   }
   last_read_at_ = std::max(last_read_at_, requested_at);
   if (plan.number == acting_.number && (has_plan_ || plan.number == 0)) {
     acting_confirmed_at_ = std::max(acting_confirmed_at_, requested_at);
   } else if (newest_.number == acting_.number || !has_plan_) {
-    // The first newer plan. If a plan between was missed, its effective time is not known.
+    // This is the first newer plan. If a plan between was missed, its effective time is not known.
     const bool is_next = has_plan_ && plan.number == acting_.number + 1;
     lag_allowance_ = is_next && plan.strict ? std::max(acting_.lease, plan.effective_after) : acting_.lease;
   }
--- a/src/fleet/plan_compliance.h
+++ b/src/fleet/plan_compliance.h
@@ -24,10 +24,10 @@
 enum class Compliance {
   current,
   catching_up,  ///< A newer plan is known, and this sender does not meet its requirements yet.
-  unknown,      ///< The store has not answered lately; the plan known last still applies.
+  unknown,      ///< The store has not answered lately; the last known plan still applies.
   fenced        ///< No message is accepted and no attempt started.
 };
-/// The name in reports, logs and the audit log.
+/// The name of the compliance in reports, logs and the audit log.
 const char* toString(Compliance compliance);
 
 class PlanCompliance {
--- a/src/fleet/report_publisher.cpp
+++ b/src/fleet/report_publisher.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Micros kMinRetryDelay = 100'000;
-// A session is renewed three times within its TTL; after a failure sooner.
+// A session is renewed three times within its TTL, and sooner after a failed renewal.
 constexpr int kRenewalsPerTtl = 3;
 constexpr int kRetriesPerTtl = 8;
 
@@ -66,23 +66,24 @@
   SenderReport report = callbacks_.report();
   const bool fenced = isFenced(report);
   report.at = unixNow();
-  store_.acquireKey(
-      config_.reportKey(), toJson(report).dump(), session_,
-      scope_.wrap([this, fenced](const StoreResult& result) {
-        if (!result.has_value()) {  // The write may have been done, and the session may have ended.
-          renewAfter(kMinRetryDelay);
-          return onPublished(false);
-        }
-        if (!result.value().applied)
-          return claimKey();
-        if (fenced)
-          endSession();
-        onPublished(true);
-      }));
+  store_.acquireKey(config_.reportKey(), toJson(report).dump(), session_,
+                    scope_.wrap([this, fenced](const StoreResult& result) {
+                      if (!result.has_value()) {  // Whether the report was written, and whether the session
+                                                  // has ended, is unknown.
+                        renewAfter(kMinRetryDelay);
+                        return onPublished(false);
+                      }
+                      if (!result.value().applied)
+                        return claimKey();
+                      if (fenced)
+                        endSession();
+                      onPublished(true);
+                    }));
 }
 
-// Another session holds the report's key: that of an earlier process of this sender, or one whose opening was
-// not answered. Ending it also voids what it still writes.
+// Another session holds the report's key: the session of an earlier process of this sender, or a session of
+// this process whose opening was not answered. After its end, writes still under way with that session have
+// no effect.
 void ReportPublisher::claimKey() {
   store_.listPrefix(config_.reportKey(), scope_.wrap([this](const StoreResult& result) {
     if (!result.has_value())
@@ -103,7 +104,7 @@
     else
       log::write(log::Event::fleet_name_conflict, {{"name", config_.name}, {"host", holder.host}});
   } catch (const std::exception&) {
-    return;  // Not a report: left to whoever wrote it.
+    return;  // Not a report: the session of whoever wrote the value continues.
   }
 }
 
--- a/src/fleet/state_files.h
+++ b/src/fleet/state_files.h
@@ -1,6 +1,6 @@
-// The files that a fleet member keeps in its folder: the plan that it has adopted and its traffic baseline.
-// Each is one JSON document with a digest; the names in it are the stored format and stay as they are.
-// Blocking file access.
+// Reads and serializes the files in a fleet member's folder: the adopted plan and the traffic baseline. Each
+// file is one JSON document with a digest; the field names are the stored format and must not change. File
+// access blocks.
 #pragma once
 
 #include <optional>
--- a/src/fleet/status_command.cpp
+++ b/src/fleet/status_command.cpp
@@ -56,12 +56,12 @@
 
 }  // namespace
 
-std::vector<SenderReport> reports(const Where& where) {
-  return readFleet(where).senders;
+std::vector<SenderReport> reports(const StoreLocation& location) {
+  return readFleet(location).senders;
 }
 
-int status(const Where& where, bool as_json) {
-  const FleetSnapshot fleet = readFleet(where);
+int status(const StoreLocation& location, bool as_json) {
+  const FleetSnapshot fleet = readFleet(location);
   if (as_json) {
     printJson(fleet);
     return 0;
@@ -84,8 +84,8 @@
   return 0;
 }
 
-int showPlan(const Where& where, bool as_json) {
-  const FleetSnapshot fleet = readFleet(where);
+int showPlan(const StoreLocation& location, bool as_json) {
+  const FleetSnapshot fleet = readFleet(location);
   std::cout << (as_json ? toJson(fleet.plan).dump() + "\n" : describePlan(fleet));
   return fleet.plan.number > 0 ? 0 : 1;
 }
--- a/src/fleet/zone_command.cpp
+++ b/src/fleet/zone_command.cpp
@@ -106,7 +106,7 @@
                           std::any_of(fleet.senders.begin(), fleet.senders.end(),
                                       [&](const SenderReport& sender) { return sender.zones.count(name); });
     if (!is_known)
-      throw std::runtime_error("no sender has told of a zone " + name);
+      throw std::runtime_error("no sender has reported a zone " + name);
     return {name};
   }
   std::vector<std::string> zones;
@@ -114,7 +114,7 @@
     if (region == name)
       zones.push_back(zone);
   if (zones.empty())
-    throw std::runtime_error("no sender has told of a region " + name);
+    throw std::runtime_error("no sender has reported a region " + name);
   return zones;
 }
 
@@ -143,32 +143,32 @@
 
 // The state after the command; empty if the command does not apply to the zone's state.
 std::optional<ZoneState> stateAfter(const FleetSnapshot& fleet, const Plan& next, const std::string& zone,
-                                    ZoneWord command) {
+                                    ZoneCommand command) {
   ZoneState state = stateOf(next, zone);
   switch (command) {
-    case ZoneWord::leave:
+    case ZoneCommand::evacuate:
       state = {};
       state.phase = ZonePhase::evacuated;
       state.pinned_by_operator = true;
       return state;
-    case ZoneWord::at_once:
+    case ZoneCommand::activate:
       return ZoneState();
-    case ZoneWord::come_back:
+    case ZoneCommand::recover:
       if (state.phase != ZonePhase::evacuated)
         return std::nullopt;
       return startRecovery(fleet, next, zone, state);
-    case ZoneWord::hold:
-    case ZoneWord::release:
+    case ZoneCommand::hold:
+    case ZoneCommand::release:
       break;
   }
-  state.pinned_by_operator = command == ZoneWord::hold;
+  state.pinned_by_operator = command == ZoneCommand::hold;
   return state;
 }
 
 }  // namespace
 
-int zones(const Where& where, bool as_json) {
-  const FleetSnapshot fleet = readFleet(where);
+int zones(const StoreLocation& location, bool as_json) {
+  const FleetSnapshot fleet = readFleet(location);
   const ZoneOverview overview = collectZones(fleet);
   if (as_json) {
     std::cout << json(overview.zones).dump() << '\n';
@@ -177,20 +177,21 @@
   for (const auto& [zone, description] : overview.zones)
     printZone(fleet, zone, overview);
   if (overview.zones.empty())
-    std::cout << "no sender has told of a zone\n";
+    std::cout << "no sender has reported a zone\n";
   return 0;
 }
 
-int zone(const Where& where, const Change& change, const std::string& name, ZoneWord word, bool region) {
-  const FleetSnapshot fleet = readFleet(where);
+int zone(const StoreLocation& location, const PlanChange& change, const std::string& name,
+         ZoneCommand command, bool is_region) {
+  const FleetSnapshot fleet = readFleet(location);
   if (fleet.plan.number == 0)
     throw std::runtime_error("there is no plan yet: fleet plan propose");
   Plan next = draftNextPlan(fleet, change);
   std::string unchanged;
   bool applies = false;
   bool changed = false;
-  for (const std::string& selected : selectZones(fleet, name, region)) {
-    std::optional<ZoneState> state = stateAfter(fleet, next, selected, word);
+  for (const std::string& selected : selectZones(fleet, name, is_region)) {
+    std::optional<ZoneState> state = stateAfter(fleet, next, selected, command);
     if (!state)
       continue;
     applies = true;
@@ -199,15 +200,15 @@
       continue;
     }
     changed = true;
-    state->reason = change.why;
+    state->reason = change.reason;
     grademux::zones::apply({{selected, *state}}, next.zones);
   }
-  const std::string subject = (region ? "region " : "zone ") + name;
+  const std::string subject = (is_region ? "region " : "zone ") + name;
   if (!applies)
     throw std::runtime_error(subject + " is not out");
   if (!changed)
-    throw std::runtime_error(subject + " stands so already: " + unchanged);
-  return replacePlan(where, fleet, next);
+    throw std::runtime_error(subject + " is already in this state: " + unchanged);
+  return replacePlan(location, fleet, next);
 }
 
 }  // namespace grademux::fleet
--- a/src/fleet/zone_coordinator.cpp
+++ b/src/fleet/zone_coordinator.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr Micros kRefreshInterval = 20'000;  // for endpoints that got a token again
+constexpr Micros kRefreshInterval = 20'000;  // for endpoints whose token bucket has a token again
 constexpr Micros kEvaluationInterval = 1'000'000;
-// Senders that read all reports in one interval: one is enough to write a decision.
+// Average number of senders that read all reports in one interval; a single one suffices to write a decision.
 constexpr double kEvaluatingSenders = 4;
 
 }  // namespace
@@ -138,7 +138,7 @@
     try {
       const SenderReport sender = parseReport(json::parse(entry.value));
       if (sender.versions.plan != plan.number)
-        continue;  // It voted under another plan.
+        continue;  // This sender voted under another plan.
       for (const auto& [zone, vote] : sender.zones)
         if (const auto report = reports.find(zone); report != reports.end())
           report->second.voters.push_back({sender.name, vote, !entry.session.empty()});
--- a/tests/fleet/ahead.cpp
+++ b/tests/fleet/ahead.cpp
@@ -1,5 +1,5 @@
-// The program on a machine whose clock is three minutes ahead; the linker puts this in the place of
-// unixNow().
+// Builds the program as on a machine whose clock is three minutes ahead: the linker replaces unixNow() by
+// this function.
 #include "../../src/core/clock.h"
 
 extern "C" {
--- a/tests/fleet/consul_test.cpp
+++ b/tests/fleet/consul_test.cpp
@@ -1,5 +1,5 @@
-// The store's client against a stand-in after the published interface: compare-and-swap, sessions, held
-// reads, indexes that go back, nodes that die.
+// Tests the Consul client against a stand-in for the published HTTP API: compare-and-swap, sessions, blocking
+// reads, indexes that decrease, nodes that fail.
 #include "../../src/fleet/consul.h"
 
 #include <gtest/gtest.h>
@@ -17,21 +17,21 @@
 class ConsulTest : public ::testing::Test {
  protected:
   ConsulTest() : stand_in_(io_, 3), store_(io_, stand_in_.addresses(), 300'000) {}
-  StoreResult wait(const std::function<void(Store::Callback)>& ask) {
+  StoreResult wait(const std::function<void(Store::Callback)>& send) {
     std::optional<StoreResult> answer;
-    ask([&](const StoreResult& result) { answer = result; });
+    send([&](const StoreResult& result) { answer = result; });
     while (!answer)
       io_.run_one();
     return *answer;
   }
-  StoreResult read(std::int64_t after = 0, Micros wait_time = 0) {
-    return wait([&](auto done) { store_.read("p/plan", after, wait_time, done); });
+  StoreResult read(std::int64_t index = 0, Micros wait_time = 0) {
+    return wait([&](auto done) { store_.read("p/plan", index, wait_time, done); });
   }
-  StoreResult compareAndSwap(const std::string& v, std::int64_t changed) {
-    return wait([&](auto done) { store_.compareAndSwap("p/plan", v, changed, done); });
+  StoreResult compareAndSwap(const std::string& value, std::int64_t modify_index) {
+    return wait([&](auto done) { store_.compareAndSwap("p/plan", value, modify_index, done); });
   }
-  StoreResult acquireKey(const std::string& v, const std::string& session) {
-    return wait([&](auto done) { store_.acquireKey("p/senders/s1", v, session, done); });
+  StoreResult acquireKey(const std::string& value, const std::string& session) {
+    return wait([&](auto done) { store_.acquireKey("p/senders/s1", value, session, done); });
   }
   std::string openSession() {
     return wait([&](auto done) { store_.openSession("s1", 10'000'000, done); }).value().session;
@@ -41,12 +41,12 @@
   Consul store_;
 };
 
-TEST_F(ConsulTest, OneOfTwoSwapsWins) {
+TEST_F(ConsulTest, AppliesOneOfTwoSwapsOfTheSameIndex) {
   EXPECT_TRUE(read().value().entries.empty());
   EXPECT_TRUE(compareAndSwap("one", 0).value().applied);
-  const StoreResult a = compareAndSwap("two", 0);
-  EXPECT_TRUE(a.has_value());
-  EXPECT_FALSE(a.value().applied);
+  const StoreResult second = compareAndSwap("two", 0);
+  EXPECT_TRUE(second.has_value());
+  EXPECT_FALSE(second.value().applied);
   const StoreResult seen = read();
   ASSERT_EQ(seen.value().entries.size(), 1u);
   EXPECT_EQ(seen.value().entries[0].value, "one");
@@ -56,56 +56,56 @@
   EXPECT_GT(seen.value().store_time, 1'600'000'000LL * 1'000'000);
 }
 
-TEST_F(ConsulTest, AHeldReadEndsWithNewsOrItsTime) {
+TEST_F(ConsulTest, BlockingReadEndsAtAChangeOrAfterItsWait) {
   ASSERT_TRUE(compareAndSwap("one", 0).value().applied);
   const StoreResult first = read();
-  const Micros began = monotonicNow();
+  const Micros started_at = monotonicNow();
   EXPECT_TRUE(read(first.value().index, 200'000).has_value());
-  EXPECT_GE(monotonicNow() - began, 190'000);
-  StoreResult got = StoreError{};
-  store_.read("p/plan", first.value().index, 20'000'000, [&](const StoreResult& result) { got = result; });
+  EXPECT_GE(monotonicNow() - started_at, 190'000);
+  StoreResult reply = StoreError{};
+  store_.read("p/plan", first.value().index, 20'000'000, [&](const StoreResult& result) { reply = result; });
   EXPECT_TRUE(compareAndSwap("two", first.value().entries[0].modify_index).value().applied);
-  while (!got.has_value())
+  while (!reply.has_value())
     io_.run_one();
-  EXPECT_EQ(got.value().entries.at(0).value, "two");
-  EXPECT_GT(got.value().index, first.value().index);
+  EXPECT_EQ(reply.value().entries.at(0).value, "two");
+  EXPECT_GT(reply.value().index, first.value().index);
 }
 
-TEST_F(ConsulTest, AStoreThatForgotWakesTheReadWithALowerIndex) {
+TEST_F(ConsulTest, BlockingReadReturnsALowerIndexWhenStoreLosesData) {
   ASSERT_TRUE(compareAndSwap("one", 0).value().applied);
   const StoreResult first = read();
-  StoreResult got = StoreError{};
-  store_.read("p/plan", first.value().index, 20'000'000, [&](const StoreResult& result) { got = result; });
+  StoreResult reply = StoreError{};
+  store_.read("p/plan", first.value().index, 20'000'000, [&](const StoreResult& result) { reply = result; });
   io_.run_for(std::chrono::milliseconds(50));
   stand_in_.forget();
-  while (!got.has_value())
+  while (!reply.has_value())
     io_.run_one();
-  EXPECT_TRUE(got.value().entries.empty());
-  EXPECT_LT(got.value().index, first.value().index);
+  EXPECT_TRUE(reply.value().entries.empty());
+  EXPECT_LT(reply.value().index, first.value().index);
 }
 
-TEST_F(ConsulTest, WhatASessionHoldsEndsWithIt) {
-  const std::string one = openSession(), two = openSession();
-  ASSERT_FALSE(one.empty());
-  EXPECT_TRUE(acquireKey("mine", one).value().applied);
-  EXPECT_TRUE(acquireKey("mine, newer", one).value().applied);
-  const StoreResult other = acquireKey("theirs", two);
+TEST_F(ConsulTest, ReleasesKeysWhenTheirSessionEnds) {
+  const std::string first = openSession(), second = openSession();
+  ASSERT_FALSE(first.empty());
+  EXPECT_TRUE(acquireKey("mine", first).value().applied);
+  EXPECT_TRUE(acquireKey("mine, newer", first).value().applied);
+  const StoreResult other = acquireKey("theirs", second);
   EXPECT_TRUE(other.has_value());
   EXPECT_FALSE(other.value().applied);
-  EXPECT_TRUE(wait([&](auto done) { store_.renewSession(one, done); }).value().applied);
-  EXPECT_TRUE(wait([&](auto done) { store_.destroySession(one, done); }).value().applied);
-  const StoreResult renewed = wait([&](auto done) { store_.renewSession(one, done); });
+  EXPECT_TRUE(wait([&](auto done) { store_.renewSession(first, done); }).value().applied);
+  EXPECT_TRUE(wait([&](auto done) { store_.destroySession(first, done); }).value().applied);
+  const StoreResult renewed = wait([&](auto done) { store_.renewSession(first, done); });
   EXPECT_TRUE(renewed.has_value());
   EXPECT_FALSE(renewed.value().applied);
-  EXPECT_FALSE(acquireKey("late", one).has_value());  // fenced: a write that was under way comes to nothing
+  EXPECT_FALSE(acquireKey("late", first).has_value());  // a late write with the ended session
   const StoreResult all = wait([&](auto done) { store_.listPrefix("p/senders/", done); });
   ASSERT_EQ(all.value().entries.size(), 1u);
   EXPECT_EQ(all.value().entries[0].value, "mine, newer");
   EXPECT_TRUE(all.value().entries[0].session.empty());
-  EXPECT_TRUE(acquireKey("theirs", two).value().applied);
+  EXPECT_TRUE(acquireKey("theirs", second).value().applied);
 }
 
-TEST_F(ConsulTest, AnotherNodeIsAskedAfterOneThatDoesNotAnswer) {
+TEST_F(ConsulTest, UsesAnotherNodeAfterOneDoesNotAnswer) {
   ASSERT_TRUE(compareAndSwap("one", 0).value().applied);
   stand_in_.node(0, false);
   EXPECT_FALSE(read().has_value());
@@ -117,11 +117,11 @@
   EXPECT_NE(late.error().description.find("does not answer"), std::string::npos);
 }
 
-// A read on which a lease hangs is never answered from what a lagging node knows.
-TEST_F(ConsulTest, ReadsAreConsistent) {
+// A lease depends on a read, so a read must never return the stale state of a lagging node.
+TEST_F(ConsulTest, ReadsCurrentValueWhenNodesLag) {
   ASSERT_TRUE(compareAndSwap("one", 0).value().applied);
-  for (std::size_t n = 0; n < 3; ++n)
-    stand_in_.lag(n, true);
+  for (std::size_t node = 0; node < 3; ++node)
+    stand_in_.lag(node, true);
   ASSERT_TRUE(compareAndSwap("two", read().value().entries.at(0).modify_index).value().applied);
   EXPECT_EQ(read().value().entries.at(0).value, "two");
 }
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -1,5 +1,5 @@
-// Several processes of the program with faults between them. What endpoints and clients saw is held against
-// the invariants by the rig (Fleet::finish), which shares no code with the sender.
+// Fixture for tests with several sender processes and faults between them. Fleet::finish() checks what
+// endpoints and clients observed against the invariants; it shares no code with the sender.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,68 +20,77 @@
 
 class FleetTest : public ::testing::Test {
  protected:
-  // Senders under a strict plan 1, with clients.
-  void begin(int senders, const std::string& mode = "strict", const std::string& share = "1", int zones = 1) {
+  // Starts the senders, waits until they have adopted plan 1, and starts the clients. `max_fenced_fraction`:
+  // the fraction of senders that may be fenced.
+  void startFleet(int senders, const std::string& mode = "strict",
+                  const std::string& max_fenced_fraction = "1", int zones = 1) {
     FleetConfig shape;
     shape.senders = senders;
     shape.zones = zones;
-    begin(shape, mode, share);
+    startFleet(shape, mode, max_fenced_fraction);
   }
-  void begin(const FleetConfig& shape, const std::string& mode, const std::string& share = "1") {
+  void startFleet(const FleetConfig& shape, const std::string& mode,
+                  const std::string& max_fenced_fraction = "1") {
     fleet_ = std::make_unique<Fleet>(senderProgram(), 11, shape);
     fleet_->startAll();
-    mode_ = mode;
-    const auto said = fleet_->propose({"--settings", fleet_->settingsDigest(), "--mode", mode, "--lease",
-                                       "1.5", "--binds-after", "1.5", "--most-shut-out", share});
-    ASSERT_EQ(0, said.status) << said.text;
+    plan_mode_ = mode;
+    const auto result =
+        fleet_->propose({"--settings", fleet_->settingsDigest(), "--mode", mode, "--lease", "1.5",
+                         "--binds-after", "1.5", "--most-shut-out", max_fenced_fraction});
+    ASSERT_EQ(0, result.status) << result.text;
     ASSERT_TRUE(fleet_->eventually([&] { return fleet_->allAt(1); }));
     fleet_->beginLoad();
   }
-  // Other settings for all, and a plan that asks for them.
-  std::int64_t change(const std::string& binds = "1.5", const std::string& mode = "") {
-    aim_ += 100;
-    fleet_->setAim(aim_);
-    const auto said = fleet_->propose({"--settings", fleet_->settingsDigest(), "--mode",
-                                       mode.empty() ? mode_ : mode, "--binds-after", binds});
-    EXPECT_EQ(0, said.status) << said.text;
+  // Writes new settings for all senders and proposes a plan that requires them. Returns the number of the
+  // plan.
+  std::int64_t proposeNewSettings(const std::string& binds_after = "1.5", const std::string& mode = "") {
+    latency_objective_ms_ += 100;
+    fleet_->setAim(latency_objective_ms_);
+    const auto result = fleet_->propose({"--settings", fleet_->settingsDigest(), "--mode",
+                                         mode.empty() ? plan_mode_ : mode, "--binds-after", binds_after});
+    EXPECT_EQ(0, result.status) << result.text;
     return fleet_->planNumber();
   }
-  std::string standing(std::size_t i) const {
-    const json r = fleet_->report(i);
-    return r.is_object() ? r["standing"].get<std::string>() : "";
+  std::string complianceOf(std::size_t sender) const {
+    const json report = fleet_->report(sender);
+    return report.is_object() ? report["standing"].get<std::string>() : "";
   }
-  std::string why(std::size_t i) const {
-    const json r = fleet_->report(i);
-    return r.is_object() ? r["why"].get<std::string>() : "";
+  std::string reasonOf(std::size_t sender) const {
+    const json report = fleet_->report(sender);
+    return report.is_object() ? report["why"].get<std::string>() : "";
   }
-  std::int64_t planOf(std::size_t i) const {
-    const json r = fleet_->report(i);
-    return r.is_object() ? r["own"]["plan"].get<std::int64_t>() : -1;
+  std::int64_t adoptedPlanOf(std::size_t sender) const {
+    const json report = fleet_->report(sender);
+    return report.is_object() ? report["own"]["plan"].get<std::int64_t>() : -1;
   }
-  bool comesTo(std::size_t i, std::int64_t plan) {
-    return fleet_->eventually([&] { return planOf(i) >= plan && standing(i) == "current"; });
+  bool waitForPlan(std::size_t sender, std::int64_t plan) {
+    return fleet_->eventually(
+        [&] { return adoptedPlanOf(sender) >= plan && complianceOf(sender) == "current"; });
   }
-  // Started again, and it has said so itself: what an earlier process told counts no more.
-  void comesBack(std::size_t i, const std::string& program = "") {
-    const json before = fleet_->report(i);
-    fleet_->restart(i, program);
+  // Starts the sender again and waits for a report of the new process: the report before is of an earlier
+  // one.
+  void restartAndWaitForReport(std::size_t sender, const std::string& program = "") {
+    const json before = fleet_->report(sender);
+    fleet_->restart(sender, program);
     ASSERT_TRUE(fleet_->eventually([&] {
-      const json now = fleet_->report(i);
+      const json now = fleet_->report(sender);
       return now.is_object() && (!before.is_object() || now["process"] != before["process"]);
-    })) << fleet_->world(i).log();
+    })) << fleet_->world(sender).log();
   }
-  std::size_t callsOf(std::size_t i) { return fleet_->calls(i).size(); }
-  void holds() {
-    const json f = fleet_->finish();
-    EXPECT_TRUE(f["holds"] == true) << f.dump();
-    EXPECT_GT(f["delivered"], 0);
+  std::size_t callCount(std::size_t sender) { return fleet_->calls(sender).size(); }
+  void expectInvariantsHold() {
+    const json findings = fleet_->finish();
+    EXPECT_TRUE(findings["holds"] == true) << findings.dump();
+    EXPECT_GT(findings["delivered"], 0);
+  }
+  Fleet::Said runOperatorCommand(std::vector<std::string> words) { return fleet_->word(std::move(words)); }
+  // Repeats a command that failed because a sender changed the plan at the same time.
+  Fleet::Said runOperatorCommandUntilApplied(const std::vector<std::string>& words) {
+    return fleet_->insist(words);
   }
-  Fleet::Said word(std::vector<std::string> words) { return fleet_->word(std::move(words)); }
-  // As an operator does whose word lost against a sender's verdict.
-  Fleet::Said insist(const std::vector<std::string>& words) { return fleet_->insist(words); }
   std::unique_ptr<Fleet> fleet_;
-  std::string mode_;
-  double aim_ = 4000;
+  std::string plan_mode_;
+  double latency_objective_ms_ = 4000;
 };
 
 }  // namespace grademux::harness
--- a/tests/fleet/older.cpp
+++ b/tests/fleet/older.cpp
@@ -1,4 +1,4 @@
-// The program with an older number: for fleets in which not all are of one version.
+// Builds the program with an older version number, for fleets with senders of several versions.
 #include "../../src/daemon/version.h"
 
 namespace grademux {
--- a/tests/fleet/state_files_test.cpp
+++ b/tests/fleet/state_files_test.cpp
@@ -1,4 +1,5 @@
-// The files of a fleet member's folder: read completely or not at all, and in the form of earlier versions.
+// Tests the files in a fleet member's folder: a damaged file is ignored completely, and the form of earlier
+// versions is read and written unchanged.
 #include "../../src/fleet/state_files.h"
 
 #include <gtest/gtest.h>
@@ -31,17 +32,17 @@
 }
 
 // A damaged file that restored a larger baseline would overload cold endpoints.
-TEST(StateFilesTest, IgnoresATrafficBaselineFileWithAFlippedBitOrACut) {
+TEST(StateFilesTest, IgnoresATrafficBaselineFileThatIsDamagedOrTruncated) {
   const harness::TemporaryFolder folder;
   const std::string path = folder.path() + "/fleet-zones";
   const zones::TrafficBaseline baseline = {{{"b", {{"e1", {7, 12.375}}, {"e2", {8, 3}}}}}};
-  const std::string whole = serializeTrafficBaseline(baseline);
-  for (std::size_t byte = 0; byte + 1 < whole.size(); ++byte) {
-    std::string flipped = whole;
+  const std::string original = serializeTrafficBaseline(baseline);
+  for (std::size_t byte = 0; byte + 1 < original.size(); ++byte) {
+    std::string flipped = original;
     flipped[byte] = static_cast<char>(flipped[byte] ^ 1 << byte % 7);
     writeFile(path, flipped);
     EXPECT_TRUE(loadTrafficBaseline(path).empty()) << byte;
-    writeFile(path, whole.substr(0, byte));
+    writeFile(path, original.substr(0, byte));
     EXPECT_TRUE(loadTrafficBaseline(path).empty()) << byte;
   }
   writeFile(path, json{{"parts", {{"b", 1}}}, {"check", planDigest(json{{"b", 1}}.dump())}}.dump());
--- a/tests/fleet/zones_fixture.h
+++ b/tests/fleet/zones_fixture.h
@@ -1,4 +1,4 @@
-// A fleet of several processes whose endpoints stand in zones.
+// Fixture for tests with several sender processes and endpoints in several zones.
 #pragma once
 
 #include "fleet_fixture.h"
@@ -7,47 +7,51 @@
 
 class FleetZones : public FleetTest {
  protected:
-  // With traffic for long enough that senders know what is usual.
-  void begin(int senders, const std::string& mode = "strict") {
-    FleetTest::begin(senders, mode, "1", 3);
+  // Starts the fleet in three zones and lets traffic run until the senders have a traffic baseline.
+  void startFleet(int senders, const std::string& mode = "strict") {
+    FleetTest::startFleet(senders, mode, "1", 3);
     sleepFor(4 * kSecond);
   }
-  void begin(const FleetConfig& shape, const std::string& mode = "strict") {
-    FleetTest::begin(shape, mode);
+  void startFleet(const FleetConfig& shape, const std::string& mode = "strict") {
+    FleetTest::startFleet(shape, mode);
     sleepFor(4 * kSecond);
   }
-  std::string stateOf(const std::string& zone) const {
-    const json s = fleet_->zoneState(zone);
-    return s.is_object() ? s["state"].get<std::string>() : "in";
+  // The zone's phase by the plan: in, out or back.
+  std::string zonePhase(const std::string& zone) const {
+    const json state = fleet_->zoneState(zone);
+    return state.is_object() ? state["state"].get<std::string>() : "in";
   }
-  bool comesTo(const std::string& zone, const std::string& state, Micros most = 60 * kSecond) {
-    return fleet_->eventually([&] { return stateOf(zone) == state; }, most);
+  bool waitForZonePhase(const std::string& zone, const std::string& phase, Micros timeout = 60 * kSecond) {
+    return fleet_->eventually([&] { return zonePhase(zone) == phase; }, timeout);
   }
-  bool comesToStage(const std::string& zone, int least) {
+  // Waits until the zone recovers at least at this stage, or is active.
+  bool waitForZoneStage(const std::string& zone, int min_stage) {
     return fleet_->eventually(
         [&] {
-          const json s = fleet_->zoneState(zone);
-          return s.is_null() || (s["state"] == "back" && s["stage"].get<int>() >= least);
+          const json state = fleet_->zoneState(zone);
+          return state.is_null() || (state["state"] == "back" && state["stage"].get<int>() >= min_stage);
         },
         60 * kSecond);
   }
+  // The number of calls of all senders into the zone since a time of the monotonic clock.
   std::size_t callsInto(const std::string& zone, Micros since) {
-    std::size_t all = 0;
+    std::size_t count = 0;
     for (std::size_t i = 0; i < fleet_->size(); ++i)
-      all += fleet_->callsInto(zone, i, since);
-    return all;
+      count += fleet_->callsInto(zone, i, since);
+    return count;
   }
-  // All senders act by the plan that stands in the store.
-  bool allFollow() {
+  // Waits until all senders have adopted the plan in the store.
+  bool waitUntilAllAdopted() {
     return fleet_->eventually([&] { return fleet_->allAt(fleet_->planNumber()); });
   }
-  std::string plans() {
-    std::string all;
-    for (const auto& c : fleet_->store().changes("rig/plan")) {
-      const json o = json::parse(c.value, nullptr, false);
-      all += o.value("why", "") + " | ";
+  // The reasons of all plans and the states of the zones, for failure messages.
+  std::string describePlans() {
+    std::string text;
+    for (const auto& change : fleet_->store().changes("rig/plan")) {
+      const json plan = json::parse(change.value, nullptr, false);
+      text += plan.value("why", "") + " | ";
     }
-    return all + word({"fleet", "zones"}).text;
+    return text + runOperatorCommand({"fleet", "zones"}).text;
   }
 };
 
