--- a/src/daemon/commands/fleet_plan_command.cpp
+++ b/src/daemon/commands/fleet_plan_command.cpp
@@ -38,7 +38,8 @@
 
  private:
   void addRequirementOptions() {
-    propose_->add_option("--like", change_.example_sender, "asks for the settings and daemon file of this sender");
+    propose_->add_option("--like", change_.example_sender,
+                         "asks for the settings and daemon file of this sender");
     propose_->add_option("--settings", change_.settings, "a digest; '' for any");
     propose_->add_option("--daemon-file", change_.daemon, "a digest; '' for any");
     propose_->add_option("--program", change_.program, "the least version; '' for any");
--- a/src/fleet/plan_compliance.cpp
+++ b/src/fleet/plan_compliance.cpp
@@ -91,8 +91,7 @@
     decision.reason = missing;
     return decision;
   }
-  // For example a sender whose files were changed by hand: it meets neither the newest plan nor the acting
-  // one.
+  // A sender whose files were changed by hand, for example, meets neither the newest plan nor the acting one.
   const bool meets_no_plan =
       !missingFor(running).empty() && !missingRequirements(running, acting_, name_).empty();
   decision.until = actionDeadline(meets_no_plan);
--- a/src/fleet/zone_command.cpp
+++ b/src/fleet/zone_command.cpp
@@ -83,7 +83,8 @@
 
 std::string differingRegions(const std::string& zone, const std::string& region,
                              const std::string& other_region, const std::string& sender) {
-  return "zone " + zone + " is of " + region + ", and of " + other_region + " at " + sender;
+  return "zone " + zone + " belongs to region " + region + ", but to region " + other_region + " at " +
+         sender;
 }
 
 // Region of each zone by the senders' reports. Throws if they differ.
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -67,8 +67,8 @@
     return fleet_->eventually(
         [&] { return adoptedPlanOf(sender) >= plan && complianceOf(sender) == "current"; });
   }
-  // Starts the sender again and waits for a report of the new process: the report before is of an earlier
-  // one.
+  // Starts the sender again and waits for a report of the new process: an earlier process wrote the report
+  // before.
   void restartAndWaitForReport(std::size_t sender, const std::string& program = "") {
     const json before = fleet_->report(sender);
     fleet_->restart(sender, program);
--- a/tests/fleet/zones_steps_test.cpp
+++ b/tests/fleet/zones_steps_test.cpp
@@ -194,7 +194,7 @@
   for (const char* zone : {"a", "b"})
     fleet_->zone(zone, Fleet::ZoneFault::none);
   ASSERT_TRUE(waitForZonePhase("a", "in", 90 * kSecond)) << describePlans();
-  // Failures before a sender has seen zone a healthy again are not attributed to a zone.
+  // Waits until each sender has seen zone a healthy since its recovery: earlier failures count for no zone.
   ASSERT_TRUE(waitUntilAllAdopted());
   for (std::size_t i = 0; i < fleet_->size(); ++i)
     ASSERT_TRUE(fleet_->eventually([&] { return fleet_->report(i)["zones"]["a"]["sight"] == "fine"; }))
