--- a/src/sim/simhost.cpp
+++ b/src/sim/simhost.cpp
@@ -195,7 +195,7 @@
     if (absent(fields, "Gauge"))
       return std::nullopt;
     const json& values = array(fields, "Gauge");
-    auto valueAt = [&](int index) {
+    auto value_at = [&](int index) {
       return index >= 0 && index < static_cast<int>(values.size()) &&
                      values[static_cast<std::size_t>(index)].is_number()
                  ? values[static_cast<std::size_t>(index)].get<double>()
@@ -203,7 +203,7 @@
     };
     if (instance.remaining_index < 0 && instance.limit_index < 0)
       return std::nullopt;
-    return LimitReport{valueAt(instance.remaining_index), valueAt(instance.limit_index)};
+    return LimitReport{value_at(instance.remaining_index), value_at(instance.limit_index)};
   }
 
   static AttemptOutcome readOutcome(const Instance& instance, const json& fields) {
--- a/tests/decision/learned_state_test.cpp
+++ b/tests/decision/learned_state_test.cpp
@@ -67,19 +67,19 @@
   first.advanceTo(100 * kS).updateEndpoints(twoEndpointsOf(1));
   learnFromTraffic(first, 1, 100);
   const std::vector<LearnedEndpoint> exported = exportLearnedState(first);
-  const auto timeoutAfterRestoring = [&](const std::vector<LearnedEndpoint>& restored) {
+  const auto timeout_after_restoring = [&](const std::vector<LearnedEndpoint>& restored) {
     SenderDriver next;
     next.advanceTo(first.now + kS).updateEndpoints(twoEndpointsOf(1));
     next.decide({restored.begin(), restored.end()});
     next.submit("m", "safe", 1);
     return next.timeout_of["m"];
   };
-  EXPECT_LT(timeoutAfterRestoring(exported), 400 * kMs);
-  EXPECT_EQ(timeoutAfterRestoring({}),
+  EXPECT_LT(timeout_after_restoring(exported), 400 * kMs);
+  EXPECT_EQ(timeout_after_restoring({}),
             2 * kS);  // without learned state the time-out is the latency objective
 
   // The destination was cold at the kill: slow start begins at the sender's learned message rate.
-  const auto startsInSlowStart = [&](const std::vector<LearnedEndpoint>& restored) {
+  const auto starts_in_slow_start = [&](const std::vector<LearnedEndpoint>& restored) {
     SenderDriver next;
     next.advanceTo(first.now + kS).updateEndpoints(twoEndpointsOf(1));
     std::vector<Event> events(restored.begin(), restored.end());
@@ -102,8 +102,8 @@
     }
     return started;
   };
-  EXPECT_GT(startsInSlowStart(exported), 8u);
-  EXPECT_LT(startsInSlowStart(exported), 40u);  // the rate is limited nevertheless
+  EXPECT_GT(starts_in_slow_start(exported), 8u);
+  EXPECT_LT(starts_in_slow_start(exported), 40u);  // the rate is limited nevertheless
 }
 
 TEST(LearnedState, RestoresRetryAfterInNextProcess) {
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -68,7 +68,7 @@
   Settings settings = makeSettings();
   settings.max_in_flight = 50;
   settings.weight_kind = WeightKind::nominal;
-  auto startsAfter = [&](bool is_rejected) {
+  auto starts_after = [&](bool is_rejected) {
     SenderDriver driver(settings);
     driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 10)});
     driver.submit("x", "safe", 1);
@@ -81,7 +81,7 @@
       started_count += driver.advanceTo(200 * kMs + i * 50 * kMs).fireTimer().size();
     return started_count;
   };
-  EXPECT_LT(startsAfter(true), startsAfter(false));
+  EXPECT_LT(starts_after(true), starts_after(false));
 }
 
 // Guards against a due local tag that bypasses a limit when calls are free: a destination would get its
@@ -175,7 +175,7 @@
   settings.weight_kind = WeightKind::nominal;
   SenderDriver driver(settings);
   driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 10)});
-  auto isStarted = [&](const std::string& id) {
+  auto is_started = [&](const std::string& id) {
     MessageArrival urgent = driver.advanceTo(driver.now + 10 * kMs).makeArrival(id, "safe", 1);
     urgent.deadline = driver.now + 250 * kMs;
     return !driver.decide({urgent}).empty();
@@ -184,9 +184,9 @@
   driver.advanceTo(100 * kMs).finishAttempt("m", 0, AttemptResult::ok);
   ASSERT_EQ(driver.advanceTo(kS).submit("x", "safe", 1), Ids{"x"});
   driver.advanceTo(kS + 100 * kMs).finishAttempt("x", 0, AttemptResult::rejected);
-  ASSERT_TRUE(isStarted("one"));
+  ASSERT_TRUE(is_started("one"));
   driver.advanceTo(driver.now + 50 * kMs).finishAttempt("one", 0, AttemptResult::rejected);
-  EXPECT_FALSE(isStarted("two"));
+  EXPECT_FALSE(is_started("two"));
 }
 
 // Guards against a thundering herd (scenario big-1 at site gyor-nyugat-later): the Retry-After spans of a
@@ -301,7 +301,7 @@
   Settings settings = makeSettings();
   settings.sender_count = 3;
   settings.weight_kind = WeightKind::nominal;
-  auto quotaAfter = [&](bool is_cold) {
+  auto quota_after = [&](bool is_cold) {
     SenderDriver driver(settings);
     driver.advanceTo(kS).updateEndpoints({makeEndpoint("e1", 1, "shared", 40)});
     LearnedEndpoint learned;
@@ -320,8 +320,8 @@
         return known.quota_fraction;
     return -1.0;
   };
-  EXPECT_DOUBLE_EQ(quotaAfter(true), 0.3);
-  EXPECT_GT(quotaAfter(false), 0.35);
+  EXPECT_DOUBLE_EQ(quota_after(true), 0.3);
+  EXPECT_GT(quota_after(false), 0.35);
 }
 
 }  // namespace
--- a/tests/decision/recovered_messages_test.cpp
+++ b/tests/decision/recovered_messages_test.cpp
@@ -132,7 +132,7 @@
   ASSERT_FALSE(exported.empty());
   EXPECT_TRUE(exported.back().down);
   EXPECT_EQ(1, exported.back().destination);
-  auto startsWithHealth = [&](bool is_restored) {
+  auto starts_with_health = [&](bool is_restored) {
     SenderDriver next;
     next.advanceTo(first.now + kS).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
     std::vector<Event> events;
@@ -142,15 +142,15 @@
       events.push_back(makeRecovered(next, "r" + std::to_string(i), "safe", {}));
     return next.decide(events).size();
   };
-  EXPECT_EQ(1u, startsWithHealth(true));
-  EXPECT_GT(startsWithHealth(false), 3u);
+  EXPECT_EQ(1u, starts_with_health(true));
+  EXPECT_GT(starts_with_health(false), 3u);
 }
 
 // Guards against overload of a returning destination: a process whose first outcome is a success took the
 // outage of the earlier process for a brief one and sent at full rate. Several senders that were started
 // together overloaded the destination.
 TEST(RecoveredMessages, StartsSlowlyAfterOutageOfEarlierProcess) {
-  const auto startsAfterSuccess = [](std::vector<Event> first) {
+  const auto starts_after_success = [](std::vector<Event> first) {
     SenderDriver next;
     next.advanceTo(100 * kS).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
     next.decide(first);
@@ -166,8 +166,8 @@
   outage.destination = 1;
   outage.down = true;
   outage.warming_since = outage.observed_at = 99'900 * kMs;  // observed just before the kill
-  EXPECT_LE(startsAfterSuccess({outage}), 1u);
-  EXPECT_GT(startsAfterSuccess({}), 3u);
+  EXPECT_LE(starts_after_success({outage}), 1u);
+  EXPECT_GT(starts_after_success({}), 3u);
 }
 
 TEST(RecoveredMessages, StartsOnlyAttemptsThatEndBeforeShutdown) {
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -102,7 +102,7 @@
 // senders with 1.5 messages a second each filled the table of the busiest endpoint, which refused all other
 // senders all day.
 TEST(ConnectionPolicy, ClosesIdleConnectionInLargeFleetWithoutExpectedReuse) {
-  auto countClosings = [](int senders, Micros interval) {
+  auto count_closings = [](int senders, Micros interval) {
     Settings settings = makeSettings();
     settings.sender_count = senders;
     SenderDriver driver(settings);
@@ -117,12 +117,12 @@
     }
     return closings;
   };
-  EXPECT_EQ(countClosings(200, 30 * kS), 20u);  // messages are too rare for a reuse
-  EXPECT_EQ(countClosings(200, kS),
+  EXPECT_EQ(count_closings(200, 30 * kS), 20u);  // messages are too rare for a reuse
+  EXPECT_EQ(count_closings(200, kS),
             20u);  // frequent enough for one sender, but 200 such senders would keep 200 connections
-  EXPECT_EQ(countClosings(100, 620 * kMs), 20u);  // as in join+vast
-  EXPECT_EQ(countClosings(30, 50 * kMs), 0u);     // frequent messages: reuse is expected
-  EXPECT_EQ(countClosings(3, kS), 0u);            // few senders cannot fill a connection table
+  EXPECT_EQ(count_closings(100, 620 * kMs), 20u);  // as in join+vast
+  EXPECT_EQ(count_closings(30, 50 * kMs), 0u);     // frequent messages: reuse is expected
+  EXPECT_EQ(count_closings(3, kS), 0u);            // few senders cannot fill a connection table
 }
 
 // Guards against late deliveries (scenario rough-2 at site budapest-kozpont-later): retries of many senders
@@ -145,7 +145,7 @@
 // few connections, and idle connections of many senders filled their tables, which looked like an outage to
 // all other senders. After a failed connect no idle connection to the endpoint is kept.
 TEST(ConnectionPolicy, ClosesIdleConnectionsInLargeFleetAfterFailedConnect) {
-  auto keepsConnectionAfterFailedConnect = [](int senders) {
+  auto keeps_connection_after_failed_connect = [](int senders) {
     Settings settings = makeSettings();
     settings.sender_count = senders;
     settings.idle_connection_timeout = 15 * kS;
@@ -169,9 +169,9 @@
     driver.advanceTo(driver.now + 50 * kMs).finishAttempt(started[0], 1, AttemptResult::ok, 50 * kMs);
     return driver.actionsOf<CloseIdleConnections>().empty();
   };
-  EXPECT_FALSE(keepsConnectionAfterFailedConnect(200));
+  EXPECT_FALSE(keeps_connection_after_failed_connect(200));
   EXPECT_TRUE(
-      keepsConnectionAfterFailedConnect(2));  // two senders cannot fill a table: the endpoint was down
+      keeps_connection_after_failed_connect(2));  // two senders cannot fill a table: the endpoint was down
 }
 
 // Guards against a thundering herd (scenario fresh-big, seed 2598684461, at site budapest-kozpont-later): all
