--- a/model/node.cpp
+++ b/model/node.cpp
@@ -34,18 +34,18 @@
     cached.endpoints.push_back(e);
   events_.push_back(std::move(cached));
   if (fleet_.world.keeps_knowledge) {
-    const LearnedPool pool = knowledge::decayed(book_.pool, now);
+    const LearnedPool pool = knowledge::trustedPart(book_.pool, now);
     if (pool.latency_samples > 0 || pool.stale_connection_score > 0)
       events_.push_back(pool);
     for (const knowledge::LearnedRecord& k : book_.records) {
-      const LearnedEndpoint l = knowledge::decayed(k.learned, now);
+      const LearnedEndpoint l = knowledge::trustedPart(k.learned, now);
       if (l.rate_limit > 0 || l.samples > 0 || l.unknown_outcome_fraction > 0 || l.message_rate > 0)
         events_.push_back(l);
     }
   }
   for (const auto& [key, kept] : ailments_) {
     DestinationHealth a = kept;
-    if (knowledge::decayed(a, now, fleet_.settings.slow_start_time))
+    if (knowledge::reduceToTrusted(a, now, fleet_.settings.slow_start_time))
       events_.push_back(a);
   }
   for (auto& [id, h] : journal_) {
--- a/src/daemon/daemon_file.cpp
+++ b/src/daemon/daemon_file.cpp
@@ -169,7 +169,7 @@
       if (other == name || !names.count(other))
         t.expected("stand_by", "the name of another [[region]] is expected");
       else
-        file.regions.stand_by[name] = other;
+        file.regions.standby_by_region[name] = other;
     }
     t.unknown(" in a region");
   }
--- a/src/daemon/sender_components.cpp
+++ b/src/daemon/sender_components.cpp
@@ -87,13 +87,13 @@
   components.learned_state = std::make_unique<LearnedStateStore>(
       components.io, components.worker, components.daemon_file.knowledge, components.config.state,
       components.config.name,
-      [&components](std::int64_t after, int max_count, LearnedStateStore::Learned then) {
+      [&components](std::int64_t after, int max_count, LearnedStateStore::ExportCallback then) {
         components.engine->exportLearned(after, max_count, std::move(then));
       },
       [&components] { return components.journal->spareBytes(); },
       [&components](std::uint64_t bytes) { components.journal->setOtherFilesBytes(bytes); });
   components.journal->onSpaceNeeded([&components] { return components.learned_state->freeSpace(); });
-  components.engine->onHealthChanged([&components] { components.learned_state->writeSoon(); });
+  components.engine->onHealthChanged([&components] { components.learned_state->scheduleWrite(); });
 }
 
 void createFleetMembership(SenderComponents& components, const ComponentCallbacks& callbacks) {
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -120,7 +120,7 @@
   callbacks.on_attempt_finished = [this](const AttemptOutcome& outcome) {
     components_.attempts->onAttemptFinished(outcome);
   };
-  callbacks.on_peer_gone = [this] { components_.attempts->onPeerGone(); };
+  callbacks.on_peer_closed = [this] { components_.attempts->onPeerClosed(); };
   callbacks.on_failed = [this](const std::string& reason) {
     throw std::runtime_error(components_.config.state +
                              ": another process has this folder and does not hand it over: " + reason);
--- a/src/handover/folder_lock.h
+++ b/src/handover/folder_lock.h
@@ -1,5 +1,5 @@
-// Exclusive ownership of the state folder: a kernel lock on the folder itself (flock(2)). The kernel frees it
-// when the process dies in any way, and no file is needed.
+// Exclusive ownership of the state folder: a kernel lock on the folder itself (flock(2)). The kernel
+// releases the lock whenever the process ends, and no lock file is needed.
 #pragma once
 
 #include <string>
@@ -14,12 +14,12 @@
   FolderLock(const FolderLock&) = delete;
   FolderLock& operator=(const FolderLock&) = delete;
 
-  /// True if this process has the lock, from now or from before; false if another process has it. On a file
-  /// system without locks no other process is assumed.
+  /// Takes the lock unless this process already has it. Returns false if another process has the lock. On a
+  /// file system without locks the call succeeds, as if no other process existed.
   bool tryLock();
   void unlock();
   bool isLocked() const { return locked_; }
-  /// The descriptor of the folder, which is open as long as this object.
+  /// Returns the folder's descriptor, which stays open for the lifetime of this object.
   int fd() const { return fd_; }
 
  private:
--- a/src/handover/handover_source.cpp
+++ b/src/handover/handover_source.cpp
@@ -1,4 +1,4 @@
-// The process that is replaced; see handover_source.h.
+// Handover in the process that is replaced; see handover_source.h.
 #include "handover_source.h"
 
 #include <unistd.h>
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Open requests may take so long: clients wait 400 ms for an answer, and their next requests wait for the
-// other process meanwhile.
+// Open requests may take this long. Clients wait 400 ms for an answer, and their next requests wait for the
+// other process in the meantime.
 constexpr Micros kQuiescenceTimeout = 150'000;
 constexpr Micros kQuiescencePollInterval = 2'000;
 
@@ -22,7 +22,7 @@
 HandoverSource::HandoverSource(boost::asio::io_context& io, int folder_fd, Callbacks callbacks)
     : io_(io), folder_fd_(folder_fd), callbacks_(std::move(callbacks)), acceptor_(io), timer_(io) {
   const auto address = socketAddress(folder_fd_);
-  ::unlink(address.path().c_str());  // left by an earlier process; this one owns the folder
+  ::unlink(address.path().c_str());  // left by an earlier process; this process owns the folder
   acceptor_.open();
   acceptor_.bind(address);
   acceptor_.listen();
@@ -47,7 +47,7 @@
   if (peer_) {
     LineSocket second_peer(
         std::move(socket), [](const Message&) {}, nullptr);
-    second_peer.send(HandoverRejected{"another process takes over already"});
+    second_peer.send(HandoverRejected{"another process is already connected for a handover"});
     return;
   }
   peer_ = std::make_unique<LineSocket>(
@@ -70,11 +70,11 @@
 void HandoverSource::onRequest(const HandoverRequest& request) {
   std::string reason = callbacks_.rejection_reason();
   if (request.version != kProtocolVersion)
-    reason = "version " + std::to_string(kProtocolVersion) + " of this channel is known";
+    reason = "protocol version " + std::to_string(kProtocolVersion) + " is expected";
   if (!reason.empty())
     return peer_->send(HandoverRejected{reason});
   if (!state_.onRequested())
-    return peer_->send(HandoverRejected{"asked already"});
+    return peer_->send(HandoverRejected{"a handover was already requested"});
   callbacks_.close();
   awaitQuiescence(monotonicNow());
 }
--- a/src/handover/handover_source.h
+++ b/src/handover/handover_source.h
@@ -1,6 +1,6 @@
-// The process that is replaced: it listens on a socket in the state folder, releases folder and journal to
-// the process that asks, and reports the outcome of each attempt that is still in flight. One peer at a time.
-// Used on the loop thread alone.
+// Handover in the process that is replaced: listens on a socket in the state folder, releases folder and
+// journal to the process that requests them, and reports the outcome of each attempt that is still in flight.
+// Serves one peer at a time. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,19 +17,20 @@
 
 class HandoverSource {
  public:
-  /// What the owning process does in each step.
+  /// Actions and queries of the owning process.
   struct Callbacks {
-    std::function<std::string()> rejection_reason;  // empty: a handover may begin now
+    std::function<std::string()> rejection_reason;  // empty: a handover may start now
     std::function<void()> close;                    // stop accepting, close connections between requests
     std::function<bool()> is_quiescent;             // no request of a client is open
-    std::function<OwnershipReleased()> release;     // write the last decisions, free folder and journal
+    std::function<OwnershipReleased()> release;     // write pending decisions, release folder and journal
     std::function<bool()> reacquire;                // false: another process owns or has changed the folder
-    std::function<void()> resume;                   // serve again, after close() or reacquire()
-    std::function<void(const AttemptId&)> cancel;   // an attempt that is in flight here
-    std::function<void()> on_complete;              // the other process owns the folder for good
+    std::function<void()> resume;                   // serve clients again, after close() or reacquire()
+    std::function<void(const AttemptId&)> cancel;   // cancel an attempt in flight in this process
+    std::function<void()> on_complete;              // the other process owns the folder permanently
   };
 
-  /// Listens on the folder's socket, in place of an earlier process. Throws std::exception when that fails.
+  /// Listens on the folder's socket, which replaces the socket of an earlier process. Throws std::exception
+  /// if the socket can't be opened.
   HandoverSource(boost::asio::io_context& io, int folder_fd, Callbacks callbacks);
   ~HandoverSource();
   HandoverSource(const HandoverSource&) = delete;
--- a/src/handover/handover_target.cpp
+++ b/src/handover/handover_target.cpp
@@ -1,4 +1,4 @@
-// The process that replaces another; see handover_target.h.
+// Handover in the process that replaces another; see handover_target.h.
 #include "handover_target.h"
 
 #include <boost/asio/post.hpp>
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Micros kRetryInterval = 50'000;
-// The lock is free a moment after the folder was released.
+// The other process unlocks the folder shortly after its message that releases the folder.
 constexpr Micros kReleasedRetryInterval = 1'000;
 constexpr Micros kAnswerTimeout = 1'000'000;
 
@@ -22,7 +22,7 @@
 
 void HandoverTarget::start(Micros timeout) {
   deadline_ = monotonicNow() + timeout;
-  attempt();
+  tryAcquire();
 }
 
 void HandoverTarget::send(const Message& message) {
@@ -30,15 +30,15 @@
     peer_->send(message);
 }
 
-void HandoverTarget::scheduleRetry(Micros pause) {
-  timer_.expires_after(std::chrono::microseconds(pause));
+void HandoverTarget::scheduleRetry(Micros delay) {
+  timer_.expires_after(std::chrono::microseconds(delay));
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error)
-      attempt();
+      tryAcquire();
   });
 }
 
-void HandoverTarget::attempt() {
+void HandoverTarget::tryAcquire() {
   if (owns_folder_)
     return;
   if (lock_.tryLock())
@@ -56,7 +56,7 @@
   scheduleRetry(kRetryInterval);
 }
 
-// The peer hangs, or its version does not know this protocol.
+// The peer may hang, or its version may lack this protocol.
 void HandoverTarget::dropUnresponsivePeer(Micros now) {
   if (!request_pending_ || now < answer_deadline_)
     return;
@@ -97,7 +97,7 @@
   if (owns_folder_ || released_)
     return;
   released_ = released;
-  boost::asio::post(io_, [this] { attempt(); });
+  boost::asio::post(io_, [this] { tryAcquire(); });
 }
 
 void HandoverTarget::onOutcome(const AttemptOutcome& outcome) {
@@ -111,7 +111,7 @@
   peer_.reset();
   request_pending_ = false;
   if (owns_folder_)
-    callbacks_.on_peer_gone();
+    callbacks_.on_peer_closed();
 }
 
 void HandoverTarget::onLocked() {
@@ -122,7 +122,7 @@
     callbacks_.on_attempt_finished(outcome);
   early_outcomes_.clear();
   if (released_ && !peer_)
-    callbacks_.on_peer_gone();
+    callbacks_.on_peer_closed();
 }
 
 }  // namespace grademux::handover
--- a/src/handover/handover_target.h
+++ b/src/handover/handover_target.h
@@ -1,6 +1,6 @@
-// The process that replaces another: it waits for the lock of the state folder, or asks the process that
-// holds it. A process that does not answer, or speaks another version, is waited for until it ends, within a
-// time limit. Used on the loop thread alone.
+// Handover in the process that replaces another: locks the state folder, and requests the folder from the
+// process that holds the lock. If that process does not answer, or uses another protocol version, this
+// process waits for it to end, up to a time limit. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,29 +19,30 @@
 class HandoverTarget {
  public:
   struct Callbacks {
-    /// Called once, with the lock held. Null: no process released the folder, or that process died.
+    /// Called once, with the lock held. `released` is null if no process released the folder, for example
+    /// because the earlier process died first.
     std::function<void(const OwnershipReleased* released)> on_acquired;
-    /// The outcome of an attempt that stayed with the earlier process; after on_acquired().
+    /// Receives the outcome of an attempt in flight in the earlier process; called after on_acquired().
     std::function<void(const AttemptOutcome&)> on_attempt_finished;
-    /// The earlier process is gone; called once, after all of its outcomes.
-    std::function<void()> on_peer_gone;
-    /// Called once when the folder could not be locked in time, with a reason for people.
+    /// Called once when the earlier process has closed its connection, after all of its outcomes.
+    std::function<void()> on_peer_closed;
+    /// Called once if the folder could not be locked in time, with a reason for the error message.
     std::function<void(const std::string& reason)> on_failed;
   };
 
   /// `lock` outlives this object.
   HandoverTarget(boost::asio::io_context& io, FolderLock& lock, Callbacks callbacks);
 
-  /// Begins, and goes on for `timeout` microseconds.
+  /// Tries to acquire the folder for up to `timeout` microseconds.
   void start(Micros timeout);
-  /// Sends to the earlier process, if there is one.
+  /// Sends to the earlier process, if one is connected.
   void send(const Message& message);
-  /// Tells the earlier process that the journal records this process as owner.
+  /// Notifies the earlier process that the journal records this process as owner.
   void confirmOwnership() { send(OwnershipAcquired{}); }
 
  private:
-  void attempt();
-  void scheduleRetry(Micros pause);
+  void tryAcquire();
+  void scheduleRetry(Micros delay);
   void dropUnresponsivePeer(Micros now);
   void connect();
   void sendRequest(Micros now);
@@ -58,7 +59,7 @@
   std::unique_ptr<LineSocket> peer_;
   std::optional<OwnershipReleased> released_;
   Micros deadline_ = 0, answer_deadline_ = 0;  // monotonic
-  std::string failure_reason_ = "it does not answer";
+  std::string failure_reason_ = "that process does not answer";
   std::vector<AttemptOutcome> early_outcomes_;  // reported before the folder was locked
   bool request_pending_ = false, owns_folder_ = false;
 };
--- a/src/handover/inherited_attempts.cpp
+++ b/src/handover/inherited_attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of an earlier process; see inherited_attempts.h.
+// Attempts in flight in an earlier process; see inherited_attempts.h.
 #include "inherited_attempts.h"
 
 #include <utility>
@@ -32,7 +32,7 @@
     on_outcome_(outcome);
 }
 
-void InheritedAttempts::onPeerGone() {
+void InheritedAttempts::onPeerClosed() {
   for (const AttemptId& id : std::exchange(inherited_, {}))
     on_outcome_(cancelledOutcome(id));
 }
--- a/src/handover/inherited_attempts.h
+++ b/src/handover/inherited_attempts.h
@@ -1,6 +1,7 @@
-// A transport that adds the attempts that an earlier process of this sender still has in flight to those of
-// this process. Each finishes when that process reports its outcome, or when that process ends, which leaves
-// open whether the endpoint executed the attempt. Used on the loop thread alone.
+// A transport that combines this process's attempts with the attempts that an earlier process of this sender
+// still has in flight. An inherited attempt finishes when the earlier process reports its outcome, or when
+// that process ends; in the second case the endpoint may have executed the attempt. Used on the loop thread
+// alone.
 #pragma once
 
 #include <functional>
@@ -24,14 +25,15 @@
   void inherit(const std::vector<AttemptId>& attempts);
   /// Attempts of the earlier process that have no outcome yet.
   const std::set<AttemptId>& inherited() const { return inherited_; }
-  /// The earlier process reports an outcome. Other attempts than the inherited ones are ignored.
+  /// Handles an outcome that the earlier process reports. Outcomes of other attempts are ignored.
   void onAttemptFinished(const AttemptOutcome& outcome);
-  /// The earlier process is gone: its attempts may have been executed.
-  void onPeerGone();
+  /// Finishes the remaining inherited attempts as cancelled, because the earlier process ended: each may have
+  /// been executed.
+  void onPeerClosed();
 
   void setAddress(const std::string& endpoint, const std::string& address) override;
   void removeEndpoint(const std::string& endpoint) override;
-  /// Leaves inherited attempts alone: only the earlier process knows which of them are written.
+  /// Does not affect inherited attempts: only the earlier process can tell which of them are written.
   void cancelUnwritten(const std::string& endpoint) override;
   void startAttempt(const AttemptRequest& request) override;
   void cancelAttempt(const std::string& message_id, int attempt) override;
--- a/src/handover/line_socket.cpp
+++ b/src/handover/line_socket.cpp
@@ -1,4 +1,4 @@
-// One end of the Unix socket between two processes; see line_socket.h.
+// Connection between two processes of one sender; see line_socket.h.
 #include "line_socket.h"
 
 #include <array>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-// Asynchronous operations share ownership, so that the buffers outlive the LineSocket.
+// Pending asynchronous operations share ownership, so that their buffers outlive the LineSocket.
 class LineSocket::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(Socket socket, OnMessage on_message, OnClosed on_closed)
@@ -62,7 +62,7 @@
     read();
   }
 
-  // False when the connection was closed by a line.
+  // Returns false if a message handler, or a malformed line, closed the connection.
   bool dispatchLines() {
     std::size_t begin = 0;
     for (auto end = input_.find('\n'); end != std::string::npos; end = input_.find('\n', begin)) {
@@ -120,8 +120,8 @@
   OnClosed on_closed_;
   std::array<char, kReadBufferBytes> chunk_{};
   std::string input_;
-  std::string writing_buffer_;  // unchanged while a write is pending
-  std::string queued_;          // messages that were sent meanwhile
+  std::string writing_buffer_;  // not modified while a write is pending
+  std::string queued_;          // messages to write after writing_buffer_
   bool open_ = true, writing_ = false;
 };
 
--- a/src/handover/messages.cpp
+++ b/src/handover/messages.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Names on the wire, which processes of other versions use as well.
+// Names on the wire, which processes of other versions also use.
 namespace wire {
 constexpr const char* kHandoverRequest = "take";
 constexpr const char* kOwnershipAcquired = "taken";
@@ -37,7 +37,7 @@
 
 AttemptId parseAttemptId(const json& value) {
   if (!value.is_array() || value.size() != 2 || !value[0].is_string() || !value[1].is_number_integer())
-    bad("a call is its message's id and a number");
+    bad("call: [message id, attempt number] is expected");
   return {value[0].get<std::string>(), value[1].get<int>()};
 }
 
@@ -57,7 +57,7 @@
 AttemptResult parseResult(const json& value) {
   const std::int64_t result = integer(value, wire::kResult);
   if (result < 0 || result > static_cast<std::int64_t>(AttemptResult::not_sent))
-    bad("unknown result");
+    bad("result: unknown value");
   return static_cast<AttemptResult>(result);
 }
 
@@ -87,7 +87,7 @@
   return released;
 }
 
-// Each gives an object with the message's name as its one key.
+// Each overload returns an object with the message's name as its only key.
 struct Serializer {
   json operator()(const HandoverRequest& request) const {
     return {{wire::kHandoverRequest, {{wire::kVersion, request.version}}}};
@@ -120,7 +120,7 @@
 Message parseMessage(const std::string& line) {
   const json parsed = json::parse(line, nullptr, false);
   if (!parsed.is_object() || parsed.size() != 1)
-    bad("one message is expected");
+    bad("an object with one message is expected");
   const std::string kind = parsed.begin().key();
   const json& body = object(parsed, kind.c_str());
   if (kind == wire::kHandoverRequest)
--- a/src/knowledge/command.cpp
+++ b/src/knowledge/command.cpp
@@ -31,7 +31,7 @@
 constexpr int kEndpointWidth = 26;
 constexpr int kAgeWidth = 11;
 constexpr int kLimitWidth = 15;
-constexpr int kPartWidth = 15;
+constexpr int kQuotaWidth = 15;
 constexpr int kLatencyWidth = 16;
 
 double toMilliseconds(Micros span) {
@@ -42,8 +42,8 @@
   return static_cast<double>(std::llround(value * 1000)) / 1000;
 }
 
-// The age of a moment in the largest unit that keeps two digits.
-std::string ageText(Micros at, Micros now) {
+// Formats the age of the time `at` in the largest unit that keeps two digits.
+std::string formatAge(Micros at, Micros now) {
   if (at <= 0)
     return "-";
   const double seconds = static_cast<double>(now - at) / 1e6;
@@ -62,22 +62,22 @@
   return out.str();
 }
 
-// How far each value of a record is trusted now; 0: the value is no longer used.
+// The trust in each value of a record at present; 0: the value is no longer used.
 struct RecordTrust {
   double limit = 0;
-  double part = 0;
+  double quota = 0;
   double latency = 0;
   double traffic = 0;
 };
 
 RecordTrust trustOf(const LearnedEndpoint& learned, Micros now) {
-  const LearnedEndpoint used = decayed(learned, now);
+  const LearnedEndpoint used = trustedPart(learned, now);
   const Micros outcome_at = learned.last_outcome_at;
   RecordTrust trust;
   if (used.rate_limit > 0)
     trust.limit = trustFactor(outcome_at, now, kLimitTrust);
   if (used.quota_fraction > 0)
-    trust.part = trustFactor(outcome_at, now, kPartTrust);
+    trust.quota = trustFactor(outcome_at, now, kQuotaTrust);
   if (used.samples > 0)
     trust.latency = trustFactor(outcome_at, now, kLatencyTrust);
   if (used.message_rate > 0)
@@ -99,7 +99,7 @@
                  {"heard_ms_ago", has_outcome ? json((now - learned.last_outcome_at) / 1000) : json()},
                  {"trust",
                   {{"limit", roundToThousandths(trust.limit)},
-                   {"part", roundToThousandths(trust.part)},
+                   {"part", roundToThousandths(trust.quota)},
                    {"usual", roundToThousandths(trust.latency)},
                    {"traffic", roundToThousandths(trust.traffic)}}}};
   if (!learned.endpoint.empty()) {
@@ -110,18 +110,18 @@
 }
 
 void printJson(const DecodedFile& decoded, const std::vector<LearnedRecord>& records, Micros now) {
-  json known = json::array();
+  json known_records = json::array();
   for (const LearnedRecord& record : records)
-    known.push_back(toJson(record, now));
+    known_records.push_back(toJson(record, now));
   const json document = {{"sender", decoded.state.sender},
                          {"written_ms_ago", (now - decoded.state.written) / 1000},
                          {"damaged", decoded.damaged},
-                         {"known", std::move(known)}};
+                         {"known", std::move(known_records)}};
   std::cout << document.dump() << '\n';
 }
 
-// A value with its trust in brackets, padded to `width`; blank if there is no value.
-std::string cell(double value, double trust, int width) {
+// Formats a value with its trust in brackets, padded to `width`; blank if the value is unknown.
+std::string formatCell(double value, double trust, int width) {
   std::ostringstream out;
   if (value > 0) {
     out << std::fixed << std::setprecision(value < 10 ? 2 : 0) << value << " (";
@@ -142,14 +142,15 @@
   const RecordTrust trust = trustOf(learned, now);
   std::cout << std::left << std::setw(kDestinationWidth) << learned.destination << std::setw(kEndpointWidth)
             << (learned.endpoint.empty() ? "(all)" : learned.endpoint) << std::setw(kAgeWidth)
-            << ageText(learned.last_outcome_at, now) << cell(learned.rate_limit, trust.limit, kLimitWidth)
-            << cell(learned.quota_fraction, trust.part, kPartWidth)
-            << cell(toMilliseconds(learned.typical_latency), trust.latency, kLatencyWidth)
-            << cell(learned.message_rate, trust.traffic, 0) << '\n';
+            << formatAge(learned.last_outcome_at, now)
+            << formatCell(learned.rate_limit, trust.limit, kLimitWidth)
+            << formatCell(learned.quota_fraction, trust.quota, kQuotaWidth)
+            << formatCell(toMilliseconds(learned.typical_latency), trust.latency, kLatencyWidth)
+            << formatCell(learned.message_rate, trust.traffic, 0) << '\n';
 }
 
 void printTable(const DecodedFile& decoded, const std::vector<LearnedRecord>& records, Micros now) {
-  std::cout << "of " << decoded.state.sender << ", written " << ageText(decoded.state.written, now)
+  std::cout << "of " << decoded.state.sender << ", written " << formatAge(decoded.state.written, now)
             << " ago, " << records.size() << " records";
   if (decoded.damaged > 0)
     std::cout << ", " << decoded.damaged << " damaged";
@@ -185,7 +186,7 @@
 
 int forgetDestination(const std::string& path, LearnedStateFile file, std::int64_t destination) {
   std::vector<LearnedRecord>& records = file.records;
-  const std::size_t before = records.size();
+  const std::size_t old_count = records.size();
   const auto is_of_destination = [destination](const LearnedRecord& record) {
     return record.learned.destination == destination;
   };
@@ -194,8 +195,8 @@
   const std::string error = replaceFile(path, encode(file, UINT64_MAX, left_out));
   if (!error.empty())
     return reportUnusable(path, error);
-  std::cout << "forgotten: " << before - records.size() << " records\n";
-  return before > records.size() ? 0 : kExitUnusable;
+  std::cout << "forgotten: " << old_count - records.size() << " records\n";
+  return old_count > records.size() ? 0 : kExitUnusable;
 }
 
 }  // namespace
--- a/src/knowledge/command.h
+++ b/src/knowledge/command.h
@@ -1,5 +1,5 @@
-// grademux: `grademux_sender knowledge`: what a sender has learned, for people and as JSON, and forgetting
-// it.
+// The sub-command `grademux_sender knowledge`: prints what a sender has learned, as a table or as JSON, and
+// deletes it.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,11 @@
 
 namespace grademux::knowledge {
 
-// FOLDER is the one of the journal. Each gives the exit status: 0, or 2 if there is nothing to be read.
+// `folder` is the journal's folder. Both functions return the exit status: 0, or 2 if the file is missing,
+// unreadable, or has no record to delete.
 int show(const std::string& folder, bool as_json);
-// Of one destination, or all. A sender that runs keeps what it knows and writes it again.
+// Deletes the records of one destination, or the whole file. A running sender keeps its learned state in
+// memory and writes the file again.
 int forget(const std::string& folder, std::optional<std::int64_t> destination);
 
 }  // namespace grademux::knowledge
--- a/src/knowledge/learned_record_codec.cpp
+++ b/src/knowledge/learned_record_codec.cpp
@@ -28,7 +28,7 @@
 template std::string fieldOr(const json&, const char*, std::string);
 template int fieldOr(const json&, const char*, int);
 
-Micros momentField(const json& object, const char* name) {
+Micros timeField(const json& object, const char* name) {
   return std::max<Micros>(0, fieldOr<Micros>(object, name, 0));
 }
 
@@ -62,17 +62,17 @@
   LearnedRecord record;
   LearnedEndpoint& learned = record.learned;
   learned.destination = fieldOr<std::int64_t>(object, "d", 0);
-  learned.last_outcome_at = momentField(object, "heard");
+  learned.last_outcome_at = timeField(object, "heard");
   learned.endpoint = fieldOr<std::string>(object, "e", "");
   record.address = fieldOr<std::string>(object, "at", "");
   learned.rate_limit = fieldOr<double>(object, "limit", 0);
   learned.limit_is_reported = fieldOr<bool>(object, "told", false);
   learned.quota_fraction = fieldOr<double>(object, "part", 0);
-  learned.typical_latency = momentField(object, "usual");
+  learned.typical_latency = timeField(object, "usual");
   learned.samples = learned.typical_latency > 0 ? std::max(0, fieldOr<int>(object, "n", 0)) : 0;
   learned.unknown_outcome_fraction = std::min(1.0, fieldOr<double>(object, "risk", 0));
   learned.message_rate = fieldOr<double>(object, "traffic", 0);
-  learned.last_message_at = momentField(object, "came");
+  learned.last_message_at = timeField(object, "came");
   return record;
 }
 
@@ -84,12 +84,12 @@
 
 LearnedPool decodePool(const json& object) {
   LearnedPool pool;
-  pool.last_outcome_at = momentField(object, "heard");
+  pool.last_outcome_at = timeField(object, "heard");
   pool.mean_latency = fieldOr<double>(object, "typical", 0);
   pool.latency_samples = std::max(0, fieldOr<int>(object, "n", 0));
   pool.stale_connection_score = fieldOr<double>(object, "dead_score", 0);
-  pool.stale_after_idle = momentField(object, "dead_least");
-  pool.stale_observed_at = momentField(object, "dead_at");
+  pool.stale_after_idle = timeField(object, "dead_least");
+  pool.stale_observed_at = timeField(object, "dead_at");
   return pool;
 }
 
--- a/src/knowledge/learned_record_codec.h
+++ b/src/knowledge/learned_record_codec.h
@@ -1,4 +1,5 @@
-// The stored field names of the learned state, both ways. Nothing past this module knows them.
+// Encodes and decodes the records of the learned state. The stored field names are used in this module and
+// in the file header only.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,13 +9,14 @@
 
 namespace grademux::knowledge {
 
-// The value of a field, or `fallback` if the field is absent, of another kind, or a number that is negative
-// or not finite where a floating-point number is expected.
+// Returns the value of a field, or `fallback` if the field is absent, of another type, or a number that is
+// negative or not finite where a floating-point number is expected.
 template <class T>
 T fieldOr(const nlohmann::json& object, const char* name, T fallback);
 
-// A moment or a span; never negative, so that differences stay in range.
-Micros momentField(const nlohmann::json& object, const char* name);
+// Returns a time or a duration in microseconds; a negative one counts as 0, so that differences do not
+// overflow.
+Micros timeField(const nlohmann::json& object, const char* name);
 
 nlohmann::json encodeRecord(const LearnedRecord& record);
 LearnedRecord decodeRecord(const nlohmann::json& object);
--- a/src/knowledge/learned_state_file.cpp
+++ b/src/knowledge/learned_state_file.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kChecksumBytes = 8;
 constexpr std::size_t kFrameHeaderBytes = kLengthBytes + kChecksumBytes;
-constexpr std::size_t kMaxRecordBytes = 1 << 16;  // a longer record is damage
+constexpr std::size_t kMaxRecordBytes = 1 << 16;  // a longer record is damaged
 constexpr std::size_t kMaxFileBytes = 256u << 20;
 constexpr const char* kFileType = "grademux knowledge";
 
@@ -75,13 +75,13 @@
   explicit FrameReader(const std::string& bytes) : bytes_(bytes) {}
 
   bool atEnd() const { return position_ >= bytes_.size(); }
-  // Whether the next frame can be delimited; if not, nothing after it can be read.
+  // Whether the next frame is complete and its length plausible; if not, no later frame can be read.
   bool hasFrame() const {
     const std::size_t left = bytes_.size() - position_;
     return left >= kFrameHeaderBytes && payloadSize() <= kMaxRecordBytes &&
            payloadSize() <= left - kFrameHeaderBytes;
   }
-  // The record of the next frame, or nothing if it is damaged.
+  // Returns the record of the next frame, or nothing if the record is damaged.
   std::optional<json> next() {
     const std::uint64_t size = payloadSize();
     const std::uint64_t checksum = numberAt(bytes_, position_ + kLengthBytes, kChecksumBytes);
@@ -102,10 +102,10 @@
   std::size_t position_ = 0;
 };
 
-// Reads the header into `state`. Returns why the file can't be used, or an empty text.
+// Reads the header into `state`. Returns why the file is rejected, or an empty text.
 std::string decodeHeader(const json& header, const std::string& sender, LearnedStateFile& state) {
   state.sender = fieldOr<std::string>(header, "sender", "");
-  state.written = momentField(header, "written");
+  state.written = timeField(header, "written");
   const int version = fieldOr<int>(header, "form", 0);
   if (fieldOr<std::string>(header, "what", "") != kFileType)
     return "not a file of knowledge";
--- a/src/knowledge/learned_state_file.h
+++ b/src/knowledge/learned_state_file.h
@@ -1,10 +1,11 @@
-// grademux: what a sender has learned, as a file: records with a checksum each. Reading one never throws and
-// never trusts: what is damaged is left out and counted, what is of another sender or of a newer form is left
-// as a whole. Times are Unix time in microseconds.
+// File format of the learned state of one sender. Reading never throws: damaged records are skipped and
+// counted, and a file of another sender or of another format version is rejected as a whole. Times are Unix
+// time in microseconds.
 //
-// The file: frames of a length (4 bytes, little-endian), XXH3-64 of the payload (8 bytes) and the payload, a
-// map in MessagePack. The first one heads the file. Fields that a reader doesn't know are skipped, absent
-// ones are unknown; the form's number rises only when a field changes its meaning.
+// The file is a sequence of frames. A frame is the payload's length (4 bytes, little-endian), the XXH3-64 of
+// the payload (8 bytes, little-endian) and the payload, a MessagePack map. The first frame is the file's
+// header, each other frame a record. Unknown fields are skipped, and absent fields have unknown values; the
+// format version is increased only when a field changes its meaning.
 #pragma once
 
 #include <cstdint>
@@ -22,19 +23,20 @@
 
 struct LearnedStateFile : LearnedState {
   std::string sender;
-  Micros written = 0;
+  Micros written = 0;  // when the file was written
 };
 
-// With `most_bytes` as a bound, what was heard of longest ago is left out, and counted.
-std::string encode(const LearnedStateFile& book, std::uint64_t most_bytes, std::size_t& left_out);
+// Returns at most `max_bytes` bytes with the most recently observed records; `left_out` is the number of the
+// others. Returns an empty text if not even the header fits.
+std::string encode(const LearnedStateFile& file, std::uint64_t max_bytes, std::size_t& left_out);
 
 struct DecodedFile {
   LearnedStateFile state;
-  bool found = false;
-  std::string error;        // why nothing of it is used
-  std::size_t damaged = 0;  // records, at least, that are not used
+  bool found = false;       // the file exists
+  std::string error;        // why the file is rejected; empty: it is not
+  std::size_t damaged = 0;  // damaged records; a lower bound, because damage may hide the records after it
 };
-// `sender`: whose it has to be; empty: anyone's.
+// `sender` is the expected sender of the file; any sender is accepted if it is empty.
 DecodedFile decode(const std::string& bytes, const std::string& sender);
 DecodedFile loadLearnedState(const std::string& path, const std::string& sender);
 
--- a/src/knowledge/learned_state_store.cpp
+++ b/src/knowledge/learned_state_store.cpp
@@ -1,4 +1,4 @@
-// grademux: keeping what was learned; see keeper.h.
+// Storage of the learned state; see learned_state_store.h.
 #include "learned_state_store.h"
 
 #include <unistd.h>
@@ -12,151 +12,156 @@
 
 namespace grademux::knowledge {
 
-LearnedStateStore::LearnedStateStore(boost::asio::io_context& io, Worker& worker, LearnedStateConfig spec,
-                                     const std::string& folder, std::string sender, Export survey,
-                                     AvailableBytes room, ReportBytes beside)
+LearnedStateStore::LearnedStateStore(boost::asio::io_context& io, Worker& worker, LearnedStateConfig config,
+                                     const std::string& folder, std::string sender, Export export_records,
+                                     AvailableBytes available_bytes, ReportBytes report_bytes)
     : worker_(worker),
-      spec_(spec),
+      config_(config),
       path_(pathIn(folder)),
       sender_(std::move(sender)),
-      export_(std::move(survey)),
-      available_bytes_(std::move(room)),
-      report_bytes_(std::move(beside)),
+      export_(std::move(export_records)),
+      available_bytes_(std::move(available_bytes)),
+      report_bytes_(std::move(report_bytes)),
       timer_(io) {}
 
 LearnedStateFile LearnedStateStore::load() {
-  ::unlink((path_ + ".new").c_str());  // a write that was cut short: the old file is whole
-  if (!spec_.enabled)
+  ::unlink((path_ + ".new").c_str());  // left by an interrupted write; the old file is complete
+  if (!config_.enabled)
     return {};
-  const Micros began = monotonicNow();
-  DecodedFile r = loadLearnedState(path_, sender_);
-  if (!r.error.empty()) {
-    log::write(log::Event::knowledge_rejected, {{"cause", r.error}});
+  const Micros started_at = monotonicNow();
+  DecodedFile decoded = loadLearnedState(path_, sender_);
+  if (!decoded.error.empty()) {
+    log::write(log::Event::knowledge_rejected, {{"cause", decoded.error}});
     return {};
   }
-  if (!r.found)
+  if (!decoded.found)
     return {};
-  if (r.damaged > 0)
-    log::write(log::Event::knowledge_damaged, {{"records", r.damaged}});
-  const Micros age = unixNow() - r.state.written;
-  log::write(
-      log::Event::knowledge_read,
-      {{"records", r.state.records.size()}, {"age_ms", age / 1000}, {"took_us", monotonicNow() - began}});
-  return std::move(r.state);
+  if (decoded.damaged > 0)
+    log::write(log::Event::knowledge_damaged, {{"records", decoded.damaged}});
+  const Micros age = unixNow() - decoded.state.written;
+  log::write(log::Event::knowledge_read, {{"records", decoded.state.records.size()},
+                                          {"age_ms", age / 1000},
+                                          {"took_us", monotonicNow() - started_at}});
+  return std::move(decoded.state);
 }
 
 void LearnedStateStore::start() {
-  if (spec_.enabled)
-    schedule(spec_.interval);
+  if (config_.enabled)
+    schedule(config_.interval);
 }
 
-void LearnedStateStore::applyConfig(LearnedStateConfig spec) {
-  if (spec == spec_)
+void LearnedStateStore::applyConfig(LearnedStateConfig config) {
+  if (config == config_)
     return;
-  spec_ = spec;
-  if (spec_.enabled)
-    return schedule(std::min(spec_.interval, kSoon));
-  due_ = 0;
+  config_ = config;
+  if (config_.enabled)
+    return schedule(std::min(config_.interval, kMinWriteInterval));
+  next_write_at_ = 0;
   timer_.cancel();
 }
 
-void LearnedStateStore::writeSoon() {
-  if (!spec_.enabled || stopped_)
+void LearnedStateStore::scheduleWrite() {
+  if (!config_.enabled || stopped_)
     return;
-  if (due_ == 0 || due_ - monotonicNow() > kSoon)
-    schedule(kSoon);
+  if (next_write_at_ == 0 || next_write_at_ - monotonicNow() > kMinWriteInterval)
+    schedule(kMinWriteInterval);
 }
 
-void LearnedStateStore::schedule(Micros span) {
+void LearnedStateStore::schedule(Micros delay) {
   if (stopped_)
     return;
-  due_ = monotonicNow() + span;
-  timer_.expires_after(std::chrono::microseconds(span));
-  timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e || stopped_ || !spec_.enabled)
+  next_write_at_ = monotonicNow() + delay;
+  timer_.expires_after(std::chrono::microseconds(delay));
+  timer_.async_wait([this](const boost::system::error_code& error) {
+    if (error || stopped_ || !config_.enabled)
       return;
-    if (busy_)
-      return schedule(kSoon);
-    busy_ = true;
-    due_ = 0;
+    if (saving_)
+      return schedule(kMinWriteInterval);
+    saving_ = true;
+    next_write_at_ = 0;
     state_ = {};
-    collect(INT64_MIN);
+    exportBatch(INT64_MIN);
   });
 }
 
-void LearnedStateStore::collect(std::int64_t after) {
-  export_(after, kSlice, [this](std::vector<LearnedRecord> known, const LearnedExported& end) {
-    state_.records.insert(state_.records.end(), std::make_move_iterator(known.begin()),
-                          std::make_move_iterator(known.end()));
+void LearnedStateStore::exportBatch(std::int64_t after) {
+  export_(after, kExportBatch, [this](std::vector<LearnedRecord> records, const LearnedExported& exported) {
+    state_.records.insert(state_.records.end(), std::make_move_iterator(records.begin()),
+                          std::make_move_iterator(records.end()));
     if (stopped_)
       return;
-    if (!end.complete)
-      return collect(end.after);
-    state_.pool = end.pool;
+    if (!exported.complete)
+      return exportBatch(exported.after);
+    state_.pool = exported.pool;
     write();
   });
 }
 
-// Old and new file are there together for a moment.
-std::uint64_t LearnedStateStore::mostBytes() const {
-  const std::uint64_t room =
-      available_bytes_() + blocks(bytes_);  // the old one is counted among what takes room
-  return std::min(spec_.max_bytes, room / 2 / kFileBlock * kFileBlock);
+// Returns at most half of the space, because a write keeps the old file until the new one is complete.
+std::uint64_t LearnedStateStore::maxFileBytes() const {
+  // available_bytes_() counts the old file as used space.
+  const std::uint64_t available = available_bytes_() + blocks(file_bytes_);
+  return std::min(config_.max_bytes, available / 2 / kFileBlock * kFileBlock);
 }
 
-LearnedStateStore::Written LearnedStateStore::writeFile(const std::string& path, const LearnedStateFile& book,
-                                                        std::uint64_t most_bytes) {
-  const Micros began = monotonicNow();
-  Written w;
-  w.records = book.records.size();
-  const std::string bytes = encode(book, most_bytes, w.left_out);
-  w.records -= w.left_out;
-  w.bytes = bytes.size();
-  w.wrong = bytes.empty() ? "the disk budget leaves no room beside the journal" : replaceFile(path, bytes);
-  w.took = monotonicNow() - began;
-  return w;
+LearnedStateStore::WriteResult LearnedStateStore::writeFile(const std::string& path,
+                                                            const LearnedStateFile& file,
+                                                            std::uint64_t max_bytes) {
+  const Micros started_at = monotonicNow();
+  WriteResult result;
+  result.records = file.records.size();
+  const std::string bytes = encode(file, max_bytes, result.left_out);
+  result.records -= result.left_out;
+  result.bytes = bytes.size();
+  result.error =
+      bytes.empty() ? "the disk budget leaves no space beside the journal" : replaceFile(path, bytes);
+  result.duration = monotonicNow() - started_at;
+  return result;
 }
 
 void LearnedStateStore::write() {
   state_.sender = sender_;
   state_.written = unixNow();
-  const std::uint64_t most = mostBytes();
-  report_bytes_(2 * most);
+  const std::uint64_t max_bytes = maxFileBytes();
+  report_bytes_(2 * max_bytes);
   writing_ = true;
-  worker_.run([this, path = path_, book = std::make_shared<const LearnedStateFile>(std::move(state_)), most] {
-    return [this, w = writeFile(path, *book, most)] {
-      writing_ = busy_ = false;
-      onWritten(w);
-      if (due_ == 0 && spec_.enabled)
-        schedule(spec_.interval);
-    };
-  });
+  worker_.run(
+      [this, path = path_, file = std::make_shared<const LearnedStateFile>(std::move(state_)), max_bytes] {
+        return [this, result = writeFile(path, *file, max_bytes)] {
+          writing_ = saving_ = false;
+          onWritten(result);
+          if (next_write_at_ == 0 && config_.enabled)
+            schedule(config_.interval);
+        };
+      });
 }
 
-void LearnedStateStore::onWritten(const Written& w) {
-  if (w.wrong.empty())
-    bytes_ = w.bytes;
-  if (space_freed_) {
+void LearnedStateStore::onWritten(const WriteResult& result) {
+  if (result.error.empty())
+    file_bytes_ = result.bytes;
+  if (remove_after_write_) {
     ::unlink(path_.c_str());
-    bytes_ = 0;
-    space_freed_ = false;
+    file_bytes_ = 0;
+    remove_after_write_ = false;
   }
-  report_bytes_(blocks(bytes_));
-  if (w.wrong.empty())
-    log::write(log::Event::knowledge_written,
-               {{"records", w.records}, {"left_out", w.left_out}, {"bytes", w.bytes}, {"took_us", w.took}});
-  else if (!failing_)
-    log::write(log::Event::knowledge_write_failed, {{"cause", w.wrong}});
-  failing_ = !w.wrong.empty();
+  report_bytes_(blocks(file_bytes_));
+  if (result.error.empty())
+    log::write(log::Event::knowledge_written, {{"records", result.records},
+                                               {"left_out", result.left_out},
+                                               {"bytes", result.bytes},
+                                               {"took_us", result.duration}});
+  else if (!last_write_failed_)
+    log::write(log::Event::knowledge_write_failed, {{"cause", result.error}});
+  last_write_failed_ = !result.error.empty();
 }
 
 void LearnedStateStore::finish(LearnedState state) {
   stopped_ = true;
   timer_.cancel();
-  if (!spec_.enabled || writing_)
-    return;  // one that is under way is as new as this one, nearly
-  LearnedStateFile book{std::move(state), sender_, unixNow()};
-  onWritten(writeFile(path_, book, mostBytes()));
+  if (!config_.enabled || writing_)
+    return;  // a write in progress has nearly the same content
+  LearnedStateFile file{std::move(state), sender_, unixNow()};
+  onWritten(writeFile(path_, file, maxFileBytes()));
 }
 
 void LearnedStateStore::resume() {
@@ -165,11 +170,11 @@
 }
 
 bool LearnedStateStore::freeSpace() {
-  space_freed_ = writing_;
+  remove_after_write_ = writing_;
   if (writing_)
     return false;
   ::unlink(path_.c_str());
-  bytes_ = 0;
+  file_bytes_ = 0;
   return true;
 }
 
--- a/src/knowledge/learned_state_store.h
+++ b/src/knowledge/learned_state_store.h
@@ -1,6 +1,7 @@
-// grademux: keeps what the decision module has learned, in GW_STATE/knowledge: asks for it some destinations
-// at a time, writes it off the loop, and gives way where the journal needs the room. Without it, or with a
-// file that can't be read, the program runs as if nothing had been learned.
+// Stores what the decision module has learned in the file `knowledge` of the state folder. Exports a batch of
+// destinations per turn of the loop, writes the file on the worker thread, and removes the file when the
+// journal needs its space. Without the file, or with an unreadable one, the process starts with no learned
+// state. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -14,67 +15,79 @@
 // `[knowledge]` of the daemon file.
 struct LearnedStateConfig {
   bool enabled = false;
-  Micros interval = 10'000'000;
-  std::uint64_t max_bytes = 4 << 20;  // of the file; twice as much while it is written
-  bool operator==(const LearnedStateConfig& o) const {
-    return enabled == o.enabled && interval == o.interval && max_bytes == o.max_bytes;
+  Micros interval = 10'000'000;       // from one write to the next
+  std::uint64_t max_bytes = 4 << 20;  // size limit of the file; a write takes up to twice as much
+  bool operator==(const LearnedStateConfig& other) const {
+    return enabled == other.enabled && interval == other.interval && max_bytes == other.max_bytes;
   }
 };
 
 class LearnedStateStore {
  public:
-  // What is known of some destinations, and LearnedExported; as DeliveryEngine::survey().
-  using Learned = std::function<void(std::vector<LearnedRecord>, const LearnedExported&)>;
-  using Export = std::function<void(std::int64_t after, int most, Learned)>;
-  using AvailableBytes = std::function<std::uint64_t()>;         // bytes left to it and its old file
-  using ReportBytes = std::function<void(std::uint64_t bytes)>;  // is told how many it takes
+  // Receives the records of one batch of destinations, and where the next batch starts.
+  using ExportCallback = std::function<void(std::vector<LearnedRecord>, const LearnedExported&)>;
+  // Exports up to `max_destinations` destinations with ids above `after`; as DeliveryEngine::exportLearned().
+  using Export = std::function<void(std::int64_t after, int max_destinations, ExportCallback)>;
+  // Returns the disk space in bytes that is free for a new file, beside the current one.
+  using AvailableBytes = std::function<std::uint64_t()>;
+  // Receives the number of bytes of the disk budget that the file takes, or may take during a write.
+  using ReportBytes = std::function<void(std::uint64_t bytes)>;
 
-  LearnedStateStore(boost::asio::io_context& io, Worker& worker, LearnedStateConfig spec,
-                    const std::string& folder, std::string sender, Export survey, AvailableBytes room,
-                    ReportBytes beside);
+  // `io` and `worker` outlive this object.
+  LearnedStateStore(boost::asio::io_context& io, Worker& worker, LearnedStateConfig config,
+                    const std::string& folder, std::string sender, Export export_records,
+                    AvailableBytes available_bytes, ReportBytes report_bytes);
 
-  // What an earlier process left, at once; why it is not used goes to the log.
+  // Reads the file of the earlier process, blocking. Returns an empty state and logs the cause if the file
+  // can't be used.
   LearnedStateFile load();
   void start();
-  // Something that matters was learned: the next write comes soon.
-  void writeSoon();
-  // A daemon file that was read again.
-  void applyConfig(LearnedStateConfig spec);
-  // The process ends, or gives its folder to another: writes this on the spot.
+  // Schedules the next write within kMinWriteInterval, after a change that the next process has to see.
+  void scheduleWrite();
+  // Applies a daemon file that was reloaded.
+  void applyConfig(LearnedStateConfig config);
+  // Stops the store and writes `state`, blocking, because the process ends or releases the folder to another
+  // process. Writes nothing if a write is in progress already, which has nearly the same content.
   void finish(LearnedState state);
-  void resume();  // after finish(): the folder stayed with this process
-  // The file goes, for the journal's sake. False while it is being written: it goes then.
+  // Restarts the store after finish(), when the folder stayed with this process.
+  void resume();
+  // Removes the file, because the journal needs its space. Returns false while a write is in progress; the
+  // file is then removed when the write ends.
   bool freeSpace();
 
   static std::string pathIn(const std::string& folder) { return folder + "/knowledge"; }
 
  private:
-  static constexpr int kSlice = 256;          // destinations in a turn
-  static constexpr Micros kSoon = 1'000'000;  // between writes at least
-  struct Written {
-    std::string wrong;
+  static constexpr int kExportBatch = 256;                // destinations per turn of the loop
+  static constexpr Micros kMinWriteInterval = 1'000'000;  // between two writes
+  struct WriteResult {
+    std::string error;  // empty: the file was written
     std::uint64_t bytes = 0;
     std::size_t records = 0, left_out = 0;
-    Micros took = 0;
+    Micros duration = 0;
   };
-  void schedule(Micros span);
-  void collect(std::int64_t after);
+  void schedule(Micros delay);
+  void exportBatch(std::int64_t after);
   void write();
-  void onWritten(const Written& w);
-  static Written writeFile(const std::string& path, const LearnedStateFile& book, std::uint64_t most_bytes);
-  std::uint64_t mostBytes() const;
+  void onWritten(const WriteResult& result);
+  static WriteResult writeFile(const std::string& path, const LearnedStateFile& file,
+                               std::uint64_t max_bytes);
+  std::uint64_t maxFileBytes() const;
 
   Worker& worker_;
-  LearnedStateConfig spec_;
+  LearnedStateConfig config_;
   std::string path_, sender_;
   Export export_;
   AvailableBytes available_bytes_;
   ReportBytes report_bytes_;
   boost::asio::steady_timer timer_;
-  Micros due_ = 0;
-  LearnedStateFile state_;
-  std::uint64_t bytes_ = 0;  // of the file that is there
-  bool busy_ = false, writing_ = false, space_freed_ = false, failing_ = false, stopped_ = false;
+  Micros next_write_at_ = 0;      // monotonic; 0: no write is scheduled
+  LearnedStateFile state_;        // records exported so far for the next write
+  std::uint64_t file_bytes_ = 0;  // size of the current file
+  // saving_ is set from the start of the export to the end of the write, writing_ only during the write on
+  // the worker thread.
+  bool saving_ = false, writing_ = false, remove_after_write_ = false, last_write_failed_ = false,
+       stopped_ = false;
 };
 
 }  // namespace grademux::knowledge
--- a/src/zones/decaying_sum.h
+++ b/src/zones/decaying_sum.h
@@ -5,11 +5,11 @@
 
 namespace grademux::zones {
 
-/// A sum whose addends lose weight with time. Each caller passes the same time constant to every call.
+/// A sum whose addends lose weight exponentially. All calls on one object pass the same time constant.
 class DecayingSum {
  public:
   void add(Micros now, double amount, Micros time_constant);
-  /// The sum as it weighs at `now`.
+  /// Returns the decayed sum at `now`.
   double at(Micros now, Micros time_constant) const;
 
  private:
--- a/src/zones/delivery_rates.cpp
+++ b/src/zones/delivery_rates.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-// Corrects for the short observation time: a young sum has not yet grown to its long-term value.
+// Corrects for a short observation time, in which the sum has not yet reached its long-term value.
 double DeliveryRates::perSecond(Micros now, const DecayingSum& deliveries) const {
   const auto age = static_cast<double>(std::max(now - started_at_, kMinBaselineAge));
   const auto constant = double{kBaselineTimeConstant};
--- a/src/zones/delivery_rates.h
+++ b/src/zones/delivery_rates.h
@@ -17,7 +17,7 @@
 /// Deliveries per second to each endpoint, as decaying averages.
 class DeliveryRates {
  public:
-  /// An attempt ended, whatever its result: the observation time starts with the first.
+  /// Records the end of an attempt with any result. The observation time starts with the first one.
   void onAttemptEnded(Micros now);
   void recordDelivery(Micros now, const std::string& zone, const std::string& endpoint);
 
@@ -26,7 +26,7 @@
   /// Deliveries per second to all endpoints of the zone.
   double rate(Micros now, const std::string& zone) const;
 
-  /// Drops endpoints whose rate has decayed to nothing.
+  /// Drops endpoints whose rate has decayed to a negligible value.
   void expire(Micros now);
 
  private:
--- a/src/zones/endpoint_index.h
+++ b/src/zones/endpoint_index.h
@@ -11,7 +11,7 @@
 
 namespace grademux::zones {
 
-/// Entries are immutable and shared: an attempt keeps the entry that it started with.
+/// Entries are immutable and shared: an attempt keeps the entry with which the attempt started.
 class EndpointIndex {
  public:
   using Entry = std::shared_ptr<const Endpoint>;
--- a/src/zones/health_check_schedule.h
+++ b/src/zones/health_check_schedule.h
@@ -1,6 +1,7 @@
-// Schedules health checks with live messages. The decision module selects an endpoint that failed last only
-// if its destination has no other, so for the length of a check the destination's other endpoints are hidden
-// from it. No I/O and no clock: times are microseconds of one monotonic clock. Used on the loop thread only.
+// Schedules health checks with live messages. The decision module selects an endpoint whose last attempt
+// failed only if the destination has no other endpoint, so the other endpoints are hidden from the decision
+// module during a check. No I/O and no clock: times are microseconds of one monotonic clock. Used on the loop
+// thread only.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +35,8 @@
   void closeWindow(std::int64_t destination, Micros now);
   bool isWindowOpen(std::int64_t destination, Micros now) const;
 
-  /// Calls `visit(destination)` for every window, then drops the window if it opened long ago.
+  /// Calls `visit(destination)` for every window, then drops windows that opened kWindowExpiry ago or
+  /// earlier.
   template <class Visit>
   void visitAndExpireWindows(Micros now, const Visit& visit) {
     for (auto window = windows_.begin(); window != windows_.end();) {
--- a/src/zones/regions.cpp
+++ b/src/zones/regions.cpp
@@ -22,12 +22,12 @@
 }
 
 bool Regions::operator==(const Regions& other) const {
-  return region_by_zone == other.region_by_zone && stand_by == other.stand_by;
+  return region_by_zone == other.region_by_zone && standby_by_region == other.standby_by_region;
 }
 
 bool Regions::isStandbyOf(const std::string& region, const std::string& standby) const {
-  const auto found = stand_by.find(region);
-  return found != stand_by.end() && found->second == standby;
+  const auto found = standby_by_region.find(region);
+  return found != standby_by_region.end() && found->second == standby;
 }
 
 }  // namespace grademux::zones
--- a/src/zones/token_bucket.h
+++ b/src/zones/token_bucket.h
@@ -12,7 +12,7 @@
 
 namespace grademux::zones {
 
-/// Refills at a fixed rate; holds at most a tenth of a second's tokens, but at least one.
+/// Refills at a fixed rate. The capacity is a tenth of a second's tokens, but at least one token.
 class TokenBucket {
  public:
   /// Sets the rate in attempts per second, from `now` on.
--- a/src/zones/traffic_baseline.cpp
+++ b/src/zones/traffic_baseline.cpp
@@ -8,7 +8,7 @@
   const bool valid = pair.is_array() && pair.size() == 2 && pair[0].is_number_integer() &&
                      pair[1].is_number() && pair[1].get<double>() >= 0;
   if (!valid)
-    bad("parts: " + endpoint + ": a destination and calls a second are expected");
+    bad("parts: " + endpoint + ": [destination, messages per second] is expected");
   return {pair[0].get<std::int64_t>(), pair[1].get<double>()};
 }
 
--- a/src/zones/traffic_baseline.h
+++ b/src/zones/traffic_baseline.h
@@ -1,6 +1,6 @@
 // Baseline traffic of one sender: how much it sent to the endpoints of a zone before the zone was evacuated.
-// Each recovery stage allows a fraction of it. Stored in the sender's own folder, because no other sender has
-// it. Plain data and its JSON form: no thread rule.
+// Each recovery stage allows a fraction of it. Stored in the sender's own state folder, because no other
+// sender has these rates. Plain data and its JSON form, without a thread rule.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace grademux::zones {
 
-/// What one endpoint received from this sender.
+/// Rate of this sender's deliveries to one endpoint before the evacuation.
 struct BaselineRate {
   std::int64_t destination = 0;
   double rate = 0;  ///< Delivered messages per second.
@@ -32,12 +32,12 @@
   bool operator==(const TrafficBaseline& other) const { return by_zone == other.by_zone; }
 };
 
-/// The stored form: zone -> endpoint id -> [destination, rate].
+/// Returns the stored form: zone -> endpoint id -> [destination, rate].
 json toJson(const TrafficBaseline& baseline);
-/// Throws BadInput that names the wrong field.
+/// Throws BadInput, which names the invalid field.
 TrafficBaseline parseTrafficBaseline(const json& object);
 
-/// The baseline of one zone, with the averages for endpoints that were listed later.
+/// The baseline of one zone. Endpoints that were listed later get the average rate of their destination.
 class ZoneBaseline {
  public:
   /// Rates of 0 are left out.
@@ -46,7 +46,8 @@
   const EndpointRates& endpoints() const { return endpoints_; }
   /// Messages per second to the whole zone.
   double totalRate() const { return total_rate_; }
-  /// Fraction of the endpoint's own baseline; of the average of its destination if it has none.
+  /// Returns the given fraction of the endpoint's baseline rate, or of its destination's average rate per
+  /// endpoint if the endpoint has no baseline; 0 if neither is known.
   double fractionOfRate(double fraction, const std::string& endpoint, std::int64_t destination) const;
 
  private:
--- a/src/zones/zone_health_monitor.cpp
+++ b/src/zones/zone_health_monitor.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// Decayed number of attempts below which a destination is no evidence unless it is failing.
+// Decayed number of attempts below which a destination is no evidence, unless the destination is failing.
 constexpr double kMinRecentAttempts = 0.5;
 
-// Whether an outcome may be caused by the endpoint's zone. A rejection with Retry-After is a rate limit.
+// Whether a fault of the endpoint's zone may have caused the outcome. A rejection with Retry-After is a rate
+// limit.
 bool indicatesZoneFault(const AttemptOutcome& outcome) {
   switch (outcome.result) {
     case AttemptResult::error:
--- a/src/zones/zone_health_monitor.h
+++ b/src/zones/zone_health_monitor.h
@@ -3,7 +3,7 @@
 //
 // A zone fails where destinations fail in it and not in their other zones. A destination that is down
 // everywhere, or that has endpoints in one zone only, is no evidence about a zone. A sender whose own network
-// fails, or that was suspended, sees every zone fail and accuses none.
+// fails, or whose process was suspended, sees every zone fail and reports none as failing.
 #pragma once
 
 #include <map>
@@ -22,14 +22,14 @@
 constexpr double kMinSamples = 3;
 /// Fraction of failed attempts from which a destination counts as failing in a zone.
 constexpr double kFailingFraction = 0.5;
-/// Fraction of failed attempts up to which it counts as healthy.
+/// Fraction of failed attempts up to which a destination counts as healthy in a zone.
 constexpr double kHealthyFraction = 0.2;
 /// Statistics of a destination without attempts are dropped after this.
 constexpr Micros kStatsExpiry = 300'000'000;
-/// Destinations that a sender must see failing to accuse a zone.
+/// Number of failing destinations from which a sender reports a zone as failing.
 constexpr int kMinFailingDestinations = 2;
-/// How long a failure without a later success counts. The decision module avoids an endpoint that failed, so
-/// a second failure may never be observed.
+/// How long a failure counts if no success follows. The decision module avoids an endpoint that failed, so a
+/// second failure may never be observed.
 constexpr Micros kLastFailureValidity = 10'000'000;
 
 /// Collects attempt outcomes and derives this sender's vote on each zone.
@@ -56,7 +56,7 @@
 
   /// Drops the statistics of a zone whose phase has changed; baselines stay.
   void resetZone(const std::string& zone);
-  /// Drops destinations and endpoints without attempts for long.
+  /// Drops destinations without attempts for kStatsExpiry, and endpoints whose rate is negligible.
   void expire(Micros now);
   /// Number of destinations with statistics.
   std::size_t size() const { return stats_.size(); }
--- a/src/zones/zone_state.cpp
+++ b/src/zones/zone_state.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Stored names, in the order of the enumerators.
+// Names in stored data, in the order of the enumerators.
 constexpr const char* kPhaseNames[] = {"in", "out", "back"};
 constexpr const char* kObservationNames[] = {"nothing", "fine", "failing"};
 
@@ -26,7 +26,7 @@
     return probers;
   for (const json& name : array(object, "carriers")) {
     if (!name.is_string())
-      bad("zones: carriers: names are expected");
+      bad("zones: carriers: names of senders are expected");
     probers.insert(name.get<std::string>());
   }
   return probers;
@@ -42,13 +42,13 @@
 
 ZoneState parseState(const json& object) {
   if (!object.is_object())
-    bad("zones: an object each is expected");
+    bad("zones: an object for each zone is expected");
   ZoneState state;
   state.phase = static_cast<ZonePhase>(parseName(object, "state", kPhaseNames));
   state.stage = optionalInteger(object, "stage");
   state.traffic_fraction = number(object, "share", 0);
   if (!(state.traffic_fraction >= 0 && state.traffic_fraction <= 1))
-    bad("zones: share: 0 to 1 is expected");
+    bad("zones: share: a number from 0 to 1 is expected");
   state.failed_recoveries = optionalInteger(object, "failed");
   state.pinned_by_operator = truth(object, "held", false);
   state.reason = text(object, "why", "");
@@ -93,12 +93,12 @@
 
 ZoneVote parseVote(const json& object) {
   if (!object.is_object())
-    bad("a vote on a zone is not an object");
+    bad("a vote on a zone: an object is expected");
   ZoneVote vote;
   vote.observation = static_cast<Observation>(parseName(object, "sight", kObservationNames));
   vote.traffic = number(object, "traffic");
   if (!(vote.traffic >= 0))
-    bad("traffic: no less than 0 is expected");
+    bad("traffic: a number of at least 0 is expected");
   vote.failing_destinations = static_cast<int>(integer(object, "struck"));
   return vote;
 }
--- a/src/zones/zone_state.h
+++ b/src/zones/zone_state.h
@@ -1,5 +1,5 @@
-// Zone states in the plan, one sender's vote on a zone, and the JSON form of both. Plain data: no thread
-// rule. docs/design/zones.md has the rules by which states change.
+// Zone states in the plan, one sender's vote on a zone, and the JSON form of both. Plain data
+// without a thread rule. docs/design/zones.md has the rules by which states change.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 namespace grademux::zones {
 
 enum class ZonePhase {
-  active,     ///< The decision module alone decides.
+  active,     ///< The decision module alone selects endpoints.
   evacuated,  ///< No attempt starts.
   recovering  ///< Attempts start up to a fraction of the baseline.
 };
@@ -24,24 +24,24 @@
   double traffic_fraction = 0;      ///< Recovering, from stage 1: of each sender's baseline.
   int failed_recoveries = 0;        ///< Consecutive recoveries that were aborted.
   bool pinned_by_operator = false;  ///< Only operator commands change the state.
-  std::string reason;               ///< For people; no part of the comparison.
+  std::string reason;               ///< For operators; not part of the comparison.
 
   bool operator==(const ZoneState& other) const;
 };
-/// By zone; a zone without an entry is active.
+/// States by zone; a zone without an entry is active.
 using ZoneStates = std::map<std::string, ZoneState>;
 
-/// Throws BadInput that names the wrong field.
+/// Throws BadInput, which names the invalid field.
 ZoneState parseState(const json& object);
 json toJson(const ZoneState& state);
-/// For people: logs and command output.
+/// Returns the text for logs and command output.
 std::string toString(const ZoneState& state);
 
-/// What one sender has observed of a zone lately.
+/// What one sender has recently observed of a zone.
 enum class Observation {
   unknown,  ///< Not enough evidence: the vote does not count.
   healthy,
-  failing  ///< In this zone, and not in others.
+  failing  ///< Destinations fail in this zone and not in others.
 };
 
 /// One sender's vote on a zone.
@@ -52,7 +52,7 @@
 
   bool operator==(const ZoneVote& other) const;
 };
-/// Throws BadInput that names the wrong field.
+/// Throws BadInput, which names the invalid field.
 ZoneVote parseVote(const json& object);
 json toJson(const ZoneVote& vote);
 
--- a/src/zones/zone_traffic_controller.cpp
+++ b/src/zones/zone_traffic_controller.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Rounds to a power of two, so that a report does not change each second.
+// Rounds to a power of two, so that a sender's report does not change every second.
 double roundTraffic(double traffic) {
   constexpr double kLeastTraffic = 0.01;
   return traffic < kLeastTraffic ? 0 : std::exp2(std::round(std::log2(traffic)));
@@ -192,7 +192,7 @@
   return true;
 }
 
-// A non-idempotent message does not probe. It takes the token all the same: otherwise the module would select
+// A non-idempotent message does not probe, but takes the token: otherwise the decision module would select
 // the endpoint again at once.
 bool ZoneTrafficController::admitToRecoveringZone(const Endpoint& endpoint, const ZoneState& state,
                                                   bool idempotent, Micros now) {
@@ -243,7 +243,8 @@
       health_checks_.openWindow(endpoint.destination, now, interval);
 }
 
-// Checks the endpoints of a recovering zone until each has a success and the zone has samples for a vote.
+// Opens windows for the endpoints of a recovering zone until each has a success and the zone has enough
+// samples for a vote.
 void ZoneTrafficController::openHealthCheckWindows(const std::string& zone, Micros now) {
   const bool has_samples = health_.hasEnoughSamples(zone);
   for (const std::string& id : endpoints_.inZone(zone)) {
@@ -330,8 +331,8 @@
   return {};
 }
 
-// A sender that sees an active zone failing soon sends little there: its vote keeps the weight of the traffic
-// from before the failure.
+// A sender that sees an active zone fail soon sends little traffic to the zone, so its vote keeps the weight
+// of the traffic before the failure.
 void ZoneTrafficController::keepTrafficBeforeFailure(const std::string& zone, ZoneVote& vote) {
   if (stateOf(zone).phase != ZonePhase::active)
     traffic_before_failure_.erase(zone);
--- a/src/zones/zone_traffic_controller.h
+++ b/src/zones/zone_traffic_controller.h
@@ -18,7 +18,7 @@
 
 namespace grademux::zones {
 
-/// Attempts per second into a zone in its probe stage, of the whole fleet.
+/// Attempts per second of the whole fleet to a zone in its probe stage.
 constexpr double kProbeRate = 4;
 
 class ZoneTrafficController {
@@ -28,25 +28,27 @@
 
   /// Applies the states of the plan. Returns whether any state has changed.
   bool applyStates(const ZoneStates& states, Micros now);
-  /// Sets what an earlier process of this sender measured for zones that are not active. Call it before the
-  /// first applyStates(). Without a baseline this sender sends nothing to a recovering zone.
+  /// Sets the baselines that an earlier process of this sender measured for zones that are not active. Must
+  /// be called before the first applyStates(). Without a baseline this sender sends nothing to a recovering
+  /// zone.
   void restoreBaseline(TrafficBaseline baseline) { restored_baseline_ = std::move(baseline); }
-  /// The baselines of the zones that are not active, to be stored for the next process.
+  /// Returns the baselines of the zones that are not active, which are stored for the next process.
   TrafficBaseline baseline() const;
   /// Without a valid lease, recovering zones are treated as evacuated.
   void setLeaseValid(bool valid) { lease_valid_ = valid; }
   /// An endpoint was listed, changed or removed (state `gone`).
   void onEndpointListed(const Endpoint& endpoint);
 
-  /// The state in which the decision module is to see the endpoint.
+  /// Returns the state in which the decision module sees the endpoint.
   EndpointState visibleState(const Endpoint& endpoint, Micros now);
-  /// Whether an attempt may start; takes its token. `idempotent`: it may be executed twice.
+  /// Returns whether an attempt may start, and takes its token. `idempotent`: the endpoint may execute the
+  /// message twice.
   bool admitAttempt(const AttemptId& id, const Endpoint& endpoint, bool idempotent, Micros now);
   /// Whether an admitted attempt may still send its first byte.
   bool isSendAllowed(const std::string& endpoint) const;
   void onAttemptFinished(const AttemptOutcome& outcome, Micros now);
 
-  /// Endpoints whose visible state differs from what visibleState() returned last.
+  /// Returns the endpoints whose visible state differs from what visibleState() returned last.
   std::vector<std::string> takeChangedEndpoints(Micros now);
   /// Whether a zone is recovering, or an endpoint of an active zone needs health checks.
   bool isRecovering() const;
@@ -56,11 +58,11 @@
 
   /// This sender's votes, by zone.
   std::map<std::string, ZoneVote> votes(Micros now, const Regions& regions = {});
-  /// When the zone's phase, stage or probers last changed; 0 if they have not.
+  /// Time of the last change of the zone's phase, stage or probers; 0 if there was none.
   Micros stateSince(const std::string& zone) const;
-  /// Fraction of the listed endpoints that each zone has.
+  /// Fraction of all listed endpoints in each zone.
   std::map<std::string, double> endpointFractions() const;
-  /// Drops old statistics and starts checks of failing zones. Call it about once a second.
+  /// Drops old statistics and starts checks of failing zones. Must be called about once a second.
   void expire(Micros now);
 
  private:
@@ -97,9 +99,9 @@
   std::map<std::string, EndpointState>
       visible_states_;  // by endpoint, where it may differ from the listed state
   std::unordered_map<AttemptId, EndpointEntry, AttemptIdHash> attempts_;
-  std::set<std::string> healthy_;  // endpoints of recovering zones with a success since
+  std::set<std::string> healthy_;  // endpoints with a success while their zone was recovering
   HealthCheckSchedule health_checks_;
-  std::map<std::string, double> traffic_before_failure_;  // by active zone, from its last healthy vote
+  std::map<std::string, double> traffic_before_failure_;  // by active zone, as of its last healthy vote
 };
 
 }  // namespace grademux::zones
--- a/src/zones/zone_transitions.cpp
+++ b/src/zones/zone_transitions.cpp
@@ -38,7 +38,7 @@
 std::string failingReason(const VoteTotals& votes) {
   constexpr double kSmallestTotal = 1e-9;
   const int percent = static_cast<int>(100 * votes.failing / std::max(votes.total(), kSmallestTotal));
-  return std::to_string(percent) + "% of the traffic there sees it fail";
+  return std::to_string(percent) + "% of the traffic in the zone sees failures";
 }
 
 // ---- Evacuation
@@ -56,7 +56,8 @@
          votes.failing_destinations >= policy.min_failing_destinations;
 }
 
-// A region and its standby must not both lack zones.
+// Whether a zone of the region's standby, or of a region that it stands by for, is not active. A region and
+// its standby must not lose zones at the same time.
 bool isStandbyAffected(const std::string& name, const ZoneReports& zones, const ZonePolicy& policy) {
   return std::any_of(zones.begin(), zones.end(), [&](const auto& other) {
     return other.second.state.phase != ZonePhase::active && policy.regions.areStandbys(name, other.first);
@@ -86,7 +87,7 @@
   return evacuations;
 }
 
-// ---- Recovery: each step gives the next state, or nothing if the zone stays as it is.
+// ---- Recovery: each step returns the zone's next state, or nothing if the state does not change.
 
 std::optional<ZoneState> startRecovery(const ZoneReport& zone, const ZonePolicy& policy,
                                        const ProberRank& rank) {
@@ -102,11 +103,11 @@
   next.stage = 0;
   next.traffic_fraction = 0;
   next.probers = probers;
-  next.reason = "out for " + std::to_string(zone.since / 1'000'000) + " s";
+  next.reason = "evacuated for " + std::to_string(zone.since / 1'000'000) + " s";
   return next;
 }
 
-// In the probe stage the probers alone have a vote.
+// In the probe stage only the votes of the probers count.
 VoteTotals countRecoveryVotes(const ZoneReport& zone) {
   if (zone.state.stage != 0)
     return countVotes(zone.voters);
@@ -134,7 +135,7 @@
   next.probers = chooseProbers(zone.voters, policy, rank);
   if (next.probers.empty() || next.probers == zone.state.probers)
     return std::nullopt;
-  next.reason = "those who tried have told nothing";
+  next.reason = "no healthy vote of the probers in time";
   return next;
 }
 
@@ -142,14 +143,14 @@
   const int stage = zone.state.stage + 1;
   if (stage > policy.stage_count) {
     ZoneState active;
-    active.reason = "back";
+    active.reason = "recovered";
     return active;
   }
   ZoneState next = zone.state;
   next.probers.clear();
   next.stage = stage;
   next.traffic_fraction = trafficFraction(policy, stage);
-  next.reason = "the stage before was clean";
+  next.reason = "the previous stage was healthy";
   return next;
 }
 
--- a/src/zones/zone_transitions.h
+++ b/src/zones/zone_transitions.h
@@ -1,6 +1,6 @@
 // Decides which zones are evacuated and which recover, from the zones' states in the plan and the senders'
-// votes. Pure functions: every sender computes the same result from the same input. Whichever sender reaches
-// a decision writes it into the plan by compare-and-swap.
+// votes. Pure functions: every sender computes the same result from the same input. Any sender that reaches a
+// decision writes the decision into the plan by compare-and-swap.
 #pragma once
 
 #include <functional>
@@ -32,7 +32,7 @@
   int stage_count = 3;
   /// After this many min_stage_time without a healthy vote from the probers, other probers are chosen.
   int prober_timeout_stages = 5;
-  /// Fraction of its usual load that an endpoint bears right after an outage; grows to 1 over the stages.
+  /// Fraction of its usual load that an endpoint can take right after an outage; grows to 1 over the stages.
   double cold_capacity_fraction = 0.3;
   std::size_t prober_count = 3;
   Regions regions;
@@ -45,10 +45,10 @@
 struct Observer {
   std::string name;
   ZoneVote vote;
-  bool live = false;  ///< Whether its store session stands; votes of others don't count.
+  bool live = false;  ///< Whether its store session is valid; the vote of a sender without one doesn't count.
 };
 
-/// What is known of one zone when transitions are decided.
+/// Input of a decision about one zone.
 struct ZoneReport {
   ZoneState state;
   std::vector<Observer> voters;  ///< Votes that were cast under `state`.
@@ -66,13 +66,13 @@
 /// Sort key of a prober candidate by its name: the same at every sender, different for each plan.
 using ProberRank = std::function<std::string(const std::string& name)>;
 
-/// The senders that probe a zone: the first by rank of the live ones, preferring those that have traffic
-/// there.
+/// Returns the senders that probe a zone: the first live ones by rank. Senders without traffic to the zone
+/// are chosen only if no live sender has any.
 std::set<std::string> chooseProbers(const std::vector<Observer>& voters, const ZonePolicy& policy,
                                     const ProberRank& rank);
 
-/// The transitions that are due now; empty if every zone stays in its state. Evacuations come before recovery
-/// steps. Failing zones of one region are evacuated together; each zone recovers on its own.
+/// Returns the transitions that are due now; empty if every zone keeps its state. Evacuations come before
+/// recovery steps. Failing zones of one region are evacuated together; each zone recovers on its own.
 ZoneTransitions decideTransitions(const ZoneReports& zones, const ZonePolicy& policy, const ProberRank& rank);
 
 }  // namespace grademux::zones
--- a/tests/handover/messages_test.cpp
+++ b/tests/handover/messages_test.cpp
@@ -1,4 +1,4 @@
-// The messages between two processes of one sender, and the steps of the process that is replaced.
+// Handover messages on the wire, and the state machine of the process that is replaced.
 #include "../../src/handover/messages.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return serialize(parseMessage(line.substr(0, line.size() - 1)));
 }
 
-TEST(HandoverMessages, RoundTripUnchanged) {
+TEST(HandoverMessages, RoundTripsEveryMessageUnchanged) {
   AttemptOutcome outcome;
   outcome.id = "m\"1";
   outcome.attempt = 3;
@@ -34,17 +34,17 @@
   for (const Message& message : all)
     EXPECT_EQ(serialize(message), roundTrip(message));
   const Message read = parseMessage(serialize(AttemptFinished{outcome}));
-  const AttemptOutcome& back = std::get<AttemptFinished>(read).outcome;
-  EXPECT_EQ(outcome.id, back.id);
-  EXPECT_EQ(outcome.attempt, back.attempt);
-  EXPECT_EQ(outcome.result, back.result);
-  EXPECT_EQ(outcome.retry_after, back.retry_after);
-  EXPECT_EQ(25, back.limit_report->rate_limit);
-  EXPECT_TRUE(back.already_finished && back.stale_connection);
+  const AttemptOutcome& parsed = std::get<AttemptFinished>(read).outcome;
+  EXPECT_EQ(outcome.id, parsed.id);
+  EXPECT_EQ(outcome.attempt, parsed.attempt);
+  EXPECT_EQ(outcome.result, parsed.result);
+  EXPECT_EQ(outcome.retry_after, parsed.retry_after);
+  EXPECT_EQ(25, parsed.limit_report->rate_limit);
+  EXPECT_TRUE(parsed.already_finished && parsed.stale_connection);
 }
 
-// Lines as processes of earlier versions write them.
-TEST(HandoverMessages, KeepsTheNamesOnTheWire) {
+// The expected lines are those that processes of earlier versions write.
+TEST(HandoverMessages, KeepsWireNamesOfEarlierVersions) {
   AttemptOutcome outcome;
   outcome.id = "m";
   outcome.attempt = 2;
@@ -77,7 +77,7 @@
 }
 
 TEST(HandoverState, FollowsTheTransitionTable) {
-  const auto at = [](HandoverStep step) {
+  const auto stateAt = [](HandoverStep step) {
     HandoverState state;
     if (step != HandoverStep::owning)
       state.onRequested();
@@ -90,23 +90,23 @@
   };
   for (const HandoverStep from :
        {HandoverStep::owning, HandoverStep::closing, HandoverStep::released, HandoverStep::departed}) {
-    HandoverState state = at(from);
+    HandoverState state = stateAt(from);
     EXPECT_EQ(from == HandoverStep::owning, state.onRequested());
-    state = at(from);
+    state = stateAt(from);
     EXPECT_EQ(from == HandoverStep::closing, state.onReleased());
-    state = at(from);
+    state = stateAt(from);
     EXPECT_EQ(from == HandoverStep::released, state.onAcquired());
-    EXPECT_EQ(from == HandoverStep::owning || from == HandoverStep::closing, at(from).ownsFolder());
+    EXPECT_EQ(from == HandoverStep::owning || from == HandoverStep::closing, stateAt(from).ownsFolder());
   }
-  // The other process dies. Before the folder was released, reacquire() is not called.
-  const auto must_not_reacquire = []() -> bool { throw std::runtime_error("asked"); };
-  HandoverState owns = at(HandoverStep::owning), closing = at(HandoverStep::closing),
-                left = at(HandoverStep::departed);
-  EXPECT_FALSE(owns.onPeerClosed(must_not_reacquire));
+  // The other process dies. Before the folder is released, reacquire() must not be called.
+  const auto must_not_reacquire = []() -> bool { throw std::runtime_error("reacquire() was called"); };
+  HandoverState owning = stateAt(HandoverStep::owning), closing = stateAt(HandoverStep::closing),
+                departed = stateAt(HandoverStep::departed);
+  EXPECT_FALSE(owning.onPeerClosed(must_not_reacquire));
   EXPECT_TRUE(closing.onPeerClosed(must_not_reacquire));
   EXPECT_EQ(HandoverStep::owning, closing.step());
-  EXPECT_FALSE(left.onPeerClosed(must_not_reacquire));
-  HandoverState unchanged = at(HandoverStep::released), changed = at(HandoverStep::released);
+  EXPECT_FALSE(departed.onPeerClosed(must_not_reacquire));
+  HandoverState unchanged = stateAt(HandoverStep::released), changed = stateAt(HandoverStep::released);
   EXPECT_TRUE(unchanged.onPeerClosed([] { return true; }));
   EXPECT_EQ(HandoverStep::owning, unchanged.step());
   EXPECT_TRUE(changed.onPeerClosed([] { return false; }));
--- a/tests/handover/replace_test.cpp
+++ b/tests/handover/replace_test.cpp
@@ -1,5 +1,5 @@
-// One process of a sender replaces another on the same folder, addresses and listening socket, with kills at
-// each step; and what may not replace it.
+// Handover between real processes of one sender on the same state folder, addresses and listening socket:
+// under traffic, with a death of either process at each step, and with new processes that must not start.
 #include <sys/file.h>
 #include <sys/un.h>
 
@@ -18,19 +18,19 @@
 Act deliver(const Seen&) {
   return {answer("200 OK")};
 }
-// Answers once it is silent no more.
-Server::Script holding(const std::atomic<bool>& silent) {
-  return [&silent](const Seen& s) {
+// Answers requests as soon as `silent` is false.
+Server::Script answerWhenNotSilent(const std::atomic<bool>& silent) {
+  return [&silent](const Seen& request) {
     while (silent)
       std::this_thread::sleep_for(2ms);
-    return deliver(s);
+    return deliver(request);
   };
 }
 
-// A platform that holds the clients' socket and starts processes beside one another.
+// A platform that keeps the clients' listening socket open and starts processes that share the socket.
 struct Platform {
   explicit Platform(Server::Script script) : endpoint(std::move(script)) {
-    ::fcntl(clients.fd, F_SETFD, 0);  // every process inherits it
+    ::fcntl(clients.fd, F_SETFD, 0);  // every process inherits the socket
     config = {
         {"name", "n0"},
         {"seed", "8c1f30d27a5be964"},
@@ -42,72 +42,78 @@
     std::ofstream(path()) << config.dump();
   }
   ~Platform() {
-    for (const pid_t p : pids) {
-      ::kill(p, SIGKILL);
-      ::waitpid(p, nullptr, 0);
+    for (const pid_t pid : pids) {
+      ::kill(pid, SIGKILL);
+      ::waitpid(pid, nullptr, 0);
     }
     std::error_code ignored;
-    for (const char* end : {"-config.json", "-log"})
-      std::filesystem::remove(folder.path() + end, ignored);
+    for (const char* suffix : {"-config.json", "-log"})
+      std::filesystem::remove(folder.path() + suffix, ignored);
   }
   struct Process {
     pid_t pid = -1;
     int mgmt = 0;
   };
-  // Not waited for.
-  Process begin(std::map<std::string, std::string> more = {}, const std::string& other = "") {
-    Process p;
-    p.mgmt = harness::ownPort();
-    more.emplace("GW_PASSED_SOCKET", std::to_string(harness::SenderProcess::kPassed));
-    more.emplace("GW_MGMT", "127.0.0.1:" + std::to_string(p.mgmt));
-    p.pid = Program::spawn(other.empty() ? path() : other, folder.path(), more, {}, folder.path() + "-log",
-                           clients.fd);
-    pids.push_back(p.pid);
-    return p;
+  // Starts a process without waiting until it serves. `other_config` replaces the platform's configuration
+  // file.
+  Process spawn(std::map<std::string, std::string> variables = {}, const std::string& other_config = "") {
+    Process process;
+    process.mgmt = harness::ownPort();
+    variables.emplace("GW_PASSED_SOCKET", std::to_string(harness::SenderProcess::kPassed));
+    variables.emplace("GW_MGMT", "127.0.0.1:" + std::to_string(process.mgmt));
+    process.pid = Program::spawn(other_config.empty() ? path() : other_config, folder.path(), variables, {},
+                                 folder.path() + "-log", clients.fd);
+    pids.push_back(process.pid);
+    return process;
   }
+  // Starts a process and waits until it serves.
   Process start() {
-    const Process p = begin();
-    EXPECT_TRUE(says(p, "ACK"));
-    return p;
+    const Process process = spawn();
+    EXPECT_TRUE(statusBecomes(process, "ACK"));
+    return process;
   }
-  static std::string call(const Process& p, const std::string& line) {
-    Client c(p.mgmt);
-    if (!c.connected())
+  // Sends a command to the admin server of the process. Returns the answer; empty if the connection fails.
+  static std::string call(const Process& process, const std::string& line) {
+    Client client(process.mgmt);
+    if (!client.connected())
       return "";
-    c.send(line + "\n");
-    return c.rest();
+    client.send(line + "\n");
+    return client.rest();
   }
-  static bool says(const Process& p, const std::string& word) {
-    return eventually([&] { return call(p, "status").rfind(word, 0) == 0; });
+  // Waits until the answer to `status` starts with `word`.
+  static bool statusBecomes(const Process& process, const std::string& word) {
+    return eventually([&] { return call(process, "status").rfind(word, 0) == 0; });
   }
-  int end(const Process& p) {
+  // Waits until the process ends. Returns its wait status.
+  int waitForExit(const Process& process) {
     int status = 0;
-    ::waitpid(p.pid, &status, 0);
-    pids.erase(std::find(pids.begin(), pids.end(), p.pid));
+    ::waitpid(process.pid, &status, 0);
+    pids.erase(std::find(pids.begin(), pids.end(), process.pid));
     return status;
   }
-  void kill(const Process& p) {
-    ::kill(p.pid, SIGKILL);
-    end(p);
+  void kill(const Process& process) {
+    ::kill(process.pid, SIGKILL);
+    waitForExit(process);
   }
-  // Its end is on record, sooner or later.
-  bool delivered(const std::string& id) const {
+  // Waits until the sender reports the message as delivered.
+  bool waitUntilDelivered(const std::string& id) const {
     return eventually([&] {
-      Client c(clients.port);
-      c.send(Client::request({"MSG.GET", id}) + Client::request({"QUIT"}));
-      return c.rest().find("delivered") != std::string::npos;
+      Client client(clients.port);
+      client.send(Client::request({"MSG.GET", id}) + Client::request({"QUIT"}));
+      return client.rest().find("delivered") != std::string::npos;
     });
   }
-  std::map<std::string, int> calls() {
-    std::map<std::string, int> n;
-    for (const Seen& s : endpoint.seen())
-      ++n[s.field("X-Txn")];
-    return n;
+  // Number of requests that the endpoint received, by message id.
+  std::map<std::string, int> requestCounts() {
+    std::map<std::string, int> counts;
+    for (const Seen& request : endpoint.seen())
+      ++counts[request.field("X-Txn")];
+    return counts;
   }
   std::string path() const { return folder.path() + "-config.json"; }
   std::string log() const {
-    std::ifstream f(folder.path() + "-log");
-    return {std::istreambuf_iterator<char>(f), {}};
+    std::ifstream file(folder.path() + "-log");
+    return {std::istreambuf_iterator<char>(file), {}};
   }
   TempFolder folder;
   Listener clients;
@@ -117,239 +123,250 @@
   std::vector<pid_t> pids;
 };
 
-// The other end of the channel, spoken by hand.
+// A stand-in for the new process on the handover socket; sends and receives raw lines.
 struct Peer {
   explicit Peer(const std::string& folder) : fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    sockaddr_un a{};
-    a.sun_family = AF_UNIX;
-    std::snprintf(a.sun_path, sizeof a.sun_path, "%s/handover", folder.c_str());
-    EXPECT_EQ(0, ::connect(fd, reinterpret_cast<sockaddr*>(&a), sizeof a));
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    std::snprintf(address.sun_path, sizeof address.sun_path, "%s/handover", folder.c_str());
+    EXPECT_EQ(0, ::connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address));
   }
   ~Peer() { ::close(fd); }
-  void say(const std::string& line) { (void)!::send(fd, line.data(), line.size(), MSG_NOSIGNAL); }
-  std::string line() {
-    while (in.find('\n') == std::string::npos) {
-      pollfd p{fd, POLLIN, 0};
-      char piece[4096];
-      if (::poll(&p, 1, 60'000) <= 0)
+  void send(const std::string& line) { (void)!::send(fd, line.data(), line.size(), MSG_NOSIGNAL); }
+  // Receives a line; empty if the connection ends or no line arrives within a minute.
+  std::string receiveLine() {
+    while (buffer.find('\n') == std::string::npos) {
+      pollfd poll_entry{fd, POLLIN, 0};
+      char chunk[4096];
+      if (::poll(&poll_entry, 1, 60'000) <= 0)
         return "";
-      const ssize_t n = ::recv(fd, piece, sizeof piece, 0);
-      if (n <= 0)
+      const ssize_t size = ::recv(fd, chunk, sizeof chunk, 0);
+      if (size <= 0)
         return "";
-      in.append(piece, static_cast<std::size_t>(n));
+      buffer.append(chunk, static_cast<std::size_t>(size));
     }
-    const std::string l = in.substr(0, in.find('\n'));
-    in.erase(0, l.size() + 1);
-    return l;
+    const std::string line = buffer.substr(0, buffer.find('\n'));
+    buffer.erase(0, line.size() + 1);
+    return line;
   }
   int fd;
-  std::string in;
+  std::string buffer;
 };
 
-bool exitedWell(int status) {
+bool exitedNormally(int status) {
   return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-// Risk: what is handed in while one process replaces the other is lost, refused, or runs twice.
-TEST(Replace, UnderTrafficNothingIsLostOrRunsTwice) {
-  Platform p([](const Seen& s) {
-    std::this_thread::sleep_for(20ms);  // a pace beside which a machine's hiccups are no sickness
-    return deliver(s);
+// A message that is submitted while one process replaces another could be lost, rejected or executed twice.
+TEST(Replace, LosesAndRepeatsNoMessageUnderTraffic) {
+  Platform platform([](const Seen& request) {
+    // Long enough that delays of a busy test machine do not look like a slow endpoint.
+    std::this_thread::sleep_for(20ms);
+    return deliver(request);
   });
-  auto now = p.start();
-  std::atomic<bool> over{false};
-  std::atomic<int> put{0}, other{0};
-  std::vector<std::set<std::string>> taken(3);
+  auto current = platform.start();
+  std::atomic<bool> finished{false};
+  std::atomic<int> accepted_count{0}, other_count{0};
+  std::vector<std::set<std::string>> accepted(3);
   std::vector<std::thread> clients;
   for (int k = 0; k < 3; ++k)
     clients.emplace_back([&, k] {
-      auto c = std::make_unique<Client>(p.clients.port);
-      for (int i = 0; !over && i < 5000; ++i) {
+      auto client = std::make_unique<Client>(platform.clients.port);
+      for (int i = 0; !finished && i < 5000; ++i) {
         const std::string id = "m" + std::to_string(k) + "-" + std::to_string(i);
-        std::string a = c->put(id, "payment", 7);
-        if (a.empty()) {  // it ended between requests: once more on a new one
-          c = std::make_unique<Client>(p.clients.port);
-          a = c->put(id, "payment", 7);
+        std::string reply = client->put(id, "payment", 7);
+        if (reply.empty()) {  // closed between requests: retries on a new connection
+          client = std::make_unique<Client>(platform.clients.port);
+          reply = client->put(id, "payment", 7);
         }
-        a == "+OK" ? ++put : ++other;
-        if (a == "+OK")
-          taken[static_cast<std::size_t>(k)].insert(id);
-        std::this_thread::sleep_for(10ms);  // some hundreds a second, so that sanitizers keep up
+        reply == "+OK" ? ++accepted_count : ++other_count;
+        if (reply == "+OK")
+          accepted[static_cast<std::size_t>(k)].insert(id);
+        // Some hundreds of messages per second, so that builds with sanitizers keep up.
+        std::this_thread::sleep_for(10ms);
       }
     });
   for (int i = 0; i < 4; ++i) {
-    ASSERT_TRUE(eventually([&, from = put.load()] { return put > from + 20; }));
-    const auto next = p.start();
-    ::kill(now.pid, SIGTERM);
-    const int status = p.end(now);  // it may have left by itself, its handlers gone when the signal came
-    EXPECT_TRUE(exitedWell(status) || (WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM)) << status;
-    now = next;
+    ASSERT_TRUE(eventually([&, from = accepted_count.load()] { return accepted_count > from + 20; }));
+    const auto next = platform.start();
+    ::kill(current.pid, SIGTERM);
+    // The process may be exiting already, without its signal handlers.
+    const int status = platform.waitForExit(current);
+    EXPECT_TRUE(exitedNormally(status) || (WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM)) << status;
+    current = next;
   }
-  over = true;
-  for (auto& c : clients)
-    c.join();
-  // On a machine that is busy a call may end without an outcome: such a payment is given up, and says so.
+  finished = true;
+  for (auto& client : clients)
+    client.join();
+  // On a busy machine an attempt may end with an unknown outcome; such a payment fails, with a notice.
   std::set<std::string> all;
-  for (const auto& ids : taken)
+  for (const auto& ids : accepted)
     all.insert(ids.begin(), ids.end());
   EXPECT_TRUE(eventually([&] {
-    const auto calls = p.calls();
-    return std::all_of(all.begin(), all.end(),
-                       [&](const std::string& id) { return calls.count(id) > 0 || p.agent.noticed(id); });
+    const auto counts = platform.requestCounts();
+    return std::all_of(all.begin(), all.end(), [&](const std::string& id) {
+      return counts.count(id) > 0 || platform.agent.noticed(id);
+    });
   }));
-  for (const auto& [id, n] : p.calls())
-    EXPECT_EQ(1, n) << id;
-  EXPECT_GT(put, 80);
+  for (const auto& [id, count] : platform.requestCounts())
+    EXPECT_EQ(1, count) << id;
+  EXPECT_GT(accepted_count, 80);
 }
 
-// Risk: a call that is out when the process is replaced counts as one that may have run: a payment that the
-// bank took is given up, or the destination's slots are counted anew.
-TEST(Replace, ACallThatIsOutEndsAtTheNewProcess) {
+// The new process could treat an attempt in flight during the handover as one with an unknown outcome: a
+// payment that the endpoint executed would be reported as failed, or the destination's open attempts
+// miscounted.
+TEST(Replace, ReportsOutcomeToNewProcessWhenAttemptIsInFlight) {
   std::atomic<bool> silent{true};
-  Platform p(holding(silent));
-  const auto old = p.start();
-  Client c(p.clients.port);
-  ASSERT_EQ("+OK", c.put("pay", "payment", 7));
-  ASSERT_TRUE(p.endpoint.waitFor(1));
-  const auto fresh = p.start();
-  Client d(p.clients.port);
-  EXPECT_EQ("+OK", d.put("pay", "payment", 7));  // the same id, handed in to both
-  EXPECT_EQ("*2", d.ask({"MSG.GET", "pay"}));
+  Platform platform(answerWhenNotSilent(silent));
+  const auto old = platform.start();
+  Client client(platform.clients.port);
+  ASSERT_EQ("+OK", client.put("pay", "payment", 7));
+  ASSERT_TRUE(platform.endpoint.waitFor(1));
+  const auto replacement = platform.start();
+  Client new_client(platform.clients.port);
+  EXPECT_EQ("+OK", new_client.put("pay", "payment", 7));  // the same id, submitted to both processes
+  EXPECT_EQ("*2", new_client.ask({"MSG.GET", "pay"}));
   silent = false;
-  ASSERT_TRUE(p.delivered("pay")) << p.log();
-  EXPECT_TRUE(exitedWell(p.end(old)));  // it has nothing left
-  EXPECT_EQ(1, p.calls()["pay"]);
-  EXPECT_EQ(0u, p.agent.noticeCount());
-  EXPECT_TRUE(Platform::says(fresh, "ACK"));
+  ASSERT_TRUE(platform.waitUntilDelivered("pay")) << platform.log();
+  EXPECT_TRUE(exitedNormally(platform.waitForExit(old)));  // the old process has no attempt left
+  EXPECT_EQ(1, platform.requestCounts()["pay"]);
+  EXPECT_EQ(0u, platform.agent.noticeCount());
+  EXPECT_TRUE(Platform::statusBecomes(replacement, "ACK"));
 }
 
-// Risk: the earlier process dies with a call out, and the new one waits for ever, or sends a payment twice.
-TEST(Replace, WhatADeadProcessHadOutMayHaveRun) {
+// If the old process dies with attempts in flight, the new process could wait for their outcomes for ever, or
+// send a payment twice.
+TEST(Replace, AssumesInheritedAttemptsMayHaveRunWhenOldProcessDies) {
   std::atomic<bool> silent{true};
-  Platform p([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
-  const auto old = p.start();
-  Client c(p.clients.port);
-  ASSERT_EQ("+OK", c.put("unsafe", "payment", 7));
-  ASSERT_EQ("+OK", c.put("safe", "notice", 7));
-  ASSERT_TRUE(p.endpoint.waitFor(2));
-  p.start();
+  Platform platform([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
+  const auto old = platform.start();
+  Client client(platform.clients.port);
+  ASSERT_EQ("+OK", client.put("unsafe", "payment", 7));
+  ASSERT_EQ("+OK", client.put("safe", "notice", 7));
+  ASSERT_TRUE(platform.endpoint.waitFor(2));
+  platform.start();
   silent = false;
-  p.kill(old);
-  EXPECT_TRUE(p.agent.waitForNotice("unsafe"));
-  EXPECT_TRUE(eventually([&] { return p.calls()["safe"] >= 2; }));
-  EXPECT_EQ(1, p.calls()["unsafe"]);
+  platform.kill(old);
+  EXPECT_TRUE(platform.agent.waitForNotice("unsafe"));
+  EXPECT_TRUE(eventually([&] { return platform.requestCounts()["safe"] >= 2; }));
+  EXPECT_EQ(1, platform.requestCounts()["unsafe"]);
 }
 
-// The new process dies at each step: before it has asked, before it was given anything, after that, and after
-// it has written. Before it has written the old one serves on, then it leaves.
-TEST(Replace, TheNewProcessDiesAtEachStep) {
-  const std::string take = "{\"take\":{\"version\":1}}\n";
+// The new process dies before its request, before the release, after the release, with the lock held, and
+// after a write to the journal. Before a write the old process continues to serve; after a write it must
+// exit, because the journal is no longer its own.
+TEST(Replace, OldProcessServesUnlessJournalChangedWhenNewProcessDies) {
+  const std::string request = "{\"take\":{\"version\":1}}\n";
   for (int step = 0; step < 5; ++step) {
-    Platform p(deliver);
-    const auto old = p.start();
+    Platform platform(deliver);
+    const auto old = platform.start();
     {
-      Client c(p.clients.port);
-      ASSERT_EQ("+OK", c.put("before", "payment", 7));
+      Client client(platform.clients.port);
+      ASSERT_EQ("+OK", client.put("before", "payment", 7));
     }
-    const int folder = ::open(p.folder.path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    const int folder = ::open(platform.folder.path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     {
-      Peer peer(p.folder.path());
+      Peer peer(platform.folder.path());
       if (step == 1)
-        peer.say(take);
+        peer.send(request);
       if (step >= 2) {
-        peer.say(take);
-        ASSERT_EQ(0u, peer.line().find("{\"given\"")) << step;
+        peer.send(request);
+        ASSERT_EQ(0u, peer.receiveLine().find("{\"given\"")) << step;
       }
       if (step >= 3)
-        EXPECT_EQ(0, ::flock(folder, LOCK_EX | LOCK_NB));  // it is free from here on
+        EXPECT_EQ(0, ::flock(folder, LOCK_EX | LOCK_NB));  // unlocked since the release
       if (step == 4) {
-        const int fd = ::open((p.folder.path() + "/journal").c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
+        const int fd = ::open((platform.folder.path() + "/journal").c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
         EXPECT_EQ(1, ::write(fd, "x", 1));
         ::close(fd);
       }
-      ::close(folder);  // a death frees it
+      ::close(folder);  // the death of a process releases the lock
     }
     if (step < 4) {
-      Client c(p.clients.port);
-      EXPECT_EQ("+OK", c.put("after", "payment", 7)) << step;
-      EXPECT_TRUE(p.endpoint.waitFor(2)) << step;
-      EXPECT_TRUE(Platform::says(old, "ACK"));
+      Client client(platform.clients.port);
+      EXPECT_EQ("+OK", client.put("after", "payment", 7)) << step;
+      EXPECT_TRUE(platform.endpoint.waitFor(2)) << step;
+      EXPECT_TRUE(Platform::statusBecomes(old, "ACK"));
     } else {
-      EXPECT_TRUE(exitedWell(p.end(old)));
+      EXPECT_TRUE(exitedNormally(platform.waitForExit(old)));
     }
-    const auto next = p.start();
-    Client c(p.clients.port);
-    EXPECT_EQ("+OK", c.put("next", "payment", 7)) << step;
-    EXPECT_TRUE(eventually([&] { return p.calls()["next"] == 1; }));
-    EXPECT_EQ(1, p.calls()["before"]);
-    EXPECT_TRUE(Platform::says(next, "ACK"));
+    const auto next = platform.start();
+    Client client(platform.clients.port);
+    EXPECT_EQ("+OK", client.put("next", "payment", 7)) << step;
+    EXPECT_TRUE(eventually([&] { return platform.requestCounts()["next"] == 1; }));
+    EXPECT_EQ(1, platform.requestCounts()["before"]);
+    EXPECT_TRUE(Platform::statusBecomes(next, "ACK"));
   }
 }
 
-// The old process as a stand-in that does not answer, refuses, speaks another version, or gives and dies.
-TEST(Replace, AnOldProcessThatDoesNotGive) {
-  for (const std::string& says :
+// The old process is a stand-in that does not answer, rejects the request, sends a malformed line, or
+// releases the folder without unlocking it; each ends afterwards.
+TEST(Replace, WaitsForEndOfOldProcessThatKeepsTheLock) {
+  for (const std::string& reply :
        std::vector<std::string>{"", "{\"refused\":{\"why\":\"not now\"}}\n", "nonsense\n",
                                 "{\"given\":{\"standby\":false,\"out\":[]}}\n"}) {
-    Platform p(deliver);
-    const int folder = ::open(p.folder.path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    Platform platform(deliver);
+    const int folder = ::open(platform.folder.path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     ASSERT_EQ(0, ::flock(folder, LOCK_EX | LOCK_NB));
-    const int listens = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    sockaddr_un a{};
-    a.sun_family = AF_UNIX;
-    std::snprintf(a.sun_path, sizeof a.sun_path, "%s/handover", p.folder.path().c_str());
-    ASSERT_EQ(0, ::bind(listens, reinterpret_cast<sockaddr*>(&a), sizeof a));
-    ASSERT_EQ(0, ::listen(listens, 8));
-    const auto fresh = p.begin();
-    const int fd = ::accept4(listens, nullptr, nullptr, SOCK_CLOEXEC);
+    const int listener = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    std::snprintf(address.sun_path, sizeof address.sun_path, "%s/handover", platform.folder.path().c_str());
+    ASSERT_EQ(0, ::bind(listener, reinterpret_cast<sockaddr*>(&address), sizeof address));
+    ASSERT_EQ(0, ::listen(listener, 8));
+    const auto replacement = platform.spawn();
+    const int fd = ::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
     ASSERT_GE(fd, 0);
-    char asked[64];
-    EXPECT_GT(::recv(fd, asked, sizeof asked, 0), 0);
-    (void)!::send(fd, says.data(), says.size(), MSG_NOSIGNAL);
-    EXPECT_TRUE(Platform::says(fresh, "NAK")) << says;  // honest as long as it has nothing
+    char request[64];
+    EXPECT_GT(::recv(fd, request, sizeof request, 0), 0);
+    (void)!::send(fd, reply.data(), reply.size(), MSG_NOSIGNAL);
+    // The new process is not ready while another process has the lock.
+    EXPECT_TRUE(Platform::statusBecomes(replacement, "NAK")) << reply;
     ::close(fd);
-    ::close(folder);  // it dies
-    EXPECT_TRUE(Platform::says(fresh, "ACK")) << says << p.log();
-    Client c(p.clients.port);
-    EXPECT_EQ("+OK", c.put("m", "order", 7));
-    EXPECT_TRUE(p.endpoint.waitFor(1));
-    ::close(listens);
+    ::close(folder);  // the old process dies
+    EXPECT_TRUE(Platform::statusBecomes(replacement, "ACK")) << reply << platform.log();
+    Client client(platform.clients.port);
+    EXPECT_EQ("+OK", client.put("m", "order", 7));
+    EXPECT_TRUE(platform.endpoint.waitFor(1));
+    ::close(listener);
   }
 }
 
-// Risk: a second process that was started by mistake writes into the journal of the one that runs.
-TEST(Replace, ASecondSenderByMistakeTouchesNothing) {
-  Platform p(deliver);
-  const auto old = p.start();
-  Client c(p.clients.port);
-  ASSERT_EQ("+OK", c.put("m", "order", 7));
-  ASSERT_TRUE(p.endpoint.waitFor(1));
-  const auto size = [&] { return std::filesystem::file_size(p.folder.path() + "/journal"); };
-  ASSERT_TRUE(p.delivered("m"));  // the journal rests
-  json other = p.config;
+// A second process that is started by mistake, without the passed socket, could write into the journal of the
+// running process.
+TEST(Replace, SecondSenderWithoutPassedSocketExitsWithoutWriting) {
+  Platform platform(deliver);
+  const auto old = platform.start();
+  Client client(platform.clients.port);
+  ASSERT_EQ("+OK", client.put("m", "order", 7));
+  ASSERT_TRUE(platform.endpoint.waitFor(1));
+  const auto journalSize = [&] { return std::filesystem::file_size(platform.folder.path() + "/journal"); };
+  ASSERT_TRUE(platform.waitUntilDelivered("m"));  // the journal is idle
+  json other = platform.config;
   other["listen"] = closedAddress();
-  const std::string path = p.folder.path() + "-config.json2";
+  const std::string path = platform.folder.path() + "-config.json2";
   std::ofstream(path) << other.dump();
-  const auto before = size();
-  const auto wrong = p.begin({{"GW_PASSED_SOCKET", ""}}, path);
-  const int status = p.end(wrong);
+  const auto size_before = journalSize();
+  const auto second = platform.spawn({{"GW_PASSED_SOCKET", ""}}, path);
+  const int status = platform.waitForExit(second);
   std::filesystem::remove(path);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2);
-  EXPECT_NE(std::string::npos, p.log().find("another process of a sender has this folder"));
-  EXPECT_EQ(before, size());
-  EXPECT_TRUE(Platform::says(old, "ACK"));
+  EXPECT_NE(std::string::npos, platform.log().find("another process of a sender has this folder"));
+  EXPECT_EQ(size_before, journalSize());
+  EXPECT_TRUE(Platform::statusBecomes(old, "ACK"));
 }
 
-// Risk: a descriptor that is something else is taken for the clients' socket, or a broken configuration takes
-// the process that serves down.
-TEST(Replace, WhatCantBeginLeavesTheOldProcessServing) {
-  Platform p(deliver);
-  const auto old = p.start();
+// A new process could use a passed descriptor that is not the clients' listening socket, or stop the old
+// process although its own configuration is malformed.
+TEST(Replace, OldProcessServesWhenNewProcessCannotStart) {
+  Platform platform(deliver);
+  const auto old = platform.start();
   Listener other;
   ::fcntl(other.fd, F_SETFD, 0);
   const int udp = ::socket(AF_INET, SOCK_DGRAM, 0), plain = ::socket(AF_INET, SOCK_STREAM, 0);
   const int file = ::open("/dev/null", O_RDONLY);
-  const std::string broken = p.folder.path() + "-broken.json";
+  const std::string broken = platform.folder.path() + "-broken.json";
   std::ofstream(broken) << "{\"name\":";
   const std::vector<std::string> passed{"987",
                                         std::to_string(other.fd),
@@ -359,69 +376,69 @@
                                         "seven",
                                         ""};
   for (const std::string& fd : passed) {
-    const auto wrong = fd.empty() ? p.begin({}, broken) : p.begin({{"GW_PASSED_SOCKET", fd}});
-    const int status = p.end(wrong);
+    const auto second = fd.empty() ? platform.spawn({}, broken) : platform.spawn({{"GW_PASSED_SOCKET", fd}});
+    const int status = platform.waitForExit(second);
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2) << fd;
-    Client c(p.clients.port);
-    EXPECT_EQ("+OK", c.put("m" + fd, "order", 7)) << fd;
+    Client client(platform.clients.port);
+    EXPECT_EQ("+OK", client.put("m" + fd, "order", 7)) << fd;
   }
   for (const int fd : {udp, plain, file})
     ::close(fd);
   std::filesystem::remove(broken);
-  EXPECT_TRUE(Platform::says(old, "ACK"));
+  EXPECT_TRUE(Platform::statusBecomes(old, "ACK"));
 }
 
-// Risk: a wait that the old process was told is over for the new one.
-TEST(Replace, AToldWaitSpansIt) {
+// The new process could ignore a Retry-After that the old process received.
+TEST(Replace, NewProcessKeepsRetryAfterOfOldProcess) {
   using Clock = std::chrono::steady_clock;
   std::mutex mutex;
-  std::vector<Clock::time_point> came;
-  Platform p([&](const Seen&) {
-    std::lock_guard<std::mutex> l(mutex);
-    came.push_back(Clock::now());
-    return came.size() == 1 ? Act{answer("429 Busy", "Retry-After: 3\r\n")} : Act{answer("200 OK")};
+  std::vector<Clock::time_point> arrivals;
+  Platform platform([&](const Seen&) {
+    std::lock_guard<std::mutex> lock(mutex);
+    arrivals.push_back(Clock::now());
+    return arrivals.size() == 1 ? Act{answer("429 Busy", "Retry-After: 3\r\n")} : Act{answer("200 OK")};
   });
-  p.start();
-  Client c(p.clients.port);
-  ASSERT_EQ("+OK", c.put("m", "order", 7));
-  ASSERT_TRUE(p.endpoint.waitFor(1));
-  p.start();
-  Client d(p.clients.port);
-  ASSERT_EQ("+OK", d.put("n", "order", 7));
-  ASSERT_TRUE(p.endpoint.waitFor(3));
-  std::lock_guard<std::mutex> l(mutex);
-  EXPECT_GE(came[1] - came[0], 2900ms);
+  platform.start();
+  Client client(platform.clients.port);
+  ASSERT_EQ("+OK", client.put("m", "order", 7));
+  ASSERT_TRUE(platform.endpoint.waitFor(1));
+  platform.start();
+  Client new_client(platform.clients.port);
+  ASSERT_EQ("+OK", new_client.put("n", "order", 7));
+  ASSERT_TRUE(platform.endpoint.waitFor(3));
+  std::lock_guard<std::mutex> lock(mutex);
+  EXPECT_GE(arrivals[1] - arrivals[0], 2900ms);
 }
 
-// Risk: operators took a sender out, and its new version lets clients come again.
-TEST(Replace, StandbyGoesAlong) {
-  Platform p(deliver);
-  const auto old = p.start();
+// A new version could accept clients although operators have put the sender into standby.
+TEST(Replace, NewProcessKeepsStandby) {
+  Platform platform(deliver);
+  const auto old = platform.start();
   ASSERT_EQ(0u, Platform::call(old, "standby").find("ACK"));
-  const auto fresh = p.start();
-  EXPECT_EQ(0u, Client(p.clients.port).ask({"PING"}).find("-AWAY"));
-  EXPECT_EQ(0u, Platform::call(fresh, "active").find("ACK"));
-  EXPECT_EQ("+PONG", Client(p.clients.port).ask({"PING"}));
+  const auto replacement = platform.start();
+  EXPECT_EQ(0u, Client(platform.clients.port).ask({"PING"}).find("-AWAY"));
+  EXPECT_EQ(0u, Platform::call(replacement, "active").find("ACK"));
+  EXPECT_EQ("+PONG", Client(platform.clients.port).ask({"PING"}));
 }
 
-// A second upgrade while calls of the first are out waits for these.
-TEST(Replace, AnUpgradeWaitsForTheOneBefore) {
+// The second process can't release the folder while the first process still has an attempt in flight.
+TEST(Replace, SecondUpgradeWaitsForAttemptsInFlightOfTheFirst) {
   std::atomic<bool> silent{true};
-  Platform p(holding(silent));
-  const auto first = p.start();
-  Client c(p.clients.port);
-  ASSERT_EQ("+OK", c.put("pay", "payment", 7));
-  ASSERT_TRUE(p.endpoint.waitFor(1));
-  const auto second = p.start();
-  const auto third = p.begin();
-  EXPECT_TRUE(Platform::says(third, "NAK"));
+  Platform platform(answerWhenNotSilent(silent));
+  const auto first = platform.start();
+  Client client(platform.clients.port);
+  ASSERT_EQ("+OK", client.put("pay", "payment", 7));
+  ASSERT_TRUE(platform.endpoint.waitFor(1));
+  const auto second = platform.start();
+  const auto third = platform.spawn();
+  EXPECT_TRUE(Platform::statusBecomes(third, "NAK"));
   EXPECT_EQ(0u, Platform::call(second, "status").find("ACK"));
   silent = false;
-  EXPECT_TRUE(exitedWell(p.end(first)));
-  EXPECT_TRUE(Platform::says(third, "ACK")) << p.log();
-  EXPECT_TRUE(exitedWell(p.end(second)));
-  EXPECT_EQ(1, p.calls()["pay"]);
-  EXPECT_EQ(0u, p.agent.noticeCount());
+  EXPECT_TRUE(exitedNormally(platform.waitForExit(first)));
+  EXPECT_TRUE(Platform::statusBecomes(third, "ACK")) << platform.log();
+  EXPECT_TRUE(exitedNormally(platform.waitForExit(second)));
+  EXPECT_EQ(1, platform.requestCounts()["pay"]);
+  EXPECT_EQ(0u, platform.agent.noticeCount());
 }
 
 }  // namespace
--- a/tests/knowledge/trust_decay_test.cpp
+++ b/tests/knowledge/trust_decay_test.cpp
@@ -1,4 +1,4 @@
-// How far old knowledge is trusted: half-lives, bounds, clocks that jump.
+// Trust in learned state of an earlier process: half-lives, maximum ages, and clocks that jump.
 #include "../../src/knowledge/trust_decay.h"
 
 #include <gtest/gtest.h>
@@ -8,106 +8,108 @@
 
 constexpr Micros kNow = 1'800'000'000'000'000;  // Unix time
 
-LearnedEndpoint lesson(Micros heard) {
-  LearnedEndpoint l;
-  l.destination = 7;
-  l.rate_limit = 80;
-  l.limit_is_reported = true;
-  l.quota_fraction = 0.5;
-  l.typical_latency = 40'000;
-  l.samples = 500;
-  l.unknown_outcome_fraction = 0.4;
-  l.message_rate = 20;
-  l.last_outcome_at = l.last_message_at = heard;
-  return l;
+LearnedEndpoint learnedAt(Micros observed_at) {
+  LearnedEndpoint learned;
+  learned.destination = 7;
+  learned.rate_limit = 80;
+  learned.limit_is_reported = true;
+  learned.quota_fraction = 0.5;
+  learned.typical_latency = 40'000;
+  learned.samples = 500;
+  learned.unknown_outcome_fraction = 0.4;
+  learned.message_rate = 20;
+  learned.last_outcome_at = learned.last_message_at = observed_at;
+  return learned;
 }
 
-TEST(Ageing, HalfOfTheTrustGoesInAHalfLifeAndAllOfItPastTheBound) {
-  const TrustDecay t{kMinuteUs, 5 * kMinuteUs};
-  EXPECT_EQ(trustFactor(kNow, kNow, t), 1);
-  EXPECT_DOUBLE_EQ(trustFactor(kNow - kMinuteUs, kNow, t), 0.5);
-  EXPECT_DOUBLE_EQ(trustFactor(kNow - 5 * kMinuteUs, kNow, t), 1.0 / 32);
-  EXPECT_EQ(trustFactor(kNow - 5 * kMinuteUs - 1, kNow, t), 0);
-  EXPECT_EQ(trustFactor(0, kNow, t), 0);  // never learned
+TEST(TrustDecayTest, TrustHalvesPerHalfLifeAndEndsAtTheMaximumAge) {
+  const TrustDecay decay{kMinuteUs, 5 * kMinuteUs};
+  EXPECT_EQ(trustFactor(kNow, kNow, decay), 1);
+  EXPECT_DOUBLE_EQ(trustFactor(kNow - kMinuteUs, kNow, decay), 0.5);
+  EXPECT_DOUBLE_EQ(trustFactor(kNow - 5 * kMinuteUs, kNow, decay), 1.0 / 32);
+  EXPECT_EQ(trustFactor(kNow - 5 * kMinuteUs - 1, kNow, decay), 0);
+  EXPECT_EQ(trustFactor(0, kNow, decay), 0);  // never learned
 }
 
-TEST(Ageing, EachKindFadesAtItsOwnPace) {
-  const LearnedEndpoint fresh = decayed(lesson(kNow - 5 * kSecondUs), kNow);
+TEST(TrustDecayTest, EachKindOfValueDecaysWithItsOwnHalfLife) {
+  const LearnedEndpoint fresh = trustedPart(learnedAt(kNow - 5 * kSecondUs), kNow);
   EXPECT_EQ(fresh.rate_limit, 80);
   EXPECT_TRUE(fresh.limit_is_reported);
   EXPECT_EQ(fresh.quota_fraction, 0.5);
   EXPECT_GE(fresh.samples, 7);
   EXPECT_NEAR(fresh.message_rate, 20, 0.3);
   EXPECT_NEAR(fresh.unknown_outcome_fraction, 0.4, 0.02);
-  const LearnedEndpoint later = decayed(lesson(kNow - 20 * kMinuteUs), kNow);
+  const LearnedEndpoint later = trustedPart(learnedAt(kNow - 20 * kMinuteUs), kNow);
   EXPECT_EQ(later.rate_limit, 80);
-  EXPECT_FALSE(later.limit_is_reported);  // what is told next replaces it
+  EXPECT_FALSE(later.limit_is_reported);  // the next reported limit replaces it
   EXPECT_EQ(later.quota_fraction, 0);
   EXPECT_EQ(later.unknown_outcome_fraction, 0);
   EXPECT_EQ(later.message_rate, 0);
   EXPECT_EQ(later.typical_latency, 40'000);
-  const LearnedEndpoint yesterday = decayed(lesson(kNow - 25 * kHourUs), kNow);
+  const LearnedEndpoint yesterday = trustedPart(learnedAt(kNow - 25 * kHourUs), kNow);
   EXPECT_EQ(yesterday.rate_limit, 0);
   EXPECT_EQ(yesterday.typical_latency, 0);
   EXPECT_EQ(yesterday.samples, 0);
 }
 
-// Risk: a clock that was put back makes old knowledge look new, one put forward keeps nothing usable.
-TEST(Ageing, WhatLiesAheadIsUnknownButForASmallCorrection) {
-  EXPECT_EQ(decayed(lesson(kNow + 4 * kSecondUs), kNow).rate_limit, 80);
-  const LearnedEndpoint ahead = decayed(lesson(kNow + kHourUs), kNow);
+// A clock that is set back could make old values look new; a clock that is set forward makes all values
+// unknown.
+TEST(TrustDecayTest, ValuesFromTheFutureAreUnknownBeyondTheClockSlack) {
+  EXPECT_EQ(trustedPart(learnedAt(kNow + 4 * kSecondUs), kNow).rate_limit, 80);
+  const LearnedEndpoint ahead = trustedPart(learnedAt(kNow + kHourUs), kNow);
   EXPECT_EQ(ahead.rate_limit, 0);
   EXPECT_EQ(ahead.samples, 0);
   EXPECT_EQ(ahead.message_rate, 0);
-  const LearnedEndpoint days = decayed(lesson(kNow - 72 * kHourUs), kNow);
+  const LearnedEndpoint days = trustedPart(learnedAt(kNow - 72 * kHourUs), kNow);
   EXPECT_EQ(days.rate_limit, 0);
   EXPECT_EQ(days.samples, 0);
 }
 
-TEST(Ageing, OfThePoolTheSignsFadeBeforeTheMeanLatency) {
-  LearnedPool p{30'000, 900, 4, 500'000, kNow - 2 * kMinuteUs, kNow - 2 * kMinuteUs};
-  const LearnedPool a = decayed(p, kNow);
-  EXPECT_DOUBLE_EQ(a.stale_connection_score, 1);
-  EXPECT_GE(a.latency_samples, 7);
-  const LearnedPool b = decayed(p, kNow + 10 * kMinuteUs);
-  EXPECT_EQ(b.stale_connection_score, 0);
-  EXPECT_EQ(b.stale_after_idle, 0);
-  EXPECT_GT(b.latency_samples, 0);
+TEST(TrustDecayTest, StaleConnectionEvidenceOfPoolDecaysBeforeMeanLatency) {
+  LearnedPool pool{30'000, 900, 4, 500'000, kNow - 2 * kMinuteUs, kNow - 2 * kMinuteUs};
+  const LearnedPool soon_after = trustedPart(pool, kNow);
+  EXPECT_DOUBLE_EQ(soon_after.stale_connection_score, 1);
+  EXPECT_GE(soon_after.latency_samples, 7);
+  const LearnedPool later = trustedPart(pool, kNow + 10 * kMinuteUs);
+  EXPECT_EQ(later.stale_connection_score, 0);
+  EXPECT_EQ(later.stale_after_idle, 0);
+  EXPECT_GT(later.latency_samples, 0);
 }
 
-constexpr Micros kRamp = 10 * kSecondUs;
-DestinationHealth ailment(bool down, Micros cold, Micros wait = 0, Micros noted = 0) {
-  return {"", 7, down, cold, wait, noted == 0 ? cold : noted};
+constexpr Micros kSlowStartTime = 10 * kSecondUs;
+DestinationHealth healthWith(bool down, Micros warming_since, Micros retry_after_until = 0,
+                             Micros observed_at = 0) {
+  return {"", 7, down, warming_since, retry_after_until, observed_at == 0 ? warming_since : observed_at};
 }
 
-TEST(Ageing, AnOutageHoldsARampEndsAndAnOldOutageIsNoHealth) {
-  DestinationHealth a = ailment(true, kNow - kMinuteUs);
-  EXPECT_TRUE(decayed(a, kNow, kRamp));
-  EXPECT_TRUE(a.down);
-  a = ailment(false, kNow - 4 * kSecondUs);
-  EXPECT_TRUE(decayed(a, kNow, kRamp));
-  EXPECT_EQ(a.warming_since, kNow - 4 * kSecondUs);
-  a = ailment(false, kNow - kMinuteUs);
-  EXPECT_FALSE(decayed(a, kNow, kRamp));  // warm long ago
-  a = ailment(true, kNow - 7 * 24 * kHourUs);
-  EXPECT_TRUE(decayed(a, kNow, kRamp));
-  EXPECT_FALSE(a.down);
-  EXPECT_EQ(a.warming_since, kNow);  // it begins its ramp
+TEST(TrustDecayTest, OutageIsKeptSlowStartEndsAndOldOutageBecomesSlowStart) {
+  DestinationHealth health = healthWith(true, kNow - kMinuteUs);
+  EXPECT_TRUE(reduceToTrusted(health, kNow, kSlowStartTime));
+  EXPECT_TRUE(health.down);
+  health = healthWith(false, kNow - 4 * kSecondUs);
+  EXPECT_TRUE(reduceToTrusted(health, kNow, kSlowStartTime));
+  EXPECT_EQ(health.warming_since, kNow - 4 * kSecondUs);
+  health = healthWith(false, kNow - kMinuteUs);
+  EXPECT_FALSE(reduceToTrusted(health, kNow, kSlowStartTime));  // the slow start ended long ago
+  health = healthWith(true, kNow - 7 * 24 * kHourUs);
+  EXPECT_TRUE(reduceToTrusted(health, kNow, kSlowStartTime));
+  EXPECT_FALSE(health.down);
+  EXPECT_EQ(health.warming_since, kNow);  // the slow start begins now
 }
 
-TEST(Ageing, AWaitIsCountedFromWhenItWasTold) {
-  DestinationHealth a = ailment(false, -1, kNow + 3 * kSecondUs, kNow - 2 * kSecondUs);
-  EXPECT_TRUE(decayed(a, kNow, kRamp));
-  EXPECT_EQ(a.retry_after_until, kNow + 3 * kSecondUs);
-  a = ailment(false, -1, kNow - 1, kNow - 2 * kSecondUs);
-  EXPECT_FALSE(decayed(a, kNow, kRamp));  // over
-  // Told 5 s by a clock that was a day ahead: 5 s from now, not a day.
-  a = ailment(false, -1, kNow + 24 * kHourUs + 5 * kSecondUs, kNow + 24 * kHourUs);
-  EXPECT_TRUE(decayed(a, kNow, kRamp));
-  EXPECT_EQ(a.retry_after_until, kNow + 5 * kSecondUs);
-  a = ailment(true, kNow + kHourUs);
-  EXPECT_TRUE(decayed(a, kNow, kRamp));
-  EXPECT_EQ(a.warming_since, kNow);
+TEST(TrustDecayTest, RetryAfterIsCountedFromItsObservation) {
+  DestinationHealth health = healthWith(false, -1, kNow + 3 * kSecondUs, kNow - 2 * kSecondUs);
+  EXPECT_TRUE(reduceToTrusted(health, kNow, kSlowStartTime));
+  EXPECT_EQ(health.retry_after_until, kNow + 3 * kSecondUs);
+  health = healthWith(false, -1, kNow - 1, kNow - 2 * kSecondUs);
+  EXPECT_FALSE(reduceToTrusted(health, kNow, kSlowStartTime));  // the Retry-After has ended
+  // A Retry-After of 5 s that a clock a day ahead observed ends 5 s from now, not in a day.
+  health = healthWith(false, -1, kNow + 24 * kHourUs + 5 * kSecondUs, kNow + 24 * kHourUs);
+  EXPECT_TRUE(reduceToTrusted(health, kNow, kSlowStartTime));
+  EXPECT_EQ(health.retry_after_until, kNow + 5 * kSecondUs);
+  health = healthWith(true, kNow + kHourUs);
+  EXPECT_TRUE(reduceToTrusted(health, kNow, kSlowStartTime));
+  EXPECT_EQ(health.warming_since, kNow);
 }
 
 }  // namespace
--- a/tests/zones/token_bucket_test.cpp
+++ b/tests/zones/token_bucket_test.cpp
@@ -7,18 +7,18 @@
 namespace grademux::zones {
 namespace {
 
-TEST(ZoneValve, PassesItsRateAndSavesLittleUp) {
-  TokenBucket v;
-  v.setRate(0, 20);
-  EXPECT_FALSE(v.hasToken(0));
-  int passed = 0;
-  for (Micros t = 0; t <= 10 * kSecond; t += 1000)
-    passed += v.takeToken(t);
-  EXPECT_NEAR(200, passed, 2);
-  passed = 0;
+TEST(TokenBucketTest, AdmitsItsRateAndABurstOfATenthOfASecond) {
+  TokenBucket bucket;
+  bucket.setRate(0, 20);
+  EXPECT_FALSE(bucket.hasToken(0));
+  int admitted = 0;
+  for (Micros now = 0; now <= 10 * kSecond; now += 1000)
+    admitted += bucket.takeToken(now);
+  EXPECT_NEAR(200, admitted, 2);
+  admitted = 0;
   for (int i = 0; i < 100; ++i)
-    passed += v.takeToken(100 * kSecond);
-  EXPECT_EQ(2, passed);
+    admitted += bucket.takeToken(100 * kSecond);
+  EXPECT_EQ(2, admitted);
 }
 
 }  // namespace
--- a/tests/zones/zone_health_monitor_test.cpp
+++ b/tests/zones/zone_health_monitor_test.cpp
@@ -44,8 +44,9 @@
     EXPECT_EQ(Observation::unknown, fixture.observe(zone));
 }
 
-// After a fault in all zones the decision module may retry one zone last.
-TEST(ZoneHealthMonitorTest, DoesNotAccuseTheZoneRetriedLastAfterACommonFault) {
+// After a fault in all zones the decision module may retry one zone last. That zone must not be reported as
+// failing only because the other zones have recovered.
+TEST(ZoneHealthMonitorTest, DoesNotReportTheZoneRetriedLastAfterAFaultInAllZones) {
   MonitorFixture fixture;
   for (const char* zone : {"a", "b", "c"})
     for (const int destination : {1, 2})
@@ -71,17 +72,17 @@
   EXPECT_EQ(Observation::healthy, fixture.observe("b"));
 }
 
-// Compared with the other zones of a failing region, no zone of the region would ever reach a majority.
+// In a comparison with the other zones of a failing region, no zone of the region would reach a majority.
 TEST(ZoneHealthMonitorTest, ComparesZonesOfAFailingRegionWithOtherRegionsOnly) {
   ZoneHealthMonitor monitor;
   Regions regions;
   regions.region_by_zone = {{"c", "east"}, {"d", "east"}};
   for (const int destination : {1, 2, 3}) {
-    for (int n = 0; n < 4; ++n)
-      monitor.recordOutcome(kSecond + n, endpoint("a", destination), outcome(AttemptResult::ok));
+    for (int i = 0; i < 4; ++i)
+      monitor.recordOutcome(kSecond + i, endpoint("a", destination), outcome(AttemptResult::ok));
     for (const char* zone : {"c", "d"})
-      for (int n = 0; n < 4; ++n)
-        monitor.recordOutcome(kSecond + 10 + n, endpoint(zone, destination), outcome(AttemptResult::timeout));
+      for (int i = 0; i < 4; ++i)
+        monitor.recordOutcome(kSecond + 10 + i, endpoint(zone, destination), outcome(AttemptResult::timeout));
   }
   EXPECT_EQ(Observation::unknown, monitor.compareWithOtherZones(2 * kSecond, "c", {}).observation);
   for (const char* zone : {"c", "d"}) {
@@ -96,8 +97,8 @@
   ZoneHealthMonitor monitor;
   for (const int destination : {1, 2}) {
     monitor.recordOutcome(kSecond, endpoint("b", destination), outcome(AttemptResult::error));
-    for (int n = 0; n < 4; ++n)
-      monitor.recordOutcome(20 * kSecond + n, endpoint("a", destination), outcome(AttemptResult::ok));
+    for (int i = 0; i < 4; ++i)
+      monitor.recordOutcome(20 * kSecond + i, endpoint("a", destination), outcome(AttemptResult::ok));
     monitor.recordOutcome(20 * kSecond + 10, endpoint("c", destination),
                           outcome(AttemptResult::connect_failed));
     monitor.recordOutcome(20 * kSecond + 20, endpoint("b", destination), outcome(AttemptResult::ok));
@@ -126,7 +127,8 @@
   EXPECT_EQ(Observation::healthy, fixture.observe("b"));
 }
 
-// The decision module avoids endpoints that failed: one failure each of two destinations is enough.
+// The decision module avoids endpoints that failed, so one failure of each of two destinations has to
+// suffice.
 TEST(ZoneHealthMonitorTest, CountsTheLastFailureUntilAnAttemptSucceeds) {
   MonitorFixture fixture;
   for (const int destination : {1, 2}) {
