--- a/src/handover/handover_source.h
+++ b/src/handover/handover_source.h
@@ -1,6 +1,6 @@
 // Handover in the process that is replaced: listens on a socket in the state folder, releases folder and
 // journal to the process that requests them, and reports the outcome of each attempt that is still in flight.
-// Serves one peer at a time. Used on the loop thread alone.
+// Serves one peer at a time. Used on the loop thread only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/handover/handover_target.h
+++ b/src/handover/handover_target.h
@@ -1,6 +1,6 @@
 // Handover in the process that replaces another: locks the state folder, and requests the folder from the
 // process that holds the lock. If that process does not answer, or uses another protocol version, this
-// process waits for it to end, up to a time limit. Used on the loop thread alone.
+// process waits for it to end, up to a time limit. Used on the loop thread only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/handover/inherited_attempts.h
+++ b/src/handover/inherited_attempts.h
@@ -1,7 +1,7 @@
 // A transport that combines this process's attempts with the attempts that an earlier process of this sender
 // still has in flight. An inherited attempt finishes when the earlier process reports its outcome, or when
 // that process ends; in the second case the endpoint may have executed the attempt. Used on the loop thread
-// alone.
+// only.
 #pragma once
 
 #include <functional>
--- a/src/handover/line_socket.h
+++ b/src/handover/line_socket.h
@@ -1,5 +1,5 @@
 // One end of the Unix socket between two processes of one sender: sends and receives messages, one per line.
-// Used on the loop thread alone.
+// Used on the loop thread only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/knowledge/learned_state_file.h
+++ b/src/knowledge/learned_state_file.h
@@ -33,10 +33,10 @@
 struct DecodedFile {
   LearnedStateFile state;
   bool found = false;       // the file exists
-  std::string error;        // why the file is rejected; empty: it is not
+  std::string error;        // why the file is rejected; empty: the file is accepted
   std::size_t damaged = 0;  // damaged records; a lower bound, because damage may hide the records after it
 };
-// `sender` is the expected sender of the file; any sender is accepted if it is empty.
+// `sender` is the expected sender of the file; if `sender` is empty, the file of any sender is accepted.
 DecodedFile decode(const std::string& bytes, const std::string& sender);
 DecodedFile loadLearnedState(const std::string& path, const std::string& sender);
 
--- a/src/knowledge/learned_state_store.h
+++ b/src/knowledge/learned_state_store.h
@@ -1,7 +1,7 @@
 // Stores what the decision module has learned in the file `knowledge` of the state folder. Exports a batch of
 // destinations per turn of the loop, writes the file on the worker thread, and removes the file when the
 // journal needs its space. Without the file, or with an unreadable one, the process starts with no learned
-// state. Used on the loop thread alone.
+// state. Used on the loop thread only.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
--- a/src/zones/zone_state.h
+++ b/src/zones/zone_state.h
@@ -11,7 +11,7 @@
 namespace grademux::zones {
 
 enum class ZonePhase {
-  active,     ///< The decision module alone selects endpoints.
+  active,     ///< Only the decision module selects endpoints.
   evacuated,  ///< No attempt starts.
   recovering  ///< Attempts start up to a fraction of the baseline.
 };
