--- a/harness/relay.cpp
+++ b/harness/relay.cpp
@@ -22,7 +22,7 @@
       : config_(c),
         transport_(io, {c.settings.connect_timeout, c.settings.idle_connection_timeout, 256},
                    [this](AttemptOutcome) { next(); }) {
-    for (const json& e : c.known["endpoints"]) {
+    for (const json& e : c.configured_list["endpoints"]) {
       const std::string name = e["name"];
       transport_.setAddress(name, e["address"]);
       endpoints_[e["group"].get<std::int64_t>()].push_back(name);
--- a/model/experiment.cpp
+++ b/model/experiment.cpp
@@ -57,10 +57,10 @@
 }
 
 void readVariant(const toml::table& table, Experiment& e, std::vector<Mistake>& mistakes) {
-  Table t(table, "variant", mistakes);
+  TomlTable t(table, "variant", mistakes);
   Variant v;
-  v.name = t.text("name", "");
-  v.policy = t.text("policy", "module");
+  v.name = t.string("name", "");
+  v.policy = t.string("policy", "module");
   if (!policy(v.policy)) {
     std::vector<std::string> names;
     std::string all;
@@ -68,13 +68,13 @@
       names.push_back(p.name);
       all += (all.empty() ? "" : ", ") + p.name;
     }
-    const std::string meant = nearest(v.policy, names);
-    t.expected("policy",
-               "one of " + all + " is expected" + (meant.empty() ? "" : "; \"" + meant + "\" may be meant"));
+    const std::string meant = nearestName(v.policy, names);
+    t.reportExpected("policy", "one of " + all + " is expected" +
+                                   (meant.empty() ? "" : "; \"" + meant + "\" may be meant"));
   }
   if (const toml::node* set = t.node("set")) {
     if (!set->is_table()) {
-      t.expected("set", "a table is expected, as { \"fleet.senders\" = 3 }");
+      t.reportExpected("set", "a table is expected, as { \"fleet.senders\" = 3 }");
     } else {
       for (const auto& [name, value] : *set->as_table()) {
         std::ostringstream text;
@@ -85,27 +85,27 @@
   }
   if (const toml::node* tune = t.node("tune")) {
     if (!tune->is_table()) {
-      t.expected("tune", "a table is expected, as { kBurstSeconds = 1.0 }");
+      t.reportExpected("tune", "a table is expected, as { kBurstSeconds = 1.0 }");
     } else {
-      Table values(*tune->as_table(), "variant.tune", mistakes);
+      TomlTable values(*tune->as_table(), "variant.tune", mistakes);
       for (const TunedValue& own : tunedValues())
         if (values.node(own.name.c_str()))
           v.tune[own.name] = values.real(own.name.c_str(), 0, -1e9, 1e9);
-      values.unknown(" in variant.tune");
+      values.reportUnknownKeys(" in variant.tune");
     }
     if (t.node("policy") && v.policy != "tuned")
-      t.expected("tune", "the policy \"tuned\" alone has such values");
+      t.reportExpected("tune", "the policy \"tuned\" alone has such values");
     v.policy = "tuned";
   }
-  t.unknown(" in a variant");
+  t.reportUnknownKeys(" in a variant");
   for (const Variant& other : e.variants)
     if (other.name == v.name)
-      t.expected("name", "a name of its own is expected");
+      t.reportExpected("name", "a name of its own is expected");
   e.variants.push_back(std::move(v));
 }
 
 // Of `ablate`: each tuned value is tried times each of these.
-std::vector<double> factors(Table& t) {
+std::vector<double> factors(TomlTable& t) {
   std::vector<double> all;
   const toml::node* n = t.node("ablate");
   if (!n)
@@ -115,7 +115,7 @@
     if (const auto f = (*list)[i].value<double>(); f && *f >= 0 && *f <= 1000)
       all.push_back(*f);
   if (!list || all.size() != list->size())
-    t.expected("ablate", "a list of factors from 0 to 1000 is expected, as [0, 0.5, 2]");
+    t.reportExpected("ablate", "a list of factors from 0 to 1000 is expected, as [0, 0.5, 2]");
   return all;
 }
 
@@ -127,22 +127,22 @@
   e.path = path;
   try {
     const toml::table file = toml::parse_file(path);
-    Table t(file, "", r.mistakes);
-    e.name = t.text("name", "experiment");
+    TomlTable t(file, "", r.mistakes);
+    e.name = t.string("name", "experiment");
     const fs::path folder = fs::path(path).parent_path();
-    for (const std::string& w : t.texts("worlds")) {
+    for (const std::string& w : t.strings("worlds")) {
       e.worlds.push_back((folder / w).lexically_normal().string());
       if (!fs::exists(e.worlds.back()))
-        t.expected("worlds", "there is no file " + e.worlds.back());
+        t.reportExpected("worlds", "there is no file " + e.worlds.back());
     }
     if (e.worlds.empty())
-      t.expected("worlds", "a list of files is expected");
-    e.seeds = static_cast<int>(t.whole("seeds", e.seeds, 1, 10'000));
-    e.first_seed = static_cast<std::uint64_t>(t.whole("first_seed", 1, 0, INT64_MAX / 2));
+      t.reportExpected("worlds", "a list of files is expected");
+    e.seeds = static_cast<int>(t.integer("seeds", e.seeds, 1, 10'000));
+    e.first_seed = static_cast<std::uint64_t>(t.integer("first_seed", 1, 0, INT64_MAX / 2));
     for (const toml::table* v : t.tables("variant"))
       readVariant(*v, e, r.mistakes);
     if (e.variants.empty())
-      t.mistake("a [[variant]] is expected");
+      t.reportMistake("a [[variant]] is expected");
     for (const double f : factors(t)) {
       e.ablation = true;
       for (const TunedValue& own : tunedValues()) {
@@ -155,11 +155,11 @@
         e.variants.push_back(std::move(v));
       }
     }
-    e.baseline = t.text("baseline", e.variants.empty() ? "module" : e.variants.front().name);
+    e.baseline = t.string("baseline", e.variants.empty() ? "module" : e.variants.front().name);
     if (std::none_of(e.variants.begin(), e.variants.end(),
                      [&](const Variant& v) { return v.name == e.baseline; }))
-      t.expected("baseline", "the name of a variant is expected");
-    t.unknown("");
+      t.reportExpected("baseline", "the name of a variant is expected");
+    t.reportUnknownKeys("");
   } catch (const toml::parse_error& x) {
     r.mistakes.push_back({x.source().begin.line, x.source().begin.column, std::string(x.description())});
   }
@@ -220,7 +220,7 @@
     for (const Variant& v : e.variants) {
       Reading r = varied(path, v);
       if (!r.mistakes.empty())
-        throw std::runtime_error(r.mistakes.front().in(path));
+        throw std::runtime_error(r.mistakes.front().format(path));
       worlds.push_back(std::move(r.world));
       const std::string stamp = stampOf(path, v);
       const auto tuning = v.tune.empty() ? nullptr : std::make_shared<const Tuning>(v.tune);
--- a/model/main.cpp
+++ b/model/main.cpp
@@ -20,7 +20,7 @@
 
 bool tellMistakes(const std::vector<Mistake>& mistakes, const std::string& path) {
   for (const Mistake& m : mistakes)
-    std::cerr << m.in(path) << '\n';
+    std::cerr << m.format(path) << '\n';
   return !mistakes.empty();
 }
 
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -1,4 +1,4 @@
-// grademux: a table of the daemon file; see toml_table.h.
+// Reading of TOML tables; see toml_table.h.
 #include "toml_table.h"
 
 #include <algorithm>
@@ -15,51 +15,54 @@
 
 struct Unit {
   const char* name;
-  double times;
+  double factor;
 };
-constexpr Unit kTimes[] = {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}, {"d", 86400e6}};
-constexpr Unit kSizes[] = {{"B", 1},
-                           {"KB", 1e3},
-                           {"MB", 1e6},
-                           {"GB", 1e9},
-                           {"KiB", 1024.0},
-                           {"MiB", 1024 * 1024.0},
-                           {"GiB", 1024 * 1024 * 1024.0}};
+constexpr Unit kTimeUnits[] = {{"us", 1},     {"ms", 1e3},   {"s", 1e6},
+                               {"min", 60e6}, {"h", 3600e6}, {"d", 86400e6}};
+constexpr Unit kSizeUnits[] = {{"B", 1},
+                               {"KB", 1e3},
+                               {"MB", 1e6},
+                               {"GB", 1e9},
+                               {"KiB", 1024.0},
+                               {"MiB", 1024 * 1024.0},
+                               {"GiB", 1024 * 1024 * 1024.0}};
 
-// A number, blanks or none, and a unit.
+// Parses a number and a unit, with or without blanks between them, and returns the number in the base unit.
+// False if `text` has another form.
 template <std::size_t N>
-bool quantity(const std::string& s, const Unit (&units)[N], double& out) {
-  const std::size_t digits = s.find_first_not_of("0123456789.");
-  if (digits == 0 || digits == std::string::npos || digits > 15)
+bool parseQuantity(const std::string& text, const Unit (&units)[N], double& out) {
+  const std::size_t digit_count = text.find_first_not_of("0123456789.");
+  if (digit_count == 0 || digit_count == std::string::npos || digit_count > 15)
     return false;
-  const std::string number = s.substr(0, digits);
+  const std::string number = text.substr(0, digit_count);
   if (number.find('.') != number.rfind('.') || number == ".")
     return false;
-  const std::size_t at = s.find_first_not_of(' ', digits);
-  for (const Unit& u : units)
-    if (at != std::string::npos && s.substr(at) == u.name) {
-      out = std::strtod(number.c_str(), nullptr) * u.times;
+  const std::size_t unit_start = text.find_first_not_of(' ', digit_count);
+  for (const Unit& unit : units)
+    if (unit_start != std::string::npos && text.substr(unit_start) == unit.name) {
+      out = std::strtod(number.c_str(), nullptr) * unit.factor;
       return true;
     }
   return false;
 }
 
+// Formats the value with the largest unit of which the value is a whole multiple, in quotes as in a file.
 template <std::size_t N>
-std::string shown(double value, const Unit (&units)[N]) {
+std::string formatQuantity(double value, const Unit (&units)[N]) {
   const Unit* best = &units[0];
-  for (const Unit& u : units)
-    if (value >= u.times && value / u.times < value / best->times &&
-        value / u.times == std::floor(value / u.times))
-      best = &u;
-  const std::string n = std::to_string(static_cast<std::int64_t>(value / best->times));
-  return "\"" + n + " " + best->name + "\"";
+  for (const Unit& unit : units)
+    if (value >= unit.factor && value / unit.factor < value / best->factor &&
+        value / unit.factor == std::floor(value / unit.factor))
+      best = &unit;
+  const std::string count = std::to_string(static_cast<std::int64_t>(value / best->factor));
+  return "\"" + count + " " + best->name + "\"";
 }
 
 }  // namespace
 
-std::string nearest(const std::string& word, const std::vector<std::string>& names) {
+std::string nearestName(const std::string& word, const std::vector<std::string>& names) {
   std::string best;
-  std::size_t least = SIZE_MAX;
+  std::size_t min_distance = SIZE_MAX;
   for (const std::string& name : names) {
     std::vector<std::size_t> row(name.size() + 1);
     for (std::size_t j = 0; j <= name.size(); ++j)
@@ -68,237 +71,246 @@
       std::size_t diagonal = row[0];
       row[0] = i;
       for (std::size_t j = 1; j <= name.size(); ++j) {
-        const std::size_t other = diagonal + (word[i - 1] != name[j - 1]);
+        const std::size_t substitution = diagonal + (word[i - 1] != name[j - 1]);
         diagonal = row[j];
-        row[j] = std::min({row[j] + 1, row[j - 1] + 1, other});
+        row[j] = std::min({row[j] + 1, row[j - 1] + 1, substitution});
       }
     }
-    if (row.back() < least && row.back() * 3 <= std::max(word.size(), name.size())) {
-      least = row.back();
+    if (row.back() < min_distance && row.back() * 3 <= std::max(word.size(), name.size())) {
+      min_distance = row.back();
       best = name;
     }
   }
   return best;
 }
 
-std::string Mistake::in(const std::string& path) const {
+std::string Mistake::format(const std::string& path) const {
   return path + ":" + std::to_string(line) + ":" + std::to_string(column) + ": " + what;
 }
 
-void Table::mistake(const toml::source_region& at, const std::string& what) {
+void TomlTable::reportMistake(const toml::source_region& at, const std::string& what) {
   mistakes_.push_back({at.begin.line, at.begin.column, what});
 }
-void Table::expected(const char* key, const std::string& what) {
-  const toml::node* n = table_.get(key);
-  mistake(n ? n->source() : table_.source(), named(key) + ": " + what);
+void TomlTable::reportExpected(const char* key, const std::string& what) {
+  const toml::node* found = table_.get(key);
+  reportMistake(found ? found->source() : table_.source(), qualifiedName(key) + ": " + what);
 }
-const toml::node* Table::node(const char* key) {
-  known_.insert(key);
+const toml::node* TomlTable::node(const char* key) {
+  known_keys_.insert(key);
   return table_.get(key);
 }
 
 template <class Value>
-Value Table::inForce(const char* key, Value value, const std::string& shown) {
-  const toml::node* n = table_.get(key);
+Value TomlTable::recordEffective(const char* key, Value value, const std::string& shown) {
+  const toml::node* found = table_.get(key);
   if (effective_)
-    effective_->push_back({named(key), shown, n ? n->source().begin.line : 0});
+    effective_->push_back({qualifiedName(key), shown, found ? found->source().begin.line : 0});
   return value;
 }
 
-std::int64_t Table::whole(const char* key, std::int64_t otherwise, std::int64_t least, std::int64_t most) {
-  const toml::node* n = node(key);
-  if (!n)
-    return inForce(key, otherwise, std::to_string(otherwise));
-  const auto v = n->is_integer() ? n->value<std::int64_t>() : std::nullopt;
-  if (v && *v >= least && *v <= most)
-    return inForce(key, *v, std::to_string(*v));
-  expected(key,
-           "a whole number from " + std::to_string(least) + " to " + std::to_string(most) + " is expected");
-  return otherwise;
+std::int64_t TomlTable::integer(const char* key, std::int64_t default_value, std::int64_t min_value,
+                                std::int64_t max_value) {
+  const toml::node* found = node(key);
+  if (!found)
+    return recordEffective(key, default_value, std::to_string(default_value));
+  const auto value = found->is_integer() ? found->value<std::int64_t>() : std::nullopt;
+  if (value && *value >= min_value && *value <= max_value)
+    return recordEffective(key, *value, std::to_string(*value));
+  reportExpected(key, "a whole number from " + std::to_string(min_value) + " to " +
+                          std::to_string(max_value) + " is expected");
+  return default_value;
 }
-double Table::real(const char* key, double otherwise, double least, double most) {
-  const toml::node* n = node(key);
-  const auto text_of = [](double x) {
+double TomlTable::number(const char* key, double default_value, double min_value, double max_value) {
+  const toml::node* found = node(key);
+  const auto format = [](double value) {
     std::ostringstream out;
-    out << x;
+    out << value;
     return out.str();
   };
-  if (!n)
-    return inForce(key, otherwise, text_of(otherwise));
-  const auto v = n->is_number() ? n->value<double>() : std::nullopt;
-  if (v && *v >= least && *v <= most)
-    return inForce(key, *v, text_of(*v));
+  if (!found)
+    return recordEffective(key, default_value, format(default_value));
+  const auto value = found->is_number() ? found->value<double>() : std::nullopt;
+  if (value && *value >= min_value && *value <= max_value)
+    return recordEffective(key, *value, format(*value));
   std::ostringstream range;
-  range << "a number from " << least << " to " << most << " is expected";
-  expected(key, range.str());
-  return otherwise;
+  range << "a number from " << min_value << " to " << max_value << " is expected";
+  reportExpected(key, range.str());
+  return default_value;
 }
-bool Table::truth(const char* key, bool otherwise) {
-  const toml::node* n = node(key);
-  const bool v = n && n->is_boolean() ? *n->value<bool>() : otherwise;
-  if (!n || n->is_boolean())
-    return inForce(key, v, v ? "true" : "false");
-  expected(key, "true or false is expected");
-  return otherwise;
+bool TomlTable::boolean(const char* key, bool default_value) {
+  const toml::node* found = node(key);
+  const bool value = found && found->is_boolean() ? *found->value<bool>() : default_value;
+  if (!found || found->is_boolean())
+    return recordEffective(key, value, value ? "true" : "false");
+  reportExpected(key, "true or false is expected");
+  return default_value;
 }
-std::string Table::text(const char* key, const std::string& otherwise) {
-  const toml::node* n = node(key);
-  if (!n && !otherwise.empty())
-    return inForce(key, otherwise, "\"" + otherwise + "\"");
-  const auto v = n && n->is_string() ? n->value<std::string>() : std::nullopt;
-  if (v && !v->empty())
-    return inForce(key, *v, "\"" + *v + "\"");
-  expected(key, "a text is expected");
-  return otherwise;
+std::string TomlTable::string(const char* key, const std::string& default_value) {
+  const toml::node* found = node(key);
+  if (!found && !default_value.empty())
+    return recordEffective(key, default_value, "\"" + default_value + "\"");
+  const auto value = found && found->is_string() ? found->value<std::string>() : std::nullopt;
+  if (value && !value->empty())
+    return recordEffective(key, *value, "\"" + *value + "\"");
+  reportExpected(key, "a text is expected");
+  return default_value;
 }
-std::string Table::word(const char* key, std::initializer_list<const char*> words, const char* otherwise) {
-  const toml::node* n = node(key);
-  if (!n && otherwise)
-    return inForce(key, std::string(otherwise), "\"" + std::string(otherwise) + "\"");
-  const auto v = n && n->is_string() ? n->value<std::string>() : std::nullopt;
+std::string TomlTable::oneOf(const char* key, std::initializer_list<const char*> words,
+                             const char* default_value) {
+  const toml::node* found = node(key);
+  if (!found && default_value)
+    return recordEffective(key, std::string(default_value), "\"" + std::string(default_value) + "\"");
+  const auto value = found && found->is_string() ? found->value<std::string>() : std::nullopt;
   std::string all;
   std::vector<std::string> names;
-  for (const char* w : words) {
-    if (v && *v == w)
-      return inForce(key, *v, "\"" + *v + "\"");
-    all += (all.empty() ? "\"" : " or \"") + std::string(w) + "\"";
-    names.emplace_back(w);
+  for (const char* word : words) {
+    if (value && *value == word)
+      return recordEffective(key, *value, "\"" + *value + "\"");
+    all += (all.empty() ? "\"" : " or \"") + std::string(word) + "\"";
+    names.emplace_back(word);
   }
-  const std::string meant = v ? nearest(*v, names) : "";
-  expected(key, all + " is expected" + (meant.empty() ? "" : "; \"" + meant + "\" may be meant"));
+  const std::string meant = value ? nearestName(*value, names) : "";
+  reportExpected(key, all + " is expected" + (meant.empty() ? "" : "; \"" + meant + "\" may be meant"));
   return {};
 }
-std::vector<std::string> Table::texts(const char* key) {
+std::vector<std::string> TomlTable::strings(const char* key) {
   std::vector<std::string> all;
-  const toml::node* n = node(key);
-  if (!n)
+  const toml::node* found = node(key);
+  if (!found)
     return all;
-  const toml::array* list = n->as_array();
+  const toml::array* list = found->as_array();
   if (!list || (!list->empty() && !list->is_homogeneous(toml::node_type::string)))
-    expected(key, "a list of texts is expected");
+    reportExpected(key, "a list of texts is expected");
   else
-    for (const toml::node& i : *list)
-      all.push_back(*i.value<std::string>());
+    for (const toml::node& element : *list)
+      all.push_back(*element.value<std::string>());
   std::string joined;
-  for (const std::string& s : all)
-    joined += (joined.empty() ? "\"" : ", \"") + s + "\"";
-  return inForce(key, all, "[" + joined + "]");
+  for (const std::string& text : all)
+    joined += (joined.empty() ? "\"" : ", \"") + text + "\"";
+  return recordEffective(key, all, "[" + joined + "]");
 }
-Micros Table::span(const char* key, Micros otherwise, Micros least, Micros most) {
-  const toml::node* n = node(key);
-  if (!n)
-    return inForce(key, otherwise, shown(static_cast<double>(otherwise), kTimes));
-  const auto v = n->is_string() ? n->value<std::string>() : std::nullopt;
+Micros TomlTable::duration(const char* key, Micros default_value, Micros min_value, Micros max_value) {
+  const toml::node* found = node(key);
+  if (!found)
+    return recordEffective(key, default_value,
+                           formatQuantity(static_cast<double>(default_value), kTimeUnits));
+  const auto value = found->is_string() ? found->value<std::string>() : std::nullopt;
   double us = 0;
-  if (v && quantity(*v, kTimes, us) && us >= static_cast<double>(least) && us <= static_cast<double>(most))
-    return inForce(key, Micros{std::llround(us)}, "\"" + *v + "\"");
-  expected(key, "a time with its unit (us, ms, s, min, h, d) from " +
-                    shown(static_cast<double>(least), kTimes) + " to " +
-                    shown(static_cast<double>(most), kTimes) + " is expected, as \"250 ms\"");
-  return otherwise;
+  if (value && parseQuantity(*value, kTimeUnits, us) && us >= static_cast<double>(min_value) &&
+      us <= static_cast<double>(max_value))
+    return recordEffective(key, Micros{std::llround(us)}, "\"" + *value + "\"");
+  reportExpected(key, "a time with its unit (us, ms, s, min, h, d) from " +
+                          formatQuantity(static_cast<double>(min_value), kTimeUnits) + " to " +
+                          formatQuantity(static_cast<double>(max_value), kTimeUnits) +
+                          " is expected, as \"250 ms\"");
+  return default_value;
 }
-std::pair<double, double> Table::range(const char* key, std::pair<double, double> otherwise, double least,
-                                       double most) {
-  const auto read = [&](const toml::node& n, double& x) {
-    const auto v = n.is_number() ? n.value<double>() : std::nullopt;
-    x = v.value_or(0);
-    return v && x >= least && x <= most;
+std::pair<double, double> TomlTable::numberRange(const char* key, std::pair<double, double> default_value,
+                                                 double min_value, double max_value) {
+  const auto read = [&](const toml::node& node, double& result) {
+    const auto value = node.is_number() ? node.value<double>() : std::nullopt;
+    result = value.value_or(0);
+    return value && result >= min_value && result <= max_value;
   };
   std::ostringstream what;
-  what << "a number from " << least << " to " << most << ", or [LEAST, MOST] of them, is expected";
-  return pair<double>(key, otherwise, read, what.str());
+  what << "a number from " << min_value << " to " << max_value << ", or [LEAST, MOST] of them, is expected";
+  return readRange<double>(key, default_value, read, what.str());
 }
-std::pair<Micros, Micros> Table::spans(const char* key, std::pair<Micros, Micros> otherwise, Micros least,
-                                       Micros most) {
-  const auto read = [&](const toml::node& n, Micros& x) {
-    const auto v = n.is_string() ? n.value<std::string>() : std::nullopt;
+std::pair<Micros, Micros> TomlTable::durationRange(const char* key, std::pair<Micros, Micros> default_value,
+                                                   Micros min_value, Micros max_value) {
+  const auto read = [&](const toml::node& node, Micros& result) {
+    const auto value = node.is_string() ? node.value<std::string>() : std::nullopt;
     double us = 0;
-    if (!v || !quantity(*v, kTimes, us))
+    if (!value || !parseQuantity(*value, kTimeUnits, us))
       return false;
-    x = std::llround(us);
-    return x >= least && x <= most;
+    result = std::llround(us);
+    return result >= min_value && result <= max_value;
   };
-  return pair<Micros>(
-      key, otherwise, read,
-      "a time with its unit (us, ms, s, min, h, d) from " + shown(static_cast<double>(least), kTimes) +
-          " to " + shown(static_cast<double>(most), kTimes) + ", or [LEAST, MOST] of them, is expected");
+  return readRange<Micros>(key, default_value, read,
+                           "a time with its unit (us, ms, s, min, h, d) from " +
+                               formatQuantity(static_cast<double>(min_value), kTimeUnits) + " to " +
+                               formatQuantity(static_cast<double>(max_value), kTimeUnits) +
+                               ", or [LEAST, MOST] of them, is expected");
 }
 template <class Value, class Read>
-std::pair<Value, Value> Table::pair(const char* key, std::pair<Value, Value> otherwise, const Read& read,
-                                    const std::string& what) {
-  const toml::node* n = node(key);
-  if (!n)
-    return otherwise;
-  std::pair<Value, Value> v;
-  const toml::array* both = n->as_array();
-  const bool good = both ? both->size() == 2 && read((*both)[0], v.first) && read((*both)[1], v.second) &&
-                               v.first <= v.second
-                         : read(*n, v.first);
+std::pair<Value, Value> TomlTable::readRange(const char* key, std::pair<Value, Value> default_value,
+                                             const Read& read, const std::string& what) {
+  const toml::node* found = node(key);
+  if (!found)
+    return default_value;
+  std::pair<Value, Value> range;
+  const toml::array* both = found->as_array();
+  const bool good = both ? both->size() == 2 && read((*both)[0], range.first) &&
+                               read((*both)[1], range.second) && range.first <= range.second
+                         : read(*found, range.first);
   if (!good) {
-    expected(key, what);
-    return otherwise;
+    reportExpected(key, what);
+    return default_value;
   }
   if (!both)
-    v.second = v.first;
-  return v;
+    range.second = range.first;
+  return range;
 }
-std::int64_t Table::size(const char* key, std::int64_t otherwise, std::int64_t least, std::int64_t most) {
-  const toml::node* n = node(key);
-  if (!n)
-    return inForce(key, otherwise, shown(static_cast<double>(otherwise), kSizes));
-  const auto v = n->is_string() ? n->value<std::string>() : std::nullopt;
+std::int64_t TomlTable::byteSize(const char* key, std::int64_t default_value, std::int64_t min_value,
+                                 std::int64_t max_value) {
+  const toml::node* found = node(key);
+  if (!found)
+    return recordEffective(key, default_value,
+                           formatQuantity(static_cast<double>(default_value), kSizeUnits));
+  const auto value = found->is_string() ? found->value<std::string>() : std::nullopt;
   double bytes = 0;
-  if (v && quantity(*v, kSizes, bytes) && bytes >= static_cast<double>(least) &&
-      bytes <= static_cast<double>(most))
-    return inForce(key, std::int64_t{std::llround(bytes)}, "\"" + *v + "\"");
-  expected(key, "a size with its unit (B, KB, MB, GB, KiB, MiB, GiB) from " +
-                    shown(static_cast<double>(least), kSizes) + " to " +
-                    shown(static_cast<double>(most), kSizes) + " is expected, as \"256 MiB\"");
-  return otherwise;
+  if (value && parseQuantity(*value, kSizeUnits, bytes) && bytes >= static_cast<double>(min_value) &&
+      bytes <= static_cast<double>(max_value))
+    return recordEffective(key, std::int64_t{std::llround(bytes)}, "\"" + *value + "\"");
+  reportExpected(key, "a size with its unit (B, KB, MB, GB, KiB, MiB, GiB) from " +
+                          formatQuantity(static_cast<double>(min_value), kSizeUnits) + " to " +
+                          formatQuantity(static_cast<double>(max_value), kSizeUnits) +
+                          " is expected, as \"256 MiB\"");
+  return default_value;
 }
 
-bool Table::listen(const char* key, boost::asio::ip::tcp::endpoint& out) {
-  const toml::node* n = node(key);
-  const auto v = n && n->is_string() ? n->value<std::string>() : std::nullopt;
+bool TomlTable::listenAddress(const char* key, boost::asio::ip::tcp::endpoint& address) {
+  const toml::node* found = node(key);
+  const auto value = found && found->is_string() ? found->value<std::string>() : std::nullopt;
   try {
-    if (v)
-      out = parseAddress(*v);
+    if (value)
+      address = parseAddress(*value);
   } catch (const std::invalid_argument&) {
   }
-  if (v && out.port() != 0)
-    return inForce(key, true, "\"" + *v + "\"");
-  expected(key, "an address and a port from 1 to 65535 are expected, as \"127.0.0.1:8080\"");
+  if (value && address.port() != 0)
+    return recordEffective(key, true, "\"" + *value + "\"");
+  reportExpected(key, "an address and a port from 1 to 65535 are expected, as \"127.0.0.1:8080\"");
   return false;
 }
 
-std::vector<const toml::table*> Table::tables(const char* key) {
+std::vector<const toml::table*> TomlTable::tables(const char* key) {
   std::vector<const toml::table*> all;
-  const toml::node* n = node(key);
-  if (!n)
+  const toml::node* found = node(key);
+  if (!found)
     return all;
-  const toml::array* list = n->as_array();
+  const toml::array* list = found->as_array();
   if (!list || !list->is_homogeneous(toml::node_type::table))
-    expected(key, "tables are expected, each begun by [[" + std::string(key) + "]]");
+    reportExpected(key, "tables are expected, each begun by [[" + std::string(key) + "]]");
   else
-    for (const toml::node& t : *list)
-      all.push_back(t.as_table());
+    for (const toml::node& element : *list)
+      all.push_back(element.as_table());
   return all;
 }
 
-void Table::unknown(const std::string& where) {
+void TomlTable::reportUnknownKeys(const std::string& where) {
   std::string all;
-  for (const std::string& k : known_)
-    all += (all.empty() ? "" : ", ") + k;
+  for (const std::string& known_key : known_keys_)
+    all += (all.empty() ? "" : ", ") + known_key;
   for (const auto& [key, value] : table_) {
     const std::string name(key.str());
-    if (known_.count(name))
+    if (known_keys_.count(name))
       continue;
-    const std::string meant = nearest(name, {known_.begin(), known_.end()});
+    const std::string meant = nearestName(name, {known_keys_.begin(), known_keys_.end()});
     std::string message = "unknown key ";
     message.append(name).append(where).append(": one of ").append(all).append(" is expected");
     if (!meant.empty())
       message.append("; ").append(meant).append(" may be meant");
-    mistake(key.source(), message);
+    reportMistake(key.source(), message);
   }
 }
 
--- a/src/daemon/commands/check_command.cpp
+++ b/src/daemon/commands/check_command.cpp
@@ -36,7 +36,7 @@
       report(folder.path + ": " + scan.unreadable);
     for (UnitChange& change : scan.changes) {
       for (const Mistake& mistake : change.mistakes)
-        report(mistake.in(change.unit));
+        report(mistake.format(change.unit));
       if (change.mistakes.empty())
         table_.declare(change.unit, std::move(change.partners));
     }
@@ -60,11 +60,11 @@
 };
 
 void printEffective(const DaemonFile& file, const std::string& path) {
-  const auto assignment = [](const Effective& value) { return value.key + " = " + value.value; };
+  const auto assignment = [](const EffectiveValue& value) { return value.key + " = " + value.value; };
   std::size_t width = 0;
-  for (const Effective& value : file.effective)
+  for (const EffectiveValue& value : file.effective)
     width = std::max(width, assignment(value).size());
-  for (const Effective& value : file.effective) {
+  for (const EffectiveValue& value : file.effective) {
     const std::string line = assignment(value);
     const std::string origin = value.line > 0 ? path + ":" + std::to_string(value.line) : "default";
     std::cout << line << std::string(width - line.size() + 2, ' ') << "# " << origin << '\n';
@@ -73,8 +73,8 @@
 
 void printSummary(const DaemonFile& file, const std::string& path, std::size_t partners) {
   std::cout << path << ": good, " << file.listeners.size() << " doors";
-  if (file.site)
-    std::cout << ", " << file.site->settings.classes.size() << " classes, " << partners << " partners";
+  if (file.standalone)
+    std::cout << ", " << file.standalone->settings.classes.size() << " classes, " << partners << " partners";
   std::cout << '\n';
 }
 
@@ -92,10 +92,10 @@
     std::vector<Mistake> mistakes;
     const DaemonFile file = readDaemonFile(path_, mistakes);
     for (const Mistake& mistake : mistakes)
-      std::cout << mistake.in(path_) << '\n';
-    const SourcesSpec sources = file.site ? file.site->sources : SourcesSpec{};
+      std::cout << mistake.format(path_) << '\n';
+    const SourcesSpec sources = file.standalone ? file.standalone->sources : SourcesSpec{};
     PartnerSourceCheck source_check(sources);
-    const bool sources_are_good = !file.site || source_check.run();
+    const bool sources_are_good = !file.standalone || source_check.run();
     if (!mistakes.empty() || !sources_are_good)
       return kExitUnusable;
     if (print_effective_)
--- a/src/daemon/commands/command.h
+++ b/src/daemon/commands/command.h
@@ -27,7 +27,7 @@
 
 /// `check FILE`: reports every mistake in a daemon file and in the partner files that it names.
 std::unique_ptr<Command> makeCheckCommand(CLI::App& app);
-/// `init FOLDER`: writes a daemon file to start with.
+/// `init FOLDER`: writes a first daemon file.
 std::unique_ptr<Command> makeInitCommand(CLI::App& app);
 /// `run`: runs the sender. Selected as well when the command line names no sub-command.
 std::unique_ptr<Command> makeRunCommand(CLI::App& app);
--- a/src/daemon/commands/fleet_audit_command.cpp
+++ b/src/daemon/commands/fleet_audit_command.cpp
@@ -21,15 +21,17 @@
   explicit FleetAuditCommand(CLI::App& fleet_app)
       : app_(*addStoreCommand(
             fleet_app, "audit",
-            "who acted by what, from trails and journals, also of senders that run; of others what the "
-            "store knows")) {
+            "which sender acted by which versions, from audit logs and journals, also of running senders, "
+            "and from the reports in the store")) {
     app_.add_option("FOLDER", query_.folders, "state folders of senders");
-    app_.add_option("--at", at_, "how each stood then: 2026-12-01T10:00:00Z, or seconds since 1970");
-    app_.add_option("--message", query_.message, "under what its attempts were decided");
-    app_.add_option("--version", query_.plan, "who took this plan over, and when");
-    app_.add_option("--sender", query_.sender, "of this one alone");
-    app_.add_flag("--gaps", query_.gaps, "only what is not known");
-    app_.add_flag("--json", query_.as_json, "a JSON object a line");
+    app_.add_option("--at", at_,
+                    "compliance of each sender at 2026-12-01T10:00:00Z, or at seconds since 1970");
+    app_.add_option("--message", query_.message,
+                    "the versions by which the attempts of this message were decided");
+    app_.add_option("--version", query_.plan, "the senders that adopted this plan, and when");
+    app_.add_option("--sender", query_.sender, "shows this sender alone");
+    app_.add_flag("--gaps", query_.gaps, "shows only what neither audit logs nor reports cover");
+    app_.add_flag("--json", query_.as_json, "prints one JSON object per line");
   }
 
   bool isSelected() const override { return app_.parsed(); }
--- a/src/daemon/commands/fleet_command.cpp
+++ b/src/daemon/commands/fleet_command.cpp
@@ -16,7 +16,7 @@
   std::vector<Mistake> mistakes;
   DaemonFile file = readDaemonFile(path, mistakes);
   if (!mistakes.empty())
-    throw std::runtime_error(mistakes[0].in(path));
+    throw std::runtime_error(mistakes[0].format(path));
   return file;
 }
 
@@ -34,14 +34,15 @@
   command->add_option("--daemon", daemon_path_, "the daemon file, whose [fleet] names the store")
       ->type_name("FILE");
   command->add_option("--store", store_.store, "addresses of the store, in place of the file's");
-  command->add_option("--prefix", store_.prefix, "of the fleet's keys (grademux)");
+  command->add_option("--prefix", store_.prefix, "prefix of the fleet's keys (default: grademux)");
   return command;
 }
 
 CLI::App* FleetCommand::addChangeCommand(CLI::App& parent, const char* name, const char* description) {
   CLI::App* command = addStoreCommand(parent, name, description);
-  command->add_option("--why", change_.why, "stands in the plan and in every trail")->required();
-  command->add_option("--by", change_.by, "who says so (user@host)");
+  command->add_option("--why", change_.why, "the reason, recorded in the plan and in each audit log")
+      ->required();
+  command->add_option("--by", change_.by, "who makes the change (default: user@host)");
   return command;
 }
 
@@ -59,8 +60,7 @@
 }
 
 std::vector<std::unique_ptr<Command>> makeFleetCommands(CLI::App& app) {
-  CLI::App& fleet_app =
-      *app.add_subcommand("fleet", "the fleet's plan, its senders, and what is on record of them");
+  CLI::App& fleet_app = *app.add_subcommand("fleet", "the fleet's plan, its senders, zones and audit logs");
   std::vector<std::unique_ptr<Command>> commands;
   commands.push_back(makeFleetStatusCommand(fleet_app));
   commands.push_back(makeFleetPlanCommand(fleet_app));
--- a/src/daemon/commands/fleet_command.h
+++ b/src/daemon/commands/fleet_command.h
@@ -25,7 +25,8 @@
 
   /// Adds a sub-command with the options that name the store.
   CLI::App* addStoreCommand(CLI::App& parent, const char* name, const char* description);
-  /// The same with --why and --by, for a sub-command that changes the plan.
+  /// Adds a sub-command with the options of addStoreCommand() and --why and --by, for a sub-command that
+  /// changes the plan.
   CLI::App* addChangeCommand(CLI::App& parent, const char* name, const char* description);
   /// Takes the store from the daemon file, unless the command line names one. Throws std::runtime_error when
   /// neither does.
--- a/src/daemon/commands/fleet_digest_command.cpp
+++ b/src/daemon/commands/fleet_digest_command.cpp
@@ -12,7 +12,8 @@
 class FleetDigestCommand : public FleetCommand {
  public:
   explicit FleetDigestCommand(CLI::App& fleet_app)
-      : app_(*fleet_app.add_subcommand("digest", "what a plan asks for when it asks for these files")) {
+      : app_(*fleet_app.add_subcommand("digest",
+                                       "prints the digests that a plan requires to require these files")) {
     app_.add_option("--config", config_path_, "a platform's configuration, for its settings")
         ->type_name("FILE");
     app_.add_option("--daemon", daemon_path_, "a daemon file")->type_name("FILE");
@@ -29,11 +30,11 @@
       file = loadDaemonFile(daemon_path_);
     Config config;
     if (!config_path_.empty())
-      config.settings = readSettingsOf(config_path_);
-    else if (file.site)
-      config.settings = file.site->settings;
+      config.settings = readSettingsFile(config_path_);
+    else if (file.standalone)
+      config.settings = file.standalone->settings;
     const fleet::RunningVersions versions = runningVersions(config, file);
-    if (!config_path_.empty() || file.site)
+    if (!config_path_.empty() || file.standalone)
       std::cout << "settings " << versions.settings << '\n';
     if (!daemon_path_.empty())
       std::cout << "daemon-file " << versions.daemon << '\n';
--- a/src/daemon/commands/fleet_fence_command.cpp
+++ b/src/daemon/commands/fleet_fence_command.cpp
@@ -1,4 +1,4 @@
-// `grademux_sender fleet shut-out` and `readmit`: fences one sender, and takes that back.
+// `grademux_sender fleet shut-out` and `readmit`: fences one sender, or readmits it.
 #include "fleet_command.h"
 
 namespace grademux {
@@ -9,8 +9,8 @@
  public:
   explicit FleetFenceCommand(CLI::App& fleet_app)
       : fence_(*addChangeCommand(fleet_app, "shut-out",
-                                 "a sender takes on nothing and calls nobody until it is readmitted")),
-        readmit_(*addChangeCommand(fleet_app, "readmit", "takes that back")) {
+                                 "fences a sender: it accepts and sends no message until readmitted")),
+        readmit_(*addChangeCommand(fleet_app, "readmit", "ends the fencing of a sender")) {
     for (CLI::App* command : {&fence_, &readmit_})
       command->add_option("NAME", sender_, "the sender")->required();
   }
--- a/src/daemon/commands/fleet_plan_command.cpp
+++ b/src/daemon/commands/fleet_plan_command.cpp
@@ -1,4 +1,4 @@
-// `grademux_sender fleet plan`: shows the fleet's plan and puts another one in place.
+// `grademux_sender fleet plan`: shows the fleet's plan or replaces it.
 #include "fleet_command.h"
 
 namespace grademux {
@@ -10,15 +10,16 @@
 class FleetPlanCommand : public FleetCommand {
  public:
   explicit FleetPlanCommand(CLI::App& fleet_app)
-      : app_(*fleet_app.add_subcommand("plan", "the one document that all senders agree on")) {
-    show_ = addStoreCommand(app_, "show", "prints it");
+      : app_(*fleet_app.add_subcommand("plan", "the fleet's plan, which all senders follow")) {
+    show_ = addStoreCommand(app_, "show", "prints the plan");
     show_->add_flag("--json", as_json_, "as one JSON object");
-    propose_ = addChangeCommand(app_, "propose", "puts a plan that asks for something else in place");
+    propose_ = addChangeCommand(app_, "propose", "replaces the plan by one with other requirements");
     addRequirementOptions();
     addPolicyOptions();
-    bind_ = addChangeCommand(app_, "bind", "asks for the same, and is strict");
-    halt_ = addChangeCommand(app_, "halt", "the needs of the plan before; this one went wrong");
-    addChangeCommand(app_, "revert", "the needs of the plan before");
+    bind_ = addChangeCommand(app_, "bind", "keeps the requirements and makes the plan strict");
+    halt_ = addChangeCommand(app_, "halt",
+                             "restores the previous plan's requirements, and marks this plan as faulty");
+    addChangeCommand(app_, "revert", "restores the previous plan's requirements");
     app_.require_subcommand(1);
   }
 
@@ -38,24 +39,25 @@
 
  private:
   void addRequirementOptions() {
-    propose_->add_option("--like", change_.like, "asks for the settings and daemon file of this sender");
+    propose_->add_option("--like", change_.like, "requires the settings and daemon file of this sender");
     propose_->add_option("--settings", change_.settings, "a digest; '' for any");
     propose_->add_option("--daemon-file", change_.daemon, "a digest; '' for any");
-    propose_->add_option("--program", change_.program, "the least version; '' for any");
-    propose_->add_option("--list", change_.list_version, "the least version of the list of endpoints");
+    propose_->add_option("--program", change_.program, "the lowest version; '' for any");
+    propose_->add_option("--list", change_.list_version, "the lowest version of the endpoint list");
   }
 
   void addPolicyOptions() {
     propose_->add_option("--mode", mode_, "strict: a sender whose lease has ended stops")
         ->check(CLI::IsMember({"strict", "lenient"}));
-    propose_->add_option("--lease", lease_seconds_, "seconds that a sender acts on one read")
+    propose_
+        ->add_option("--lease", lease_seconds_, "seconds that a sender may act by a plan after reading it")
         ->check(CLI::Range(1.0, 3600.0));
-    binds_after_ =
-        propose_->add_option("--binds-after", binds_after_seconds_, "seconds; no less than the lease before");
+    binds_after_ = propose_->add_option("--binds-after", binds_after_seconds_,
+                                        "seconds; at least the lease of the previous plan");
     binds_after_->check(CLI::Range(0.0, 86400.0));
     propose_
         ->add_option("--most-shut-out", change_.most_shut_out,
-                     "share of the senders; past it the plan is halted")
+                     "fraction of senders that may be fenced; beyond it the plan is halted")
         ->check(CLI::Range(0.0, 1.0));
   }
 
--- a/src/daemon/commands/fleet_status_command.cpp
+++ b/src/daemon/commands/fleet_status_command.cpp
@@ -8,7 +8,7 @@
 class FleetStatusCommand : public FleetCommand {
  public:
   explicit FleetStatusCommand(CLI::App& fleet_app)
-      : app_(*addStoreCommand(fleet_app, "status", "the plan and how each sender stands to it")) {
+      : app_(*addStoreCommand(fleet_app, "status", "the plan, and each sender's compliance with it")) {
     app_.add_flag("--json", as_json_, "as one JSON object");
   }
 
--- a/src/daemon/commands/fleet_zone_command.cpp
+++ b/src/daemon/commands/fleet_zone_command.cpp
@@ -11,15 +11,17 @@
 class FleetZoneCommand : public FleetCommand {
  public:
   explicit FleetZoneCommand(CLI::App& fleet_app)
-      : show_(*addStoreCommand(fleet_app, "zones",
-                               "how the fleet stands to its zones, and who sees what there")),
-        change_app_(*fleet_app.add_subcommand("zone", "leaves a zone as one fleet, and comes back")) {
+      : show_(*addStoreCommand(fleet_app, "zones", "the states of the zones, and the senders' votes")),
+        change_app_(
+            *fleet_app.add_subcommand("zone", "evacuates a zone for the whole fleet, or lets it recover")) {
     show_.add_flag("--json", as_json_, "as one JSON object");
-    addAction("leave", "no call goes in until it is told to return", fleet::ZoneWord::leave);
-    addAction("return", "a few try it, then it gets more stage by stage", fleet::ZoneWord::come_back)
-        .add_flag("--at-once", at_once_, "the module alone decides from now on");
-    addAction("hold", "it stays as it is, whatever the senders see", fleet::ZoneWord::hold);
-    addAction("release", "what the senders see decides again", fleet::ZoneWord::release);
+    addAction("leave", "evacuates the zone until `return`", fleet::ZoneWord::leave);
+    addAction("return", "starts the recovery: a few senders probe the zone, then traffic grows by stages",
+              fleet::ZoneWord::come_back)
+        .add_flag("--at-once", at_once_,
+                  "makes the zone active without stages: the decision module alone limits traffic");
+    addAction("hold", "keeps the zone's state, whatever the senders' votes are", fleet::ZoneWord::hold);
+    addAction("release", "lets the senders' votes decide again", fleet::ZoneWord::release);
     change_app_.require_subcommand(1);
   }
 
--- a/src/daemon/commands/init_command.cpp
+++ b/src/daemon/commands/init_command.cpp
@@ -1,4 +1,4 @@
-// `grademux_sender init`: writes a daemon file to start with.
+// `grademux_sender init`: writes a first daemon file.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -23,8 +23,8 @@
 class InitCommand : public Command {
  public:
   explicit InitCommand(CLI::App& app)
-      : app_(*app.add_subcommand("init", "writes a daemon file to begin with, FOLDER/grademux.toml")) {
-    app_.add_option("FOLDER", folder_, "made if it isn't there (.)");
+      : app_(*app.add_subcommand("init", "writes a first daemon file, FOLDER/grademux.toml")) {
+    app_.add_option("FOLDER", folder_, "created if missing (default: .)");
   }
 
   bool isSelected() const override { return app_.parsed(); }
@@ -34,11 +34,11 @@
     std::error_code error;
     std::filesystem::create_directories(folder_, error);
     if (std::filesystem::exists(path, error)) {
-      std::cerr << "grademux: " << path.string() << " is there already and is left as it is\n";
+      std::cerr << "grademux: " << path.string() << " exists already and is left unchanged\n";
       return kExitUnusable;
     }
     std::ofstream out(path);
-    if (!(out << starter_file) || !out.flush()) {
+    if (!(out << kStarterFile) || !out.flush()) {
       std::cerr << "grademux: " << path.string() << " can't be written\n";
       return kExitUnusable;
     }
--- a/src/daemon/commands/knowledge_command.cpp
+++ b/src/daemon/commands/knowledge_command.cpp
@@ -25,13 +25,14 @@
 class KnowledgeCommand : public Command {
  public:
   explicit KnowledgeCommand(CLI::App& app)
-      : app_(*app.add_subcommand("knowledge", "what a sender has learned of its destinations")) {
-    show_ = app_.add_subcommand("show", "prints it, and how far it is still trusted");
+      : app_(*app.add_subcommand("knowledge", "what a sender has learned about its destinations")) {
+    show_ = app_.add_subcommand("show", "prints the learned state, and how far it is still trusted");
     show_->add_option("FOLDER", folder_, "the folder of the journal")->required();
     show_->add_flag("--json", as_json_, "as one JSON object");
-    forget_ = app_.add_subcommand("forget", "removes it; a sender that runs writes it again");
+    forget_ = app_.add_subcommand("forget", "removes the learned state; a running sender writes it again");
     forget_->add_option("FOLDER", folder_, "the folder of the journal")->required();
-    forget_->add_option("--destination", destination_, "a partner's name, or a number; without it all");
+    forget_->add_option("--destination", destination_,
+                        "a partner's name or a destination's number (default: all)");
     app_.require_subcommand(1);
   }
 
--- a/src/daemon/commands/run_command.cpp
+++ b/src/daemon/commands/run_command.cpp
@@ -23,27 +23,28 @@
 // Either the platform's configuration or the tables of the daemon file give classes, partners and limits.
 Config loadConfig(const DaemonFile& daemon_file, const std::string& path) {
   const bool on_platform = isPlatformConfigured();
-  if (on_platform && daemon_file.site)
-    throw std::runtime_error(path +
-                             ": GW_CONFIG is set and gives classes, partners, limits and journal: take these "
-                             "tables out, or unset GW_CONFIG to stand alone");
+  if (on_platform && daemon_file.standalone)
+    throw std::runtime_error(
+        path +
+        ": GW_CONFIG is set and gives classes, partners, limits and journal: remove these "
+        "tables, or unset GW_CONFIG to run a standalone sender");
   if (on_platform)
     return readConfig();
-  if (daemon_file.site)
-    return configOf(*daemon_file.site, path);
+  if (daemon_file.standalone)
+    return makeConfig(*daemon_file.standalone, path);
   if (path.empty())
     throw std::runtime_error(
-        "GW_CONFIG is not set; to stand alone a daemon file is needed: `grademux_sender init` writes one");
+        "GW_CONFIG is not set; a standalone sender needs a daemon file: `grademux_sender init` writes one");
   throw std::runtime_error("GW_CONFIG is not set, and " + path + " has no [[class]] and [[partner]]");
 }
 
 void applyAdminAddress(const DaemonFile& daemon_file, const std::string& path, Config& config) {
-  if (!daemon_file.operators)
+  if (!daemon_file.admin_address)
     return;
-  if (!config.mgmt.empty())
+  if (!config.admin_address.empty())
     throw std::runtime_error(path +
-                             ": the operators' address is given by `mgmt` or GW_MGMT: take [operators] out");
-  config.mgmt = addressText(*daemon_file.operators);
+                             ": `mgmt` or GW_MGMT gives the admin server's address: remove [operators]");
+  config.admin_address = addressText(*daemon_file.admin_address);
 }
 
 class RunCommand : public Command {
@@ -51,8 +52,7 @@
   explicit RunCommand(CLI::App& app) : main_app_(app) {
     app.add_option("--daemon", daemon_path_, "the daemon file (TOML) with the product's own features")
         ->type_name("FILE");
-    app.add_option("--record", recording_.path,
-                   "adds what the decision module hears and answers to this file")
+    app.add_option("--record", recording_.path, "appends the decision module's input and output to this file")
         ->type_name("FILE");
     app.add_option("--record-mb", recording_mib_, "recording ends when the file has this size (1024)")
         ->check(CLI::Range(1, 1 << 20));
@@ -92,7 +92,7 @@
     std::vector<Mistake> mistakes;
     file = readDaemonFile(daemon_path_, mistakes);
     for (const Mistake& mistake : mistakes)
-      std::cerr << mistake.in(daemon_path_) << '\n';
+      std::cerr << mistake.format(daemon_path_) << '\n';
     if (!mistakes.empty())
       return false;
     log::configure(file.log);
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -1,4 +1,4 @@
-// grademux: the configuration; see config.h.
+// Configuration of a sender on a platform; see config.h.
 #include "config.h"
 
 #include <cstdlib>
@@ -12,40 +12,41 @@
 namespace grademux {
 namespace {
 
-constexpr const char* kAtStart[] = {"name", "listen", "mgmt", "limits"};
+// Parts of the file that take effect only at the next start.
+constexpr const char* kRestartKeys[] = {"name", "listen", "mgmt", "limits"};
 
-std::string variable(const char* name, const std::string& otherwise) {
-  const char* v = std::getenv(name);
-  return v && *v ? v : otherwise;
+std::string environmentVariable(const char* name, const std::string& default_value) {
+  const char* value = std::getenv(name);
+  return value && *value ? value : default_value;
 }
 
-std::uint64_t seedOf(const json& o) {
-  if (absent(o, "seed"))
+std::uint64_t readSeed(const json& document) {
+  if (absent(document, "seed"))
     return 0;
-  const json& s = field(o, "seed");
-  if (s.is_number_unsigned())
-    return s.get<std::uint64_t>();
-  const std::string hex = text(o, "seed");
+  const json& seed = field(document, "seed");
+  if (seed.is_number_unsigned())
+    return seed.get<std::uint64_t>();
+  const std::string hex = text(document, "seed");
   if (hex.empty() || hex.size() > 16 || hex.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
     bad("not a hexadecimal number: seed");
   return std::stoull(hex, nullptr, 16);
 }
 
-json readFile(const std::string& path) {
+json readJsonFile(const std::string& path) {
   std::ifstream file(path);
   if (!file)
     bad("can't be read: " + path);
-  std::stringstream all;
-  all << file.rdbuf();
-  json o = json::parse(all.str(), nullptr, false);
-  if (!o.is_object())
+  std::stringstream content;
+  content << file.rdbuf();
+  json document = json::parse(content.str(), nullptr, false);
+  if (!document.is_object())
     bad("not a JSON object: " + path);
-  return o;
+  return document;
 }
 
-// The platform holds the listening socket over processes that replace one another.
-int passedSocket() {
-  const std::string number = variable("GW_PASSED_SOCKET", "");
+// The platform keeps the listening socket open while one process replaces another, and passes the socket on.
+int inheritedSocket() {
+  const std::string number = environmentVariable("GW_PASSED_SOCKET", "");
   if (number.empty())
     return -1;
   if (number.size() > 6 || number.find_first_not_of("0123456789") != std::string::npos)
@@ -55,76 +56,79 @@
 
 }  // namespace
 
-std::int64_t spareSockets(const Config& c) {
-  return kSpareSockets + (c.mgmt.empty() ? 0 : static_cast<std::int64_t>(operate::kMaxAdminConnections) + 2);
+std::int64_t reservedDescriptors(const Config& config) {
+  return kReservedDescriptors +
+         (config.admin_address.empty() ? 0 : static_cast<std::int64_t>(operate::kMaxAdminConnections) + 2);
 }
 
-Settings readSettingsOf(const std::string& path) {
-  Settings s = readSettings(object(readFile(path), "settings"));
-  validate(s);
-  return s;
+Settings readSettingsFile(const std::string& path) {
+  Settings settings = readSettings(object(readJsonFile(path), "settings"));
+  validate(settings);
+  return settings;
 }
 
 Config readConfig() {
-  const std::string path = variable("GW_CONFIG", "");
+  const std::string path = environmentVariable("GW_CONFIG", "");
   if (path.empty())
     bad("GW_CONFIG is not set");
-  const json o = readFile(path);
-  Config c;
-  c.path = path;
-  c.name = variable("GW_NAME", text(o, "name", ""));
-  c.listen = variable("GW_LISTEN", text(o, "listen", ""));
-  // The file is replaced while the program runs, the environment can't be: it holds at the next start, too.
-  c.discovery = text(o, "discovery", "");
-  if (c.discovery.empty())
-    c.discovery = variable("GW_DISCOVERY", "");
-  c.mgmt = variable("GW_MGMT", text(o, "mgmt", ""));
-  parseAddress(c.listen);
-  parseAddress(c.discovery);
-  if (!c.mgmt.empty())
-    parseAddress(c.mgmt);
-  c.passed = passedSocket();
-  c.state = variable("GW_STATE", "");
-  if (c.state.empty())
+  const json document = readJsonFile(path);
+  Config config;
+  config.path = path;
+  config.name = environmentVariable("GW_NAME", text(document, "name", ""));
+  config.listen = environmentVariable("GW_LISTEN", text(document, "listen", ""));
+  // The file takes precedence: a reload can read a new address from the file alone, and the next start must
+  // use that address, too.
+  config.discovery = text(document, "discovery", "");
+  if (config.discovery.empty())
+    config.discovery = environmentVariable("GW_DISCOVERY", "");
+  config.admin_address = environmentVariable("GW_MGMT", text(document, "mgmt", ""));
+  parseAddress(config.listen);
+  parseAddress(config.discovery);
+  if (!config.admin_address.empty())
+    parseAddress(config.admin_address);
+  config.inherited_socket = inheritedSocket();
+  config.state_folder = environmentVariable("GW_STATE", "");
+  if (config.state_folder.empty())
     bad("GW_STATE is not set");
-  c.seed = seedOf(o);
-  const json& limits = optionalObject(o, "limits");
-  c.disk_bytes = static_cast<std::uint64_t>(std::max(0.0, number(limits, "disk_mb", 3)) * 1e6);
-  c.sockets = static_cast<std::int64_t>(number(limits, "sockets", 1024));
-  if (!absent(o, "known"))
-    c.known = object(o, "known");
-  c.settings = readSettings(object(o, "settings"));
-  validate(c.settings);
-  if (c.sockets - spareSockets(c) - c.settings.max_in_flight < 8)
+  config.seed = readSeed(document);
+  const json& limits = optionalObject(document, "limits");
+  config.disk_bytes = static_cast<std::uint64_t>(std::max(0.0, number(limits, "disk_mb", 3)) * 1e6);
+  config.max_descriptors = static_cast<std::int64_t>(number(limits, "sockets", 1024));
+  if (!absent(document, "known"))
+    config.configured_list = object(document, "known");
+  config.settings = readSettings(object(document, "settings"));
+  validate(config.settings);
+  if (config.max_descriptors - reservedDescriptors(config) - config.settings.max_in_flight < 8)
     bad("limits.sockets is too small");
-  c.file = o;
-  return c;
+  config.document = document;
+  return config;
 }
 
 namespace {
 
-// Optional by the platform's page: a class may have them or not.
-bool mayLack(const std::string& key) {
+// The platform's specification makes these keys of a class optional.
+bool isOptional(const std::string& key) {
   return key == "AimStretch" || key == "KeepOrder";
 }
 
-std::string missing(const json& old, const json& fresh, const std::string& path) {
+// The path of a key of `old` that `fresh` lacks, below `path`; empty if there is none.
+std::string findMissing(const json& old, const json& fresh, const std::string& path) {
   for (const auto& [key, value] : old.items()) {
-    std::string named = path;
+    std::string key_path = path;
     if (!path.empty())
-      named += '.';
-    named += key;
-    const auto there = fresh.find(key);
-    if (there == fresh.end() && !mayLack(key))
-      return named;
-    if (there == fresh.end() || key == "Categories")
+      key_path += '.';
+    key_path += key;
+    const auto found = fresh.find(key);
+    if (found == fresh.end() && !isOptional(key))
+      return key_path;
+    if (found == fresh.end() || key == "Categories")
       continue;
     if (value.is_object()) {
-      if (!there->is_object())
-        return named;
-      std::string deeper = missing(value, *there, named);
-      if (!deeper.empty())
-        return deeper;
+      if (!found->is_object())
+        return key_path;
+      std::string nested = findMissing(value, *found, key_path);
+      if (!nested.empty())
+        return nested;
     }
   }
   return "";
@@ -133,49 +137,50 @@
 }  // namespace
 
 std::string missingSetting(const Config& old, const Config& fresh) {
-  const json& had = object(old.file, "settings");
-  const json& has = object(fresh.file, "settings");
-  std::string other = missing(had, has, "");
-  if (!other.empty())
-    return other;
-  // Of a class is expected what every class has that is in force.
-  const json& classes = array(had, "Categories");
-  json common = classes.at(0);
-  for (const json& c : classes)
-    for (auto it = common.begin(); it != common.end();)
-      it = c.contains(it.key()) ? std::next(it) : common.erase(it);
-  const json& now = array(has, "Categories");
-  for (std::size_t i = 0; i < now.size(); ++i) {
-    std::string lacks = missing(common, now[i], "Categories[" + std::to_string(i) + "]");
-    if (!lacks.empty())
-      return lacks;
+  const json& old_settings = object(old.document, "settings");
+  const json& fresh_settings = object(fresh.document, "settings");
+  std::string missing_key = findMissing(old_settings, fresh_settings, "");
+  if (!missing_key.empty())
+    return missing_key;
+  // Each new class must have the keys that all classes in force have.
+  const json& classes = array(old_settings, "Categories");
+  json common_keys = classes.at(0);
+  for (const json& message_class : classes)
+    for (auto it = common_keys.begin(); it != common_keys.end();)
+      it = message_class.contains(it.key()) ? std::next(it) : common_keys.erase(it);
+  const json& fresh_classes = array(fresh_settings, "Categories");
+  for (std::size_t i = 0; i < fresh_classes.size(); ++i) {
+    std::string missing_class_key =
+        findMissing(common_keys, fresh_classes[i], "Categories[" + std::to_string(i) + "]");
+    if (!missing_class_key.empty())
+      return missing_class_key;
   }
   return "";
 }
 
-std::string needsRestart(const Config& old, const Config& fresh) {
+std::string partsNeedingRestart(const Config& old, const Config& fresh) {
   std::string names;
-  for (const char* name : kAtStart)
-    if (old.file.value(name, json()) != fresh.file.value(name, json()))
+  for (const char* name : kRestartKeys)
+    if (old.document.value(name, json()) != fresh.document.value(name, json()))
       names += (names.empty() ? "" : ", ") + std::string(name);
   return names;
 }
 
-void keepUntilRestart(const Config& old, Config& fresh) {
-  for (const char* name : kAtStart) {
-    if (old.file.contains(name))
-      fresh.file[name] = old.file[name];
+void retainPartsNeedingRestart(const Config& old, Config& fresh) {
+  for (const char* name : kRestartKeys) {
+    if (old.document.contains(name))
+      fresh.document[name] = old.document[name];
     else
-      fresh.file.erase(name);
+      fresh.document.erase(name);
   }
   fresh.name = old.name;
   fresh.listen = old.listen;
-  fresh.mgmt = old.mgmt;
-  fresh.passed = old.passed;
-  fresh.state = old.state;
+  fresh.admin_address = old.admin_address;
+  fresh.inherited_socket = old.inherited_socket;
+  fresh.state_folder = old.state_folder;
   fresh.seed = old.seed;
   fresh.disk_bytes = old.disk_bytes;
-  fresh.sockets = old.sockets;
+  fresh.max_descriptors = old.max_descriptors;
 }
 
 }  // namespace grademux
--- a/src/daemon/config_reloader.cpp
+++ b/src/daemon/config_reloader.cpp
@@ -49,7 +49,7 @@
   try {
     std::string needs_restart;
     Config fresh = loadPlatformConfig(needs_restart);
-    const bool settings_changed = fresh.file.at("settings") != components_.config.file.at("settings");
+    const bool settings_changed = fresh.document.at("settings") != components_.config.document.at("settings");
     log::write(log::Event::daemon_reloaded, {{"discovery", fresh.discovery},
                                              {"settings", settings_changed ? "new" : "same"},
                                              {"needs_restart", needs_restart}});
@@ -68,8 +68,8 @@
   const std::string missing = missingSetting(components_.config, fresh);
   if (!missing.empty())
     throw std::runtime_error("settings: missing: " + missing);
-  needs_restart = needsRestart(components_.config, fresh);
-  keepUntilRestart(components_.config, fresh);
+  needs_restart = partsNeedingRestart(components_.config, fresh);
+  retainPartsNeedingRestart(components_.config, fresh);
   clientLimits(fresh, components_.daemon_file);
   return fresh;
 }
@@ -100,7 +100,7 @@
   DaemonFile fresh = readDaemonFile(path, mistakes);
   try {
     if (!mistakes.empty())
-      throw std::runtime_error(mistakes[0].in(path));
+      throw std::runtime_error(mistakes[0].format(path));
     applyDaemonFile(std::move(fresh));
   } catch (const std::exception& error) {
     log::write(log::Event::daemon_file_rejected, {{"cause", error.what()}, {"mistakes", mistakes.size()}});
@@ -115,7 +115,7 @@
   Config config = components_.config;
   RespListener::Limits limits;
   if (standalone) {
-    config.settings = fresh.site->settings;
+    config.settings = fresh.standalone->settings;
     checkListenerBudget(config, fresh);
   } else {
     limits = clientLimits(config, fresh);
@@ -125,11 +125,11 @@
     components_.platform_listener->setLimits(limits);
   const std::string needs_restart = retainUntilRestart(fresh);
   if (standalone)
-    applyStandaloneConfig(*fresh.site, std::move(config));
+    applyStandaloneConfig(*fresh.standalone, std::move(config));
   components_.daemon_file = std::move(fresh);
   components_.learned_state->applyConfig(components_.daemon_file.knowledge);
   if (components_.partner_sources)
-    components_.partner_sources->change(components_.daemon_file.site->sources);
+    components_.partner_sources->change(components_.daemon_file.standalone->sources);
   log::write(log::Event::daemon_file_reloaded, {{"doors", components_.listeners.count()},
                                                 {"partners", components_.partnerCount()},
                                                 {"needs_restart", needs_restart}});
@@ -137,10 +137,10 @@
 
 void ConfigReloader::checkMode(const DaemonFile& fresh) const {
   const bool standalone = components_.isStandalone();
-  if (fresh.site.has_value() == standalone)
+  if (fresh.standalone.has_value() == standalone)
     return;
   if (standalone)
-    throw std::runtime_error("it has no [[class]] and [[partner]] any more");
+    throw std::runtime_error("the daemon file has no [[class]] and [[partner]]");
   throw std::runtime_error(
       "[[class]], [[partner]], [[source]], [dns], [limits] and [journal] are given by GW_CONFIG");
 }
@@ -149,7 +149,7 @@
   log::configure(fresh.log);
   try {
     if (components_.isStandalone())
-      DnsClient(components_.io, fresh.site->sources.dns);  // throws when its servers can't be used
+      DnsClient(components_.io, fresh.standalone->sources.dns);  // throws when its servers can't be used
     components_.listeners.applyConfig(fresh.listeners);
   } catch (...) {
     log::configure(components_.daemon_file.log);
@@ -163,10 +163,10 @@
   const DaemonFile& current = components_.daemon_file;
   std::string names;
   if (components_.isStandalone())
-    names = needsRestart(*current.site, *fresh.site);
-  if (fresh.operators != current.operators)
+    names = partsNeedingRestart(*current.standalone, *fresh.standalone);
+  if (fresh.admin_address != current.admin_address)
     appendName(names, "operators");
-  fresh.operators = current.operators;
+  fresh.admin_address = current.admin_address;
   if (FleetMembership::differs(fresh.fleet, current.fleet))
     appendName(names, "fleet");
   fresh.fleet = current.fleet;
@@ -174,13 +174,13 @@
 }
 
 // `config` has the settings of `fresh`. The parts of `fresh` that need a restart become those in force.
-void ConfigReloader::applyStandaloneConfig(Site& fresh, Config config) {
-  const Site& current = *components_.daemon_file.site;
-  if (!sameSettings(current, fresh)) {
+void ConfigReloader::applyStandaloneConfig(StandaloneConfig& fresh, Config config) {
+  const StandaloneConfig& current = *components_.daemon_file.standalone;
+  if (!haveSameSettings(current, fresh)) {
     applySettings(config);
     components_.config = std::move(config);
   }
-  Site applied = current;
+  StandaloneConfig applied = current;
   applied.sources = std::move(fresh.sources);
   applied.settings = std::move(fresh.settings);
   fresh = std::move(applied);
--- a/src/daemon/config_reloader.h
+++ b/src/daemon/config_reloader.h
@@ -30,12 +30,12 @@
   void checkMode(const DaemonFile& fresh) const;
   void applyLogAndListeners(const DaemonFile& fresh);
   std::string retainUntilRestart(DaemonFile& fresh) const;
-  void applyStandaloneConfig(Site& fresh, Config config);
+  void applyStandaloneConfig(StandaloneConfig& fresh, Config config);
   void applySettings(const Config& fresh);
 
   SenderComponents& components_;
   bool reload_pending_ = false;
-  std::string rejection_;  // why a file could not be used at the last reload; empty: both could
+  std::string rejection_;  // why a file could not be used at the last reload; empty: both files could
 };
 
 }  // namespace grademux
--- a/src/daemon/daemon_file.h
+++ b/src/daemon/daemon_file.h
@@ -1,5 +1,5 @@
-// grademux: the daemon file (TOML): the product's own features, beside what GW_CONFIG tells. Reading it
-// reports every mistake, each with its place and what was expected.
+// The daemon file (TOML): listeners, log, learned state, admin server and fleet, which the platform's
+// configuration doesn't cover; and, for a standalone program, everything that GW_CONFIG gives on a platform.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,33 +16,40 @@
 
 namespace grademux {
 
+/// The protocol of a listener.
 enum class ListenerKind { resp, http };
 
+/// A [[door]] of the daemon file.
 struct ListenerConfig {
   ListenerKind kind = ListenerKind::http;
   boost::asio::ip::tcp::endpoint listen;
-  HttpListener::Limits limits;  // resp: `connections` alone
+  HttpListener::Limits limits;  // ListenerKind::resp uses `connections` alone
 };
 
+/// The content of a daemon file.
 struct DaemonFile {
-  std::string path;
+  std::string path;  // empty: the program runs without a daemon file
   std::vector<ListenerConfig> listeners;
   log::Spec log;
   knowledge::LearnedStateConfig knowledge;
-  std::optional<boost::asio::ip::tcp::endpoint> operators;  // where operators call
-  std::optional<fleet::FleetConfig> fleet;                  // the fleet that this sender is in
+  std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // of the admin server: [operators]
+  std::optional<fleet::FleetConfig> fleet;                      // the fleet that this sender belongs to
   zones::Regions regions;
-  std::optional<Site> site;          // there if the program can stand alone by this file
-  std::vector<Effective> effective;  // every value, in the order of reading
-  // What is the same in the files of all senders of a fleet, as it is in force: all but names and places.
-  std::string shared() const;
-  // Connections of all doors together.
-  std::int64_t connections() const;
+  std::optional<StandaloneConfig> standalone;  // empty: the file configures no standalone program
+  std::vector<EffectiveValue> effective;       // each value in force, in the order of reading
+
+  /// The values in force that all senders of a fleet have in common, as lines "KEY = VALUE": all but the
+  /// sender's own name, listening addresses, paths and store addresses. The digest of the daemon file is
+  /// taken of this text.
+  std::string sharedText() const;
+  /// The sum of the listeners' connection limits.
+  std::int64_t maxConnections() const;
 };
 
-// Reads and checks. What it gives is to be used only if `mistakes` stays empty, which it does not if the file
-// can't be read.
+/// Reads and checks a daemon file. Adds each mistake to `mistakes`, ordered by position; a file that can't be
+/// read is a mistake as well. The result may be used only if there is none.
 DaemonFile readDaemonFile(const std::string& path, std::vector<Mistake>& mistakes);
+/// As readDaemonFile() for a text that is already in memory. `path`: for messages and relative paths.
 DaemonFile readDaemonText(const std::string& text, const std::string& path, std::vector<Mistake>& mistakes);
 
 }  // namespace grademux
--- a/src/daemon/fleet_membership.h
+++ b/src/daemon/fleet_membership.h
@@ -1,4 +1,5 @@
-// grademux: what the fleet adds to one sending process: its part, with the version that this process acts by.
+// The membership of this process in its fleet: creates the fleet member, and keeps it informed of the
+// versions and the zone policy that the configuration gives. Used on the loop thread alone.
 #pragma once
 
 #include <functional>
@@ -11,38 +12,48 @@
 
 namespace grademux {
 
+/// Connects the fleet member to the configuration of this process.
 class FleetMembership {
  public:
-  using ListVersion = std::function<std::int64_t()>;  // the version of the list
-  // Reads files again, and the list if it is behind; brought() tells what came of it.
-  using CatchUp = std::function<void(bool list)>;
-  using SetAllowed = std::function<void(bool may, const std::string& why)>;
+  /// Returns the version of the endpoint list.
+  using ListVersion = std::function<std::int64_t()>;
+  /// Reads the files again and, with `endpoint_list`, the endpoint list; then onConfigApplied() is called.
+  using CatchUp = std::function<void(bool endpoint_list)>;
+  /// The plan allows this process to accept and send messages, or forbids it.
+  using SetAllowed = std::function<void(bool allowed, const std::string& reason)>;
+  /// The zone state of these endpoints has changed.
   using RefreshEndpoints = std::function<void(const std::vector<std::string>& endpoints)>;
-  FleetMembership(boost::asio::io_context& io, Worker& worker, const fleet::FleetConfig& spec,
-                  const Config& config, const DaemonFile& daemon, std::int64_t epoch, ListVersion list,
-                  CatchUp catch_up, SetAllowed act, RefreshEndpoints reshow);
+  /// `epoch`: of this process's journal. `io` and `worker` outlive this object.
+  FleetMembership(boost::asio::io_context& io, Worker& worker, const fleet::FleetConfig& fleet_config,
+                  const Config& config, const DaemonFile& daemon, std::int64_t epoch,
+                  ListVersion list_version, CatchUp catch_up, SetAllowed set_allowed,
+                  RefreshEndpoints refresh_endpoints);
 
   ActionGuard& actionGuard() { return *member_; }
+  /// `cause` and `versions`: see fleet::FleetMember::start().
   void start(const std::string& cause, const std::map<std::uint32_t, std::string>& versions) {
     member_->start(running_versions_, cause, versions);
   }
-  // What is in force after files were read again.
-  void onConfigApplied(const Config& config, const DaemonFile& daemon, const std::string& refused);
+  /// The configuration in force after files were read again. `error`: why a file could not be used; empty if
+  /// all could.
+  void onConfigApplied(const Config& config, const DaemonFile& daemon, const std::string& error);
   void announceShutdown() { member_->announceShutdown(); }
-  // Another process goes on, or none.
+  /// Ends the membership, since another process of this sender continues or this process ends.
   void release(const std::string& cause) { member_->release(cause); }
-  void resume();  // it did not come to that
+  /// Becomes a member again after a handover that was cancelled.
+  void resume();
 
-  static bool differs(const std::optional<fleet::FleetConfig>& a, const std::optional<fleet::FleetConfig>& b);
+  static bool differs(const std::optional<fleet::FleetConfig>& first,
+                      const std::optional<fleet::FleetConfig>& second);
 
  private:
-  std::unique_ptr<fleet::FleetMember> make();
-  void readConfig(const Config& config, const DaemonFile& daemon);
+  std::unique_ptr<fleet::FleetMember> createMember();
+  void updateZonePolicy(const Config& config, const DaemonFile& daemon);
 
   boost::asio::io_context& io_;
   Worker& worker_;
-  fleet::FleetConfig spec_;
-  std::string folder_;
+  fleet::FleetConfig fleet_config_;
+  std::string state_folder_;
   std::uint64_t seed_;
   std::int64_t epoch_;
   ListVersion list_version_;
@@ -55,7 +66,7 @@
   std::unique_ptr<fleet::FleetMember> member_;
 };
 
-// The digests of what is in force.
+/// The program version and the digests of the configuration in force.
 fleet::RunningVersions runningVersions(const Config& config, const DaemonFile& daemon);
 
 }  // namespace grademux
--- a/src/daemon/graceful_shutdown.cpp
+++ b/src/daemon/graceful_shutdown.cpp
@@ -1,4 +1,4 @@
-// The end of the process; see graceful_shutdown.h.
+// Graceful shutdown of the process; see graceful_shutdown.h.
 #include "graceful_shutdown.h"
 
 #include "../core/clock.h"
@@ -9,12 +9,12 @@
 
 namespace {
 
-// No attempt is started that would last longer than this after SIGTERM. The process may be killed after 3.7
-// s.
+// No attempt is started that would last longer than this after SIGTERM: the process may be killed 3.7 s after
+// SIGTERM.
 constexpr Micros kShutdownTimeout = 3'400'000;
-// Clients that have not noticed the shutdown may still connect for so long.
+// Clients that have not noticed the shutdown may still connect for this long.
 constexpr Micros kLateClientsGrace = 600'000;
-// Clients have so long to close their side of the last connections.
+// Clients have this long to close their side of the last connections.
 constexpr Micros kCloseTimeout = 200'000;
 constexpr Micros kPollInterval = 20'000;
 
@@ -28,7 +28,7 @@
     return;
   started_at_ = monotonicNow();
   log::write(log::Event::daemon_stopping);
-  notifyManager("STOPPING=1");
+  notifyServiceManager("STOPPING=1");
   components_.state.stop("SIGTERM");
   if (!components_.engine)
     return components_.io.stop();  // no message was accepted yet
--- a/src/daemon/graceful_shutdown.h
+++ b/src/daemon/graceful_shutdown.h
@@ -1,5 +1,6 @@
 // Ends the process without losing a message: clients are sent away, attempts in flight finish or are left to
-// the journal, and the loop stops once nothing waits or the time is over. Used on the loop thread alone.
+// the journal, and the loop stops once the process is quiescent or the time limit is reached. Used on the
+// loop thread alone.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -14,7 +15,7 @@
   /// Both outlive this object. `signals` is cancelled when the loop stops.
   GracefulShutdown(SenderComponents& components, boost::asio::signal_set& signals);
 
-  /// Begins to shut down, as SIGTERM asks for; does nothing when called again.
+  /// Begins to shut down after SIGTERM. Later calls do nothing.
   void begin();
   /// Begins to shut down after another process has acquired the folder: only what that process can't finish
   /// by itself is waited for.
--- a/src/daemon/listener_set.cpp
+++ b/src/daemon/listener_set.cpp
@@ -1,4 +1,4 @@
-// grademux: the doors of a process; see doors.h.
+// The listeners that the daemon file configures; see listener_set.h.
 #include "listener_set.h"
 
 #include <algorithm>
@@ -10,125 +10,128 @@
 
 namespace {
 
-constexpr Micros kLeave = 5'000'000;  // a door that was removed is waited for so long
-constexpr Micros kLook = 100'000;
+// Clients of a removed listener have this long to finish their requests.
+constexpr Micros kDrainTimeout = 5'000'000;
+constexpr Micros kReapInterval = 100'000;
 
-bool same(const HttpListener::Limits& a, const HttpListener::Limits& b) {
-  return a.connections == b.connections && a.pipeline == b.pipeline && a.batch_window == b.batch_window &&
-         a.request_bytes == b.request_bytes && a.max_wait == b.max_wait && a.idle_timeout == b.idle_timeout;
+bool areEqual(const HttpListener::Limits& first, const HttpListener::Limits& second) {
+  return first.connections == second.connections && first.pipeline == second.pipeline &&
+         first.batch_window == second.batch_window && first.request_bytes == second.request_bytes &&
+         first.max_wait == second.max_wait && first.idle_timeout == second.idle_timeout;
 }
 
-RespListener::Limits respLimits(const ListenerConfig& s) {
-  return {s.limits.connections, s.limits.connections};
+RespListener::Limits respLimits(const ListenerConfig& config) {
+  return {config.limits.connections, config.limits.connections};
 }
 
 }  // namespace
 
-std::unique_ptr<Listener> ListenerSet::make(const ListenerConfig& s) {
-  if (s.kind == ListenerKind::resp)
-    return std::make_unique<RespListener>(io_, s.listen, respLimits(s));
-  return std::make_unique<HttpListener>(io_, s.listen, s.limits);
+std::unique_ptr<Listener> ListenerSet::createListener(const ListenerConfig& config) {
+  if (config.kind == ListenerKind::resp)
+    return std::make_unique<RespListener>(io_, config.listen, respLimits(config));
+  return std::make_unique<HttpListener>(io_, config.listen, config.limits);
 }
 
-void ListenerSet::bind(const std::vector<ListenerConfig>& specs) {
-  for (const ListenerConfig& s : specs)
-    listeners_.push_back({s, make(s)});
+void ListenerSet::bind(const std::vector<ListenerConfig>& configs) {
+  for (const ListenerConfig& config : configs)
+    listeners_.push_back({config, createListener(config)});
 }
 
-void ListenerSet::start(SubmissionHandler& core, const operate::ServiceState& state) {
-  core_ = &core;
+void ListenerSet::start(SubmissionHandler& handler, const operate::ServiceState& state) {
+  handler_ = &handler;
   state_ = &state;
-  for (const Entry& d : listeners_)
-    d.door->start(core, state);
+  for (const Entry& entry : listeners_)
+    entry.listener->start(handler, state);
 }
 
-void ListenerSet::applyConfig(const std::vector<ListenerConfig>& specs) {
+void ListenerSet::applyConfig(const std::vector<ListenerConfig>& configs) {
   if (state_->isStopping())
     return;
-  auto at = [](const std::vector<Entry>& all, const ListenerConfig& s) {
-    return std::find_if(all.begin(), all.end(), [&](const Entry& e) {
-      return e.door && e.spec.kind == s.kind && e.spec.listen == s.listen;
+  auto find = [](const std::vector<Entry>& entries, const ListenerConfig& config) {
+    return std::find_if(entries.begin(), entries.end(), [&](const Entry& entry) {
+      return entry.listener && entry.config.kind == config.kind && entry.config.listen == config.listen;
     });
   };
   std::vector<Entry> next;
-  for (const ListenerConfig& s : specs) {  // what is new; a failure leaves all as it was
-    Entry e{s, nullptr};
-    if (at(listeners_, s) == listeners_.end()) {
-      e.door = make(s);
-      e.door->start(*core_, *state_);
+  for (const ListenerConfig& config : configs) {  // starts new listeners; on failure nothing has changed
+    Entry entry{config, nullptr};
+    if (find(listeners_, config) == listeners_.end()) {
+      entry.listener = createListener(config);
+      entry.listener->start(*handler_, *state_);
     }
-    next.push_back(std::move(e));
+    next.push_back(std::move(entry));
   }
-  for (Entry& e : next) {
-    if (e.door)
+  for (Entry& entry : next) {
+    if (entry.listener)
       continue;
-    const auto old = at(listeners_, e.spec);
-    e.door = std::move(listeners_[static_cast<std::size_t>(old - listeners_.begin())].door);
-    if (same(old->spec.limits, e.spec.limits))
+    const auto current = find(listeners_, entry.config);
+    entry.listener = std::move(listeners_[static_cast<std::size_t>(current - listeners_.begin())].listener);
+    if (areEqual(current->config.limits, entry.config.limits))
       continue;
-    if (auto* http = dynamic_cast<HttpListener*>(e.door.get()))
-      http->setLimits(e.spec.limits);
-    if (auto* resp = dynamic_cast<RespListener*>(e.door.get()))
-      resp->setLimits(respLimits(e.spec));
+    if (auto* http = dynamic_cast<HttpListener*>(entry.listener.get()))
+      http->setLimits(entry.config.limits);
+    if (auto* resp = dynamic_cast<RespListener*>(entry.listener.get()))
+      resp->setLimits(respLimits(entry.config));
   }
-  for (Entry& e : listeners_) {
-    if (!e.door)
+  for (Entry& entry : listeners_) {
+    if (!entry.listener)
       continue;
-    e.door->drain(DrainReason::removed);
-    draining_.emplace_back(monotonicNow() + kLeave, std::move(e.door));
+    entry.listener->drain(DrainReason::removed);
+    draining_.emplace_back(monotonicNow() + kDrainTimeout, std::move(entry.listener));
   }
   listeners_ = std::move(next);
-  reap();
+  scheduleReap();
 }
 
-void ListenerSet::reap() {
-  if (reaping_ || draining_.empty())
+void ListenerSet::scheduleReap() {
+  if (reap_scheduled_ || draining_.empty())
     return;
-  reaping_ = true;
-  timer_.expires_after(std::chrono::microseconds(kLook));
-  timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e)
+  reap_scheduled_ = true;
+  reap_timer_.expires_after(std::chrono::microseconds(kReapInterval));
+  reap_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (error)
       return;
-    reaping_ = false;
+    reap_scheduled_ = false;
     const Micros now = monotonicNow();
-    draining_.erase(
-        std::remove_if(draining_.begin(), draining_.end(),
-                       [&](const auto& l) { return l.second->connectionCount() == 0 || now >= l.first; }),
-        draining_.end());
-    reap();
+    draining_.erase(std::remove_if(draining_.begin(), draining_.end(),
+                                   [&](const auto& draining) {
+                                     return draining.second->connectionCount() == 0 || now >= draining.first;
+                                   }),
+                    draining_.end());
+    scheduleReap();
   });
 }
 
-void ListenerSet::drain(DrainReason how) {
-  for (const Entry& d : listeners_)
-    if (d.door)
-      d.door->drain(how);
+void ListenerSet::drain(DrainReason reason) {
+  for (const Entry& entry : listeners_)
+    if (entry.listener)
+      entry.listener->drain(reason);
 }
 
 void ListenerSet::releaseAddresses() {
-  for (Entry& e : listeners_) {
-    e.door->drain(DrainReason::removed);
-    draining_.emplace_back(monotonicNow() + kLeave, std::move(e.door));
+  for (Entry& entry : listeners_) {
+    entry.listener->drain(DrainReason::removed);
+    draining_.emplace_back(monotonicNow() + kDrainTimeout, std::move(entry.listener));
   }
-  reap();
+  scheduleReap();
 }
 
 void ListenerSet::reacquireAddresses() {
-  for (Entry& e : listeners_) {
-    if (e.door)
+  for (Entry& entry : listeners_) {
+    if (entry.listener)
       continue;
-    e.door = make(e.spec);
-    e.door->start(*core_, *state_);
+    entry.listener = createListener(entry.config);
+    entry.listener->start(*handler_, *state_);
   }
 }
 
 std::size_t ListenerSet::openRequests() const {
   std::size_t sum = 0;
-  for (const Entry& d : listeners_)
-    if (d.door)
-      sum += d.door->openRequests();
-  for (const auto& [until, door] : draining_)
-    sum += door->openRequests();
+  for (const Entry& entry : listeners_)
+    if (entry.listener)
+      sum += entry.listener->openRequests();
+  for (const auto& [deadline, listener] : draining_)
+    sum += listener->openRequests();
   return sum;
 }
 
--- a/src/daemon/listener_set.h
+++ b/src/daemon/listener_set.h
@@ -1,5 +1,5 @@
-// grademux: the doors of one process: those that the daemon file names, made, moved and removed as it
-// changes, beside the platform's own.
+// The listeners that the daemon file configures, all but the platform's own. They are added, moved and
+// removed when the file changes. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,40 +11,48 @@
 
 namespace grademux {
 
+/// Owns the listeners of the daemon file.
 class ListenerSet {
  public:
-  explicit ListenerSet(boost::asio::io_context& io) : io_(io), timer_(io) {}
-
-  // Binds all of them, or throws std::runtime_error that names the door's address. Nothing is accepted yet.
-  void bind(const std::vector<ListenerConfig>& specs);
-  void start(SubmissionHandler& core, const operate::ServiceState& state);
-  // ListenerSet that are new or have moved are bound and opened first, then those that are gone are drained.
-  // Throws std::runtime_error when one can't be opened; then all is as before.
-  void applyConfig(const std::vector<ListenerConfig>& specs);
-  void drain(DrainReason how);  // how they stand to the state that start() was given
-  // Another process takes the addresses over: they are given up here, without a word to those who wait.
+  explicit ListenerSet(boost::asio::io_context& io) : io_(io), reap_timer_(io) {}
+
+  /// Binds all listeners; none accepts connections yet. Throws std::runtime_error with the address when one
+  /// can't be bound.
+  void bind(const std::vector<ListenerConfig>& configs);
+  /// Starts accepting. Both outlive this object.
+  void start(SubmissionHandler& handler, const operate::ServiceState& state);
+  /// Binds and starts listeners that are new or have another address, then drains those that the
+  /// configuration no longer has. Throws std::runtime_error when a listener can't be started; nothing has
+  /// changed then. Does nothing while the process stops.
+  void applyConfig(const std::vector<ListenerConfig>& configs);
+  /// Tells all listeners to send their clients away, after the state given to start() has changed.
+  void drain(DrainReason reason);
+  /// Closes the listening sockets for a process that takes over the addresses, and drains the listeners.
+  /// Clients that are not accepted yet get no answer.
   void releaseAddresses();
-  void
-  reacquireAddresses();  // it did not come to that; throws std::runtime_error when an address can't be had
-  // Requests without an answer, at doors that are leaving too.
+  /// Binds the released addresses again when no process has taken them over. Throws std::runtime_error when
+  /// an address can't be bound.
+  void reacquireAddresses();
+  /// Requests without an answer, including those of listeners that are being drained.
   std::size_t openRequests() const;
   std::size_t count() const { return listeners_.size(); }
 
  private:
   struct Entry {
-    ListenerConfig spec;
-    std::unique_ptr<Listener> door;
+    ListenerConfig config;
+    std::unique_ptr<Listener> listener;  // null: released
   };
-  std::unique_ptr<Listener> make(const ListenerConfig& spec);
-  void reap();
+  std::unique_ptr<Listener> createListener(const ListenerConfig& config);
+  void scheduleReap();
 
   boost::asio::io_context& io_;
-  boost::asio::steady_timer timer_;
+  boost::asio::steady_timer reap_timer_;
   std::vector<Entry> listeners_;
-  std::vector<std::pair<Micros, std::unique_ptr<Listener>>> draining_;  // until when it is waited for
-  SubmissionHandler* core_ = nullptr;
+  // With the monotonic time at which each is closed at the latest.
+  std::vector<std::pair<Micros, std::unique_ptr<Listener>>> draining_;
+  SubmissionHandler* handler_ = nullptr;
   const operate::ServiceState* state_ = nullptr;
-  bool reaping_ = false;
+  bool reap_scheduled_ = false;
 };
 
 }  // namespace grademux
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -8,7 +8,7 @@
 using namespace grademux;
 
 int main(int argc, char** argv) {
-  CLI::App app{"grademux: a sender of outbound messages. GW_CONFIG and GW_STATE tell it of its platform."};
+  CLI::App app{"grademux: a sender of outbound messages. On a platform GW_CONFIG and GW_STATE configure it."};
   app.set_version_flag("--version", programVersion());
   std::vector<std::unique_ptr<Command>> commands;
   commands.push_back(makeCheckCommand(app));
--- a/src/daemon/outgoing_handover.cpp
+++ b/src/daemon/outgoing_handover.cpp
@@ -1,4 +1,4 @@
-// The process that is replaced; see outgoing_handover.h.
+// Source side of a handover; see outgoing_handover.h.
 #include "outgoing_handover.h"
 
 #include <utility>
@@ -41,7 +41,8 @@
 std::string OutgoingHandover::rejectionReason() const {
   if (shutdown_.hasBegun())
     return "stopping";
-  return components_.attempts->inherited().empty() ? "" : "calls of an earlier process are out still";
+  return components_.attempts->inherited().empty() ? ""
+                                                   : "attempts of an earlier process are still in flight";
 }
 
 void OutgoingHandover::stopAccepting() {
--- a/src/daemon/outgoing_handover.h
+++ b/src/daemon/outgoing_handover.h
@@ -1,6 +1,6 @@
-// The process's part in being replaced: it stops accepting, releases the state folder to the process that
-// asks for it, and reports the attempts that were in flight. If that process dies before it owns the folder,
-// this one goes on. The protocol is in src/handover. Used on the loop thread alone.
+// The source side of a handover: this process stops accepting, releases the state folder to the process that
+// requests the folder, and reports the attempts that were in flight. If that process dies before it owns the
+// folder, this process continues. The protocol is in src/handover. Used on the loop thread alone.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
   /// Both outlive this object.
   OutgoingHandover(SenderComponents& components, GracefulShutdown& shutdown);
 
-  /// Waits for a process that asks for the state folder, which this process owns. Throws std::exception when
+  /// Waits for a process that requests the state folder, which this process owns. Throws std::exception when
   /// the folder's socket can't be bound.
   void listen();
   /// Records the outcome of an attempt, or reports it to the process that owns the folder by now.
@@ -35,7 +35,7 @@
 
   SenderComponents& components_;
   GracefulShutdown& shutdown_;
-  // Outcomes since the folder was released, which this process records if it goes on.
+  // Outcomes since the folder was released, which this process records if it continues.
   std::vector<AttemptOutcome> unrecorded_;
 };
 
--- a/src/daemon/readiness.cpp
+++ b/src/daemon/readiness.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 void announceReady(const SenderComponents& components) {
-  notifyManager("READY=1");
+  notifyServiceManager("READY=1");
   log::write(log::Event::daemon_ready, {{"version", programVersion()},
                                         {"listen", listenAddresses(components)},
                                         {"partners", components.partnerCount()}});
--- a/src/daemon/sender_components.cpp
+++ b/src/daemon/sender_components.cpp
@@ -14,7 +14,7 @@
 
 // Retry-After for clients while a partner's name has no address.
 constexpr Micros kUnresolvedRetryAfter = 1'000'000;
-// Of one step of the admission chain: a client waits 400 ms for its answer.
+// Limit for one admission step: a client waits 400 ms for its answer.
 constexpr Micros kAdmissionStepTimeout = 300'000;
 
 Agent platformAgent(SenderComponents& components) {
@@ -68,7 +68,7 @@
   };
   if (components.isStandalone()) {
     auto sources = std::make_unique<PartnerSources>(components.io, components.worker,
-                                                    components.daemon_file.site->sources,
+                                                    components.daemon_file.standalone->sources,
                                                     components.journal->recovered().endpoint_list, on_answer);
     components.partner_sources = sources.get();
     components.membership = std::move(sources);
@@ -85,7 +85,7 @@
 void createLearnedState(SenderComponents& components) {
   using knowledge::LearnedStateStore;
   components.learned_state = std::make_unique<LearnedStateStore>(
-      components.io, components.worker, components.daemon_file.knowledge, components.config.state,
+      components.io, components.worker, components.daemon_file.knowledge, components.config.state_folder,
       components.config.name,
       [&components](std::int64_t after, int max_count, LearnedStateStore::Learned then) {
         components.engine->exportLearned(after, max_count, std::move(then));
@@ -119,7 +119,7 @@
       config(std::move(initial_config)),
       daemon_file(std::move(initial_daemon_file)),
       worker(io_context),
-      folder_lock(config.state),
+      folder_lock(config.state_folder),
       listeners(io_context) {}
 
 std::size_t SenderComponents::partnerCount() const {
@@ -140,7 +140,7 @@
   const Config& config = components.config;
   components.listeners.bind(components.daemon_file.listeners);
   // The journal is opened once every address is bound: a process that can't start leaves it unchanged.
-  components.journal = std::make_unique<Journal>(config.state, config.disk_bytes);
+  components.journal = std::make_unique<Journal>(config.state_folder, config.disk_bytes);
   createNotifier(components);
   createTransport(components, callbacks);
   createEngine(components);
--- a/src/daemon/sender_components.h
+++ b/src/daemon/sender_components.h
@@ -25,8 +25,8 @@
 namespace grademux {
 
 /// Owns the parts of the process. The order of the members is the order of their construction; each may refer
-/// to those above it, and listeners come last since they hold answers that the parts above still have to
-/// give.
+/// to those above it, and listeners come last since they hold requests that the parts above still have to
+/// answer.
 struct SenderComponents {
   /// Opens the state folder, without locking it. Throws std::exception when the folder can't be opened.
   SenderComponents(boost::asio::io_context& io_context, Config initial_config,
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-// A process that was killed may keep its folder locked for so long.
+// A process that was killed may keep its state folder locked for this long.
 constexpr Micros kFolderLockTimeout = 2'000'000;
 constexpr std::chrono::milliseconds kFolderLockRetryInterval{20};
 constexpr Micros kHandoverTimeout = 12'000'000;
@@ -80,14 +80,14 @@
     return checkListenerBudget(config, components_.daemon_file);
   components_.platform_listener =
       std::make_unique<RespListener>(components_.io, parseAddress(config.listen),
-                                     clientLimits(config, components_.daemon_file), config.passed);
+                                     clientLimits(config, components_.daemon_file), config.inherited_socket);
 }
 
 void Service::bindAdminServer() {
-  if (components_.config.mgmt.empty())
+  if (components_.config.admin_address.empty())
     return;
   admin_server_ = std::make_unique<operate::AdminServer>(
-      components_.io, parseAddress(components_.config.mgmt),
+      components_.io, parseAddress(components_.config.admin_address),
       [this](operate::AdminCommand command) { return onAdminCommand(command); });
 }
 
@@ -103,12 +103,13 @@
 // to end.
 bool Service::lockFolder() {
   handover::FolderLock& lock = components_.folder_lock;
-  const bool replaces_process = components_.config.passed >= 0;
+  const bool replaces_process = components_.config.inherited_socket >= 0;
   if (lock.tryLock() || replaces_process)
     return lock.isLocked();
   for (const Micros deadline = monotonicNow() + kFolderLockTimeout; !lock.tryLock();) {
     if (monotonicNow() >= deadline)
-      throw std::runtime_error(components_.config.state + ": another process of a sender has this folder");
+      throw std::runtime_error(components_.config.state_folder +
+                               ": another process of a sender has this folder");
     std::this_thread::sleep_for(kFolderLockRetryInterval);
   }
   return true;
@@ -122,7 +123,7 @@
   };
   callbacks.on_peer_gone = [this] { components_.attempts->onPeerGone(); };
   callbacks.on_failed = [this](const std::string& reason) {
-    throw std::runtime_error(components_.config.state +
+    throw std::runtime_error(components_.config.state_folder +
                              ": another process has this folder and does not hand it over: " + reason);
   };
   components_.handover_target = std::make_unique<handover::HandoverTarget>(
@@ -142,7 +143,7 @@
 void Service::recover(const handover::OwnershipReleased* released) {
   if (released)
     components_.attempts->inherit(released->in_flight);
-  components_.engine->recover(components_.config.known, knowledge::TrustDecayPolicy(),
+  components_.engine->recover(components_.config.configured_list, knowledge::TrustDecayPolicy(),
                               components_.learned_state->load(), components_.attempts->inherited());
   if (released && released->standby)
     components_.state.inheritStandby();
@@ -164,7 +165,7 @@
   if (components_.fleet)
     components_.fleet->start(components_.handover_target ? "handover" : "start",
                              components_.journal->versions());
-  if (components_.config.passed >= 0)
+  if (components_.config.inherited_socket >= 0)
     outgoing_handover_.listen();
 }
 
@@ -224,7 +225,7 @@
     return shutdown_.begin();
   notifyReloading();
   reloader_.requestReload();
-  notifyManager("READY=1");
+  notifyServiceManager("READY=1");
 }
 
 }  // namespace
--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -1,4 +1,4 @@
-// grademux: a program that stands alone; see site.h.
+// Configuration of a standalone program; see site.h.
 #include "site.h"
 
 #include <algorithm>
@@ -12,11 +12,11 @@
 
 namespace grademux {
 
-std::string placed(const std::string& path, const std::string& daemon_file) {
-  const std::filesystem::path p(path);
-  if (path.empty() || p.is_absolute())
+std::string resolvePath(const std::string& path, const std::string& daemon_file) {
+  const std::filesystem::path given_path(path);
+  if (path.empty() || given_path.is_absolute())
     return path;
-  return (std::filesystem::path(daemon_file).parent_path() / p).lexically_normal().string();
+  return (std::filesystem::path(daemon_file).parent_path() / given_path).lexically_normal().string();
 }
 
 namespace {
@@ -24,90 +24,92 @@
 constexpr Micros kMs = 1000, kSecond = 1'000'000, kDay = 24LL * 3600 * kSecond;
 constexpr std::int64_t kMiB = 1 << 20;
 
-MessageClass readClass(Table& t) {
-  MessageClass c;
-  c.name = t.text("name", "");
-  const std::string effect = t.word("effect", {"safe", "keyed", "unsafe"});
-  c.idempotency = effect == "safe"    ? Idempotency::idempotent
-                  : effect == "keyed" ? Idempotency::idempotency_key
-                                      : Idempotency::non_idempotent;
-  c.latency_objective = t.span("aim", 5 * kSecond, kMs, kDay);
-  c.deadline = t.span("deadline", 60 * kSecond, kMs, kDay);
-  if (c.deadline < c.latency_objective)
-    t.expected("deadline", "no less than aim is expected");
-  c.priority_weight = t.real("worth", 1, 0, 1e9);
-  c.late_weight_fraction = t.real("late_worth", 0.3, 0, 1);
-  c.idempotency_window = t.span("memory", 0, 0, 30 * kDay);
-  if (c.idempotency == Idempotency::idempotency_key && c.idempotency_window == 0)
-    t.expected("memory",
-               "how long partners drop repeats of a key is expected in a class of effect \"keyed\"");
-  c.ordered = t.truth("ordered", false);
-  t.unknown(" in a class");
-  return c;
+MessageClass readClass(TomlTable& table) {
+  MessageClass message_class;
+  message_class.name = table.string("name", "");
+  const std::string effect = table.oneOf("effect", {"safe", "keyed", "unsafe"});
+  message_class.idempotency = effect == "safe"    ? Idempotency::idempotent
+                              : effect == "keyed" ? Idempotency::idempotency_key
+                                                  : Idempotency::non_idempotent;
+  message_class.latency_objective = table.duration("aim", 5 * kSecond, kMs, kDay);
+  message_class.deadline = table.duration("deadline", 60 * kSecond, kMs, kDay);
+  if (message_class.deadline < message_class.latency_objective)
+    table.reportExpected("deadline", "no less than aim is expected");
+  message_class.priority_weight = table.number("worth", 1, 0, 1e9);
+  message_class.late_weight_fraction = table.number("late_worth", 0.3, 0, 1);
+  message_class.idempotency_window = table.duration("memory", 0, 0, 30 * kDay);
+  if (message_class.idempotency == Idempotency::idempotency_key && message_class.idempotency_window == 0)
+    table.reportExpected(
+        "memory", "how long partners drop repeats of a key is expected in a class of effect \"keyed\"");
+  message_class.ordered = table.boolean("ordered", false);
+  table.reportUnknownKeys(" in a class");
+  return message_class;
 }
 
-void readDns(Table& t, SourcesSpec& sources) {
-  DnsServers& d = sources.dns;
-  d.servers = t.texts("servers");
-  for (const std::string& a : d.servers)
-    if (!isEndpointAddress(a))
-      t.expected("servers", "an address and a port are expected, not \"" + a + "\"");
-  d.timeout = t.span("timeout", d.timeout, 10 * kMs, 60 * kSecond);
-  d.tries = static_cast<int>(t.whole("tries", d.tries, 1, 10));
-  DnsLimits& l = sources.dns_limits;
-  l.least_ttl = t.span("least_ttl", l.least_ttl, 100 * kMs, kDay);
-  l.most_ttl = t.span("most_ttl", l.most_ttl, 100 * kMs, kDay);
-  if (l.most_ttl < l.least_ttl)
-    t.expected("most_ttl", "no less than least_ttl is expected");
-  l.least_retry = t.span("least_retry", l.least_retry, 100 * kMs, kDay);
-  l.most_retry = t.span("most_retry", std::max(l.most_retry, l.least_retry), 100 * kMs, kDay);
-  if (l.most_retry < l.least_retry)
-    t.expected("most_retry", "no less than least_retry is expected");
-  sources.defaults.allow = t.texts("allow");
-  checkNetworks(t, "allow", sources.defaults.allow);
-  t.unknown(" in dns");
+void readDns(TomlTable& table, SourcesSpec& sources) {
+  DnsServers& dns = sources.dns;
+  dns.servers = table.strings("servers");
+  for (const std::string& address : dns.servers)
+    if (!isEndpointAddress(address))
+      table.reportExpected("servers", "an address and a port are expected, not \"" + address + "\"");
+  dns.timeout = table.duration("timeout", dns.timeout, 10 * kMs, 60 * kSecond);
+  dns.tries = static_cast<int>(table.integer("tries", dns.tries, 1, 10));
+  DnsLimits& limits = sources.dns_limits;
+  limits.least_ttl = table.duration("least_ttl", limits.least_ttl, 100 * kMs, kDay);
+  limits.most_ttl = table.duration("most_ttl", limits.most_ttl, 100 * kMs, kDay);
+  if (limits.most_ttl < limits.least_ttl)
+    table.reportExpected("most_ttl", "no less than least_ttl is expected");
+  limits.least_retry = table.duration("least_retry", limits.least_retry, 100 * kMs, kDay);
+  limits.most_retry =
+      table.duration("most_retry", std::max(limits.most_retry, limits.least_retry), 100 * kMs, kDay);
+  if (limits.most_retry < limits.least_retry)
+    table.reportExpected("most_retry", "no less than least_retry is expected");
+  sources.defaults.allow = table.strings("allow");
+  checkNetworks(table, "allow", sources.defaults.allow);
+  table.reportUnknownKeys(" in dns");
 }
 
-FolderSpec readSource(Table& t, const std::string& daemon_file) {
-  FolderSpec f;
-  f.folder = t.word("kind", {"folder", "file"}) != "file";
-  f.path = placed(t.text("path", ""), daemon_file);
-  while (f.path.size() > 1 && f.path.back() == '/')
-    f.path.pop_back();
-  f.rescan = t.span("rescan", f.rescan, 100 * kMs, kDay);
-  t.unknown(" in a source");
-  return f;
+FolderSpec readSource(TomlTable& table, const std::string& daemon_file) {
+  FolderSpec source;
+  source.folder = table.oneOf("kind", {"folder", "file"}) != "file";
+  source.path = resolvePath(table.string("path", ""), daemon_file);
+  while (source.path.size() > 1 && source.path.back() == '/')
+    source.path.pop_back();
+  source.rescan = table.duration("rescan", source.rescan, 100 * kMs, kDay);
+  table.reportUnknownKeys(" in a source");
+  return source;
 }
 
-void readLimits(Table& t, Site& site) {
-  Settings& s = site.settings;
-  s.max_open_messages = static_cast<int>(t.whole("max_open", 20'000, 1, 10'000'000));
-  s.max_in_flight = static_cast<int>(t.whole("calls", 64, 1, 10'000));
-  s.max_attempts = static_cast<int>(t.whole("max_attempts", 12, 1, 1000));
-  s.max_retry_after = t.span("longest_pause", 3 * kSecond, 0, kDay);
-  s.connect_timeout = t.span("connect", kSecond, kMs, kDay);
-  s.idle_connection_timeout = t.span("idle", 10 * kSecond, 0, kDay);
-  s.overload_collapse_time = t.span("fall", 2 * kSecond, kMs, kDay);
-  s.slow_start_time = t.span("ramp", 11 * kSecond, 0, kDay);
-  s.cold_capacity_fraction = t.real("cold_share", 0.3, 0.001, 1);
-  s.overload_factor = t.real("overload_factor", 1.5, 0.001, 1000);
-  site.sockets = t.whole("sockets", 1024, 64, 1'000'000);
-  if (site.sockets - kSpareSockets - s.max_in_flight < 8)
-    t.expected("sockets", "at least calls + " + std::to_string(kSpareSockets + 8) + " is expected");
-  t.unknown(" in limits");
+void readLimits(TomlTable& table, StandaloneConfig& standalone) {
+  Settings& settings = standalone.settings;
+  settings.max_open_messages = static_cast<int>(table.integer("max_open", 20'000, 1, 10'000'000));
+  settings.max_in_flight = static_cast<int>(table.integer("calls", 64, 1, 10'000));
+  settings.max_attempts = static_cast<int>(table.integer("max_attempts", 12, 1, 1000));
+  settings.max_retry_after = table.duration("longest_pause", 3 * kSecond, 0, kDay);
+  settings.connect_timeout = table.duration("connect", kSecond, kMs, kDay);
+  settings.idle_connection_timeout = table.duration("idle", 10 * kSecond, 0, kDay);
+  settings.overload_collapse_time = table.duration("fall", 2 * kSecond, kMs, kDay);
+  settings.slow_start_time = table.duration("ramp", 11 * kSecond, 0, kDay);
+  settings.cold_capacity_fraction = table.number("cold_share", 0.3, 0.001, 1);
+  settings.overload_factor = table.number("overload_factor", 1.5, 0.001, 1000);
+  standalone.max_descriptors = table.integer("sockets", 1024, 64, 1'000'000);
+  if (standalone.max_descriptors - kReservedDescriptors - settings.max_in_flight < 8)
+    table.reportExpected("sockets",
+                         "at least calls + " + std::to_string(kReservedDescriptors + 8) + " is expected");
+  table.reportUnknownKeys(" in limits");
 }
 
 }  // namespace
 
-bool readSite(Table& top, const std::string& path, Site& site, std::vector<Mistake>& mistakes,
-              std::vector<Effective>* effective) {
-  static const toml::table none;
+bool readStandaloneConfig(TomlTable& top, const std::string& path, StandaloneConfig& standalone,
+                          std::vector<Mistake>& mistakes, std::vector<EffectiveValue>* effective) {
+  static const toml::table empty_table;
   const auto section = [&](const char* key) -> const toml::table* {
-    const toml::node* n = top.node(key);
-    if (!n || n->is_table())
-      return n ? n->as_table() : &none;
-    top.expected(key, "a table is expected, begun by [" + std::string(key) + "]");
-    return &none;
+    const toml::node* node = top.node(key);
+    if (!node || node->is_table())
+      return node ? node->as_table() : &empty_table;
+    top.reportExpected(key, "a table is expected, begun by [" + std::string(key) + "]");
+    return &empty_table;
   };
   const toml::table *limits = section("limits"), *journal = section("journal"), *dns = section("dns");
   const auto classes = top.tables("class"), partners = top.tables("partner"), sources = top.tables("source");
@@ -115,89 +117,91 @@
       !top.node("partner") && !top.node("source"))
     return false;
 
-  Settings& s = site.settings;
-  s.kinds = {{"partner", false, 1}};
-  s.zones = {""};
-  s.min_decide_interval = kMs;
-  s.drain_grace = 250 * kMs;
-  s.ordering_backoff = 500 * kMs;
-  s.cancel_allowed = s.retry_after_supported = true;
-  s.weight_kind = WeightKind::nominal;  // a partner's rate; without one its weight tells nothing
-  Table l(*limits, "limits", mistakes, effective), j(*journal, "journal", mistakes, effective),
-      d(*dns, "dns", mistakes, effective);
-  readLimits(l, site);
-  readDns(d, site.sources);
-  site.folder = j.text("folder", "grademux-state");
-  site.disk_bytes = static_cast<std::uint64_t>(j.size("disk", 256 * kMiB, kMiB, 1024LL * 1024 * kMiB));
-  j.unknown(" in journal");
+  Settings& settings = standalone.settings;
+  settings.kinds = {{"partner", false, 1}};
+  settings.zones = {""};
+  settings.min_decide_interval = kMs;
+  settings.drain_grace = 250 * kMs;
+  settings.ordering_backoff = 500 * kMs;
+  settings.cancel_allowed = settings.retry_after_supported = true;
+  settings.weight_kind = WeightKind::nominal;  // a partner's rate; meaningless for a partner without a rate
+  TomlTable limits_table(*limits, "limits", mistakes, effective),
+      journal_table(*journal, "journal", mistakes, effective), dns_table(*dns, "dns", mistakes, effective);
+  readLimits(limits_table, standalone);
+  readDns(dns_table, standalone.sources);
+  standalone.journal_folder = journal_table.string("folder", "grademux-state");
+  standalone.disk_bytes =
+      static_cast<std::uint64_t>(journal_table.byteSize("disk", 256 * kMiB, kMiB, 1024LL * 1024 * kMiB));
+  journal_table.reportUnknownKeys(" in journal");
   std::set<std::string> names;
-  for (const toml::table* c : classes) {
-    Table t(*c, "class", mistakes, effective);
-    s.classes.push_back(readClass(t));
-    if (!names.insert(s.classes.back().name).second)
-      t.expected("name", "another class has this name");
+  for (const toml::table* section_table : classes) {
+    TomlTable class_table(*section_table, "class", mistakes, effective);
+    settings.classes.push_back(readClass(class_table));
+    if (!names.insert(settings.classes.back().name).second)
+      class_table.reportExpected("name", "another class has this name");
   }
-  site.sources.partners = readPartners(partners, site.sources.defaults, mistakes, effective);
-  for (const toml::table* f : sources) {
-    Table t(*f, "source", mistakes, effective);
-    FolderSpec spec = readSource(t, path);
-    for (const FolderSpec& other : site.sources.folders)
-      if (other.path == spec.path)
-        t.expected("path", "another source has this path");
-    site.sources.folders.push_back(std::move(spec));
+  standalone.sources.partners = readPartners(partners, standalone.sources.defaults, mistakes, effective);
+  for (const toml::table* section_table : sources) {
+    TomlTable source_table(*section_table, "source", mistakes, effective);
+    FolderSpec source = readSource(source_table, path);
+    for (const FolderSpec& other : standalone.sources.folders)
+      if (other.path == source.path)
+        source_table.reportExpected("path", "another source has this path");
+    standalone.sources.folders.push_back(std::move(source));
   }
   if (classes.empty())
-    top.mistake("a program that stands alone needs a [[class]]");
+    top.reportMistake("a standalone sender needs a [[class]]");
   if (partners.empty() && sources.empty())
-    top.mistake("a program that stands alone needs a [[partner]], or a [[source]] of them");
+    top.reportMistake("a standalone sender needs a [[partner]], or a [[source]] of partners");
   return true;
 }
 
-Config configOf(const Site& site, const std::string& path) {
-  Config c;
-  c.path = path;
-  c.name = "alone";
-  const std::filesystem::path folder = placed(site.folder, path);
-  std::error_code e;
-  std::filesystem::create_directories(folder, e);
-  if (e)
-    throw std::runtime_error("the journal's folder " + folder.string() + " can't be made: " + e.message());
-  c.state = folder.string();
-  c.seed = std::random_device()() | static_cast<std::uint64_t>(std::random_device()()) << 32;
-  c.disk_bytes = site.disk_bytes;
-  c.sockets = site.sockets;
-  c.settings = site.settings;
-  validate(c.settings);
-  return c;
+Config makeConfig(const StandaloneConfig& standalone, const std::string& path) {
+  Config config;
+  config.path = path;
+  config.name = "alone";
+  const std::filesystem::path folder = resolvePath(standalone.journal_folder, path);
+  std::error_code error;
+  std::filesystem::create_directories(folder, error);
+  if (error)
+    throw std::runtime_error("the journal's folder " + folder.string() +
+                             " can't be created: " + error.message());
+  config.state_folder = folder.string();
+  config.seed = std::random_device()() | static_cast<std::uint64_t>(std::random_device()()) << 32;
+  config.disk_bytes = standalone.disk_bytes;
+  config.max_descriptors = standalone.max_descriptors;
+  config.settings = standalone.settings;
+  validate(config.settings);
+  return config;
 }
 
-bool sameSettings(const Site& old, const Site& fresh) {
+bool haveSameSettings(const StandaloneConfig& old, const StandaloneConfig& fresh) {
   return replay::headLine(old.settings, 0) == replay::headLine(fresh.settings, 0);
 }
 
-std::string needsRestart(const Site& old, const Site& fresh) {
+std::string partsNeedingRestart(const StandaloneConfig& old, const StandaloneConfig& fresh) {
   std::string names;
   const auto add = [&](bool differs, const char* name) {
     if (differs)
       names += (names.empty() ? "" : ", ") + std::string(name);
   };
-  add(old.sockets != fresh.sockets, "limits.sockets");
-  add(old.folder != fresh.folder || old.disk_bytes != fresh.disk_bytes, "journal");
+  add(old.max_descriptors != fresh.max_descriptors, "limits.sockets");
+  add(old.journal_folder != fresh.journal_folder || old.disk_bytes != fresh.disk_bytes, "journal");
   return names;
 }
 
-const char* const starter_file =
-    R"(# A grademux sender that stands alone. Check it with `grademux_sender check FILE`, run it with
-# `grademux_sender run --daemon FILE`; SIGHUP rereads doors and partners.
+const char* const kStarterFile =
+    R"(# A standalone grademux sender. Check this file with `grademux_sender check FILE`, run the sender
+# with `grademux_sender run --daemon FILE`. SIGHUP reloads listeners, classes and partners.
 
-[journal]                      # what was taken on outlasts the process
-folder = "grademux-state"      # from this file's folder
-disk = "256 MiB"               # at most; new messages are refused when it is full
+[journal]                      # accepted messages survive a restart
+folder = "grademux-state"      # relative to this file's folder
+disk = "256 MiB"               # limit; new messages are rejected beyond it
 
 [limits]
-calls = 64                     # at once, to all partners
-max_open = 20000               # messages held, sent or not
-max_attempts = 12              # of one message
+calls = 64                     # attempts in flight, to all partners
+max_open = 20000               # messages without a final outcome
+max_attempts = 12              # for each message
 
 [[door]]
 kind = "http"                  # curl and any HTTP client: docs/operate/listeners.md
@@ -209,38 +213,38 @@
 
 [[class]]
 name = "notice"
-effect = "safe"                # may be sent again at will
-aim = "5 s"                    # worth all until then
-deadline = "5 min"             # given up after it
+effect = "safe"                # idempotent: may be sent more than once
+aim = "5 s"                    # latency objective: full priority weight until then
+deadline = "5 min"             # the message fails after that time
 
 [[class]]
 name = "order"
-effect = "keyed"               # may be sent again: the partner drops repeats of its key
-memory = "10 min"              # for so long
+effect = "keyed"               # may be sent again: the partner ignores a repeated idempotency key
+memory = "10 min"              # for this time
 aim = "5 s"
 deadline = "5 min"
 
 [[class]]
 name = "payment"
-effect = "unsafe"              # never sent again once it may have run
+effect = "unsafe"              # not idempotent: not sent again if it may have been executed
 aim = "10 s"
 deadline = "2 min"
-worth = 4                      # beside 1 of the others
+worth = 4                      # priority weight; the default is 1
 
 [[partner]]
-name = "print-shop"            # what messages name as their destination
-endpoints = ["127.0.0.1:9001"] # POST /hook goes there
-# rate = 50                    # calls a second that it takes
-# draining = []                # of the endpoints: nothing new goes there
-# dns = "shop.example:9001"    # instead of endpoints: what a name server says
-
-# [[source]]                   # more partners, in files that are watched: docs/operate/membership.md
-# kind = "folder"              # each *.toml in it
+name = "print-shop"            # the destination in messages
+endpoints = ["127.0.0.1:9001"] # messages are sent there as POST /hook
+# rate = 50                    # calls per second that the partner accepts
+# draining = []                # endpoints that get no new messages
+# dns = "shop.example:9001"    # instead of endpoints: a name that DNS resolves
+
+# [[source]]                   # more partners, in watched files: docs/operate/membership.md
+# kind = "folder"              # each *.toml in the folder
 # path = "partners"
 
 # [log]                        # docs/operate/log.md
 # form = "json"
-# file = "grademux.log"        # else standard error; opened anew on SIGHUP
+# file = "grademux.log"        # default: standard error; SIGHUP reopens the file
 )";
 
 }  // namespace grademux
--- a/src/daemon/site.h
+++ b/src/daemon/site.h
@@ -1,5 +1,5 @@
-// grademux: what a program that stands alone is told by its daemon file: classes of messages, partners,
-// limits, the journal's place. On a platform all of this comes from GW_CONFIG instead.
+// The part of the daemon file that configures a standalone program: message classes, partners and their
+// sources, limits and the journal. On a platform all of this comes from GW_CONFIG instead.
 #pragma once
 
 #include <string>
@@ -11,31 +11,36 @@
 
 namespace grademux {
 
-struct Site {
+/// The configuration of a standalone program.
+struct StandaloneConfig {
   Settings settings;
-  std::string folder;  // of the journal; a relative one is taken from the daemon file's folder
-  std::uint64_t disk_bytes = 0;
-  std::int64_t sockets = 0;
+  std::string journal_folder;        // as the file has it; a relative path begins at the daemon file's folder
+  std::uint64_t disk_bytes = 0;      // limit of the files in the journal's folder
+  std::int64_t max_descriptors = 0;  // limit of open file descriptors
   SourcesSpec sources;
 };
 
-// True if the file has any of these tables. What is wrong with them is among the mistakes.
-// `path`: of the daemon file; relative ones in it begin at its folder.
-bool readSite(Table& top, const std::string& path, Site& site, std::vector<Mistake>& mistakes,
-              std::vector<Effective>* effective = nullptr);
+/// Reads the tables that configure a standalone program, and adds what is wrong with them to `mistakes`.
+/// False if the file has none of these tables. `path`: of the daemon file, from whose folder relative paths
+/// begin.
+bool readStandaloneConfig(TomlTable& top, const std::string& path, StandaloneConfig& standalone,
+                          std::vector<Mistake>& mistakes, std::vector<EffectiveValue>* effective = nullptr);
 
-// A path of the daemon file; a relative one begins at the file's folder.
-std::string placed(const std::string& path, const std::string& daemon_file);
+/// Resolves a path in a daemon file: a relative path begins at the folder of the daemon file.
+std::string resolvePath(const std::string& path, const std::string& daemon_file);
 
-// The configuration of a program that stands alone. `path`: of the daemon file.
-Config configOf(const Site& site, const std::string& path);
+/// Makes the configuration of a standalone program, with a random seed, and creates the journal's folder.
+/// `path`: of the daemon file. Throws std::exception when the folder can't be created or settings are
+/// invalid.
+Config makeConfig(const StandaloneConfig& standalone, const std::string& path);
 
-bool sameSettings(const Site& old, const Site& fresh);
+/// True if the settings are equal; the journal, the descriptors and the sources are not compared.
+bool haveSameSettings(const StandaloneConfig& old, const StandaloneConfig& fresh);
 
-// Which parts differ that are heeded at the next start only, as a list of names.
-std::string needsRestart(const Site& old, const Site& fresh);
+/// The parts that differ and take effect only at the next start, as a list of names.
+std::string partsNeedingRestart(const StandaloneConfig& old, const StandaloneConfig& fresh);
 
-// The starter that `grademux_sender init` writes.
-extern const char* const starter_file;
+/// The daemon file that `grademux_sender init` writes.
+extern const char* const kStarterFile;
 
 }  // namespace grademux
--- a/src/daemon/version.cpp
+++ b/src/daemon/version.cpp
@@ -1,4 +1,4 @@
-// grademux: the version of the program that runs; see version.h.
+// The version of the running program; see version.h.
 #include "version.h"
 
 namespace grademux {
--- a/src/daemon/version.h
+++ b/src/daemon/version.h
@@ -1,4 +1,4 @@
-// grademux: the version of the program that runs. In a file of its own, so that a test can link another.
+// The version of the running program. In a source file of its own, so that a test can link another version.
 #pragma once
 
 namespace grademux {
--- a/src/membership/partner_file.cpp
+++ b/src/membership/partner_file.cpp
@@ -40,13 +40,13 @@
   return !number && isValidToken(s) && s.find_first_of("@,=") == std::string::npos;
 }
 
-void readDns(Table& t, Partner& p, const PartnerDefaults& defaults) {
+void readDns(TomlTable& t, Partner& p, const PartnerDefaults& defaults) {
   NameSpec dns;
   const bool host = t.node("dns") != nullptr;
   if (host && t.node("srv"))
-    t.expected("srv", "dns or srv is expected, not both");
+    t.reportExpected("srv", "dns or srv is expected, not both");
   if (host) {
-    const std::string at = t.text("dns", "");
+    const std::string at = t.string("dns", "");
     const std::size_t colon = at.rfind(':');
     dns.host = at.substr(0, colon);
     const std::string port = colon == std::string::npos ? "" : at.substr(colon + 1);
@@ -54,133 +54,133 @@
         !port.empty() && port.size() <= 5 && port.find_first_not_of("0123456789") == std::string::npos;
     dns.port = digits ? std::stoi(port) : 0;
     if (!isHostName(dns.host) || dns.port < 1 || dns.port > 65535)
-      t.expected("dns", "a name and a port are expected, as \"shop.example:9001\"");
+      t.reportExpected("dns", "a name and a port are expected, as \"shop.example:9001\"");
   } else {
-    dns.srv = t.text("srv", "");
+    dns.srv = t.string("srv", "");
     if (!isHostName(dns.srv))
-      t.expected("srv", "a name is expected, as \"_print._tcp.shop.example\"");
+      t.reportExpected("srv", "a name is expected, as \"_print._tcp.shop.example\"");
   }
-  const std::string family = t.word("family", {"any", "ipv4", "ipv6"}, "any");
+  const std::string family = t.oneOf("family", {"any", "ipv4", "ipv6"}, "any");
   dns.family = family == "ipv4"   ? NameSpec::Family::ipv4
                : family == "ipv6" ? NameSpec::Family::ipv6
                                   : NameSpec::Family::any;
-  dns.allow = t.node("allow") ? t.texts("allow") : defaults.allow;
+  dns.allow = t.node("allow") ? t.strings("allow") : defaults.allow;
   checkNetworks(t, "allow", dns.allow);
-  dns.keep = t.span("keep", 0, 0, 24 * kHour);
+  dns.keep = t.duration("keep", 0, 0, 24 * kHour);
   p.dns = std::move(dns);
 }
 
 // `zone`, of all endpoints, and `zones`, a table of the endpoints in each.
-void readZones(Table& t, Partner& p, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
-               std::vector<Effective>* effective) {
-  const auto known = [&](Table& in, const char* key, const std::string& zone) {
+void readZones(TomlTable& t, Partner& p, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
+               std::vector<EffectiveValue>* effective) {
+  const auto known = [&](TomlTable& in, const char* key, const std::string& zone) {
     if (zone.empty() || defaults.regions.empty() || defaults.regions.contains(zone))
       return;
     std::vector<std::string> names;
     for (const auto& [name, region] : defaults.regions.region_by_zone)
       names.push_back(name);
-    const std::string meant = nearest(zone, names);
-    in.expected(key, "a zone of a [[region]] is expected, not \"" + zone + "\"" +
-                         (meant.empty() ? "" : "; " + meant + "?"));
+    const std::string meant = nearestName(zone, names);
+    in.reportExpected(key, "a zone of a [[region]] is expected, not \"" + zone + "\"" +
+                               (meant.empty() ? "" : "; " + meant + "?"));
   };
   if (t.node("zone"))
-    p.zone = t.text("zone", "");
+    p.zone = t.string("zone", "");
   known(t, "zone", p.zone);
   const toml::node* n = t.node("zones");
   if (!n)
     return;
   if (!n->is_table())
-    return t.expected("zones", "a table is expected, as { a = [\"127.0.0.1:9001\"] }");
-  Table z(*n->as_table(), "partner.zones", mistakes, effective);
+    return t.reportExpected("zones", "a table is expected, as { a = [\"127.0.0.1:9001\"] }");
+  TomlTable z(*n->as_table(), "partner.zones", mistakes, effective);
   for (const auto& [key, list] : *n->as_table()) {
     const std::string zone(key.str());
     known(z, zone.c_str(), zone);
     for (const std::string& e : z.texts(zone.c_str())) {
       if (p.dns || std::find(p.endpoints.begin(), p.endpoints.end(), e) == p.endpoints.end())
-        z.expected(zone.c_str(), e + " is not one of the endpoints");
+        z.reportExpected(zone.c_str(), e + " is not one of the endpoints");
       else if (const auto other = p.zones.emplace(e, zone); !other.second && other.first->second != zone)
-        z.expected(zone.c_str(), e + " stands in " + other.first->second);
+        z.reportExpected(zone.c_str(), e + " stands in " + other.first->second);
     }
   }
 }
 
-Partner readPartner(Table& t, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
-                    std::vector<Effective>* effective) {
+Partner readPartner(TomlTable& t, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
+                    std::vector<EffectiveValue>* effective) {
   Partner p;
-  p.name = t.text("name", "");
+  p.name = t.string("name", "");
   constexpr const char* kNameExpected =
       "printable characters without space, @, comma and =, not digits alone, are expected";
   if (!p.name.empty() && !isName(p.name))
-    t.expected("name", kNameExpected);
+    t.reportExpected("name", kNameExpected);
   if (t.node("formerly")) {
-    p.formerly = t.text("formerly", "");
+    p.formerly = t.string("formerly", "");
     if (!p.formerly.empty() && !isName(p.formerly))
-      t.expected("formerly", kNameExpected);
+      t.reportExpected("formerly", kNameExpected);
     if (!p.name.empty() && p.formerly == p.name)
-      t.expected("formerly", "another name than now is expected");
+      t.reportExpected("formerly", "another name than now is expected");
   }
-  p.number = t.whole("number", numberOfName(p.base()), 0, 1LL << 53);
-  p.rate = t.real("rate", 0, 0, 1e7);
+  p.number = t.integer("number", numberOfName(p.base()), 0, 1LL << 53);
+  p.rate = t.number("rate", 0, 0, 1e7);
   if (t.node("dns") || t.node("srv")) {
     for (const char* key : {"endpoints", "draining"})
       if (t.node(key))
-        t.expected(key, "a partner has a list of endpoints or a name in DNS, not both");
+        t.reportExpected(key, "a partner has a list of endpoints or a name in DNS, not both");
     readDns(t, p, defaults);
   } else {
-    p.endpoints = t.texts("endpoints");
-    p.draining = t.texts("draining");
+    p.endpoints = t.strings("endpoints");
+    p.draining = t.strings("draining");
     if (p.endpoints.empty())
-      t.expected("endpoints",
-                 "one address and port at least is expected, as [\"127.0.0.1:9001\"], or dns, or srv");
+      t.reportExpected("endpoints",
+                       "one address and port at least is expected, as [\"127.0.0.1:9001\"], or dns, or srv");
     std::set<std::string> once;
     for (const std::string& e : p.endpoints) {
       if (!isEndpointAddress(e))
-        t.expected("endpoints", "an address and a port are expected, not \"" + e + "\"");
+        t.reportExpected("endpoints", "an address and a port are expected, not \"" + e + "\"");
       if (!once.insert(e).second)
-        t.expected("endpoints", e + " stands there twice");
+        t.reportExpected("endpoints", e + " stands there twice");
     }
     for (const std::string& e : p.draining)
       if (!once.count(e))
-        t.expected("draining", e + " is not one of the endpoints");
+        t.reportExpected("draining", e + " is not one of the endpoints");
     for (const char* key : {"family", "allow", "keep"})
       if (t.node(key))
-        t.expected(key, "this is for a partner with dns or srv");
+        t.reportExpected(key, "this is for a partner with dns or srv");
   }
   readZones(t, p, defaults, mistakes, effective);
-  t.unknown(" in a partner");
+  t.reportUnknownKeys(" in a partner");
   return p;
 }
 
 }  // namespace
 
-void checkNetworks(Table& t, const char* key, const std::vector<std::string>& networks) {
+void checkNetworks(TomlTable& t, const char* key, const std::vector<std::string>& networks) {
   for (const std::string& n : networks) {
     try {
       Networks({n});
     } catch (const std::invalid_argument&) {
-      t.expected(key, "networks are expected, as \"10.0.0.0/8\", not \"" + n + "\"");
+      t.reportExpected(key, "networks are expected, as \"10.0.0.0/8\", not \"" + n + "\"");
     }
   }
 }
 
 std::vector<Partner> readPartners(const std::vector<const toml::table*>& tables,
                                   const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
-                                  std::vector<Effective>* effective) {
+                                  std::vector<EffectiveValue>* effective) {
   std::vector<Partner> all;
   std::set<std::string> names;
   std::map<std::int64_t, std::string> numbers;
   std::map<std::string, std::string> addresses;
   for (const toml::table* p : tables) {
-    Table t(*p, "partner", mistakes, effective);
+    TomlTable t(*p, "partner", mistakes, effective);
     Partner x = readPartner(t, defaults, mistakes, effective);
     if (!names.insert(x.name).second)
-      t.expected("name", "another partner has this name");
+      t.reportExpected("name", "another partner has this name");
     else if (const auto other = numbers.emplace(x.number, x.name); !other.second)
-      t.expected("number", "a number of its own is expected, " + other.first->second + " has " +
-                               std::to_string(x.number));
+      t.reportExpected("number", "a number of its own is expected, " + other.first->second + " has " +
+                                     std::to_string(x.number));
     for (const std::string& e : x.endpoints)
       if (const auto other = addresses.emplace(e, x.name); !other.second && other.first->second != x.name)
-        t.expected("endpoints", e + " is an endpoint of " + other.first->second);
+        t.reportExpected("endpoints", e + " is an endpoint of " + other.first->second);
     all.push_back(std::move(x));
   }
   return all;
@@ -191,11 +191,11 @@
   std::vector<Partner> all;
   try {
     const toml::table root = toml::parse(text, path);
-    Table top(root, "", mistakes);
+    TomlTable top(root, "", mistakes);
     all = readPartners(top.tables("partner"), defaults, mistakes);
     if (all.empty() && mistakes.empty())
       mistakes.push_back({1, 1, "one [[partner]] at least is expected"});
-    top.unknown(" in a partners' file");
+    top.reportUnknownKeys(" in a partners' file");
   } catch (const toml::parse_error& e) {
     mistakes.push_back({e.source().begin.line, e.source().begin.column,
                         "TOML is expected: " + std::string(e.description())});
--- a/src/membership/partner_file.h
+++ b/src/membership/partner_file.h
@@ -20,13 +20,13 @@
 };
 std::vector<Partner> readPartners(const std::vector<const toml::table*>& tables,
                                   const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
-                                  std::vector<Effective>* effective = nullptr);
+                                  std::vector<EffectiveValue>* effective = nullptr);
 
 // A file that has nothing but partners, one at least: an empty one is half written.
 std::vector<Partner> readPartnerText(const std::string& text, const std::string& path,
                                      const PartnerDefaults& defaults, std::vector<Mistake>& mistakes);
 
 // "10.0.0.0/8" each; what is none is told at the key.
-void checkNetworks(Table& t, const char* key, const std::vector<std::string>& networks);
+void checkNetworks(TomlTable& t, const char* key, const std::vector<std::string>& networks);
 
 }  // namespace grademux
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -154,8 +154,9 @@
   bool changed = false;
   for (UnitChange& c : news.changes) {
     if (!c.mistakes.empty()) {
-      log::write(log::Event::membership_file_rejected,
-                 {{"source", c.unit}, {"cause", c.mistakes[0].in(c.unit)}, {"mistakes", c.mistakes.size()}});
+      log::write(
+          log::Event::membership_file_rejected,
+          {{"source", c.unit}, {"cause", c.mistakes[0].format(c.unit)}, {"mistakes", c.mistakes.size()}});
       if (!started_)
         adoptUnit(c.unit);
       continue;
--- a/src/operate/admin_server.cpp
+++ b/src/operate/admin_server.cpp
@@ -22,7 +22,7 @@
 constexpr Micros kReadTimeout = 5'000'000;
 // A younger connection is not closed to make room: its line may be on the way.
 constexpr Micros kMinConnectionAge = 50'000;
-// After the answer, for the client to close the connection.
+// The client has this long after the answer to close the connection.
 constexpr Micros kCloseTimeout = 500'000;
 constexpr Micros kTimeoutCheckInterval = 250'000;
 constexpr Micros kAcceptErrorPause = 20'000;
@@ -108,7 +108,7 @@
   tcp::socket socket_;
   std::array<char, kMaxLineBytes> chunk_{};
   std::string input_, output_;
-  Micros since_ = monotonicNow();  // when it was accepted or, later, answered
+  Micros since_ = monotonicNow();  // when the connection was accepted or, later, answered
   bool answered_ = false, open_ = true;
 };
 
--- a/src/operate/admin_server.h
+++ b/src/operate/admin_server.h
@@ -1,6 +1,6 @@
-// The TCP server for operators: a client sends one line, and gets one line that begins with ACK or NAK.
-// Answers are due within 1 s under any load, so its connections have descriptors of their own, and clients
-// that send no whole line are limited in number and time. Used on the loop thread alone.
+// The TCP server for operators: a client sends one line and gets one line that begins with ACK or NAK.
+// Answers are due within 1 s under any load: the server's connections have descriptors of their own, and
+// clients that send no complete line are limited in number and time. Used on the loop thread alone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 
 namespace grademux::operate {
 
-/// Connections at once, and the file descriptors that are reserved for them.
+/// Limit of connections at a time, and the number of file descriptors reserved for them.
 constexpr std::size_t kMaxAdminConnections = 48;
 
 class AdminServer {
--- a/src/operate/service_state.h
+++ b/src/operate/service_state.h
@@ -1,6 +1,6 @@
 // The state of the process as clients and operators see it: starting, serving, standby, fenced or stopping.
-// Listeners, the admin server and the service read it; none of them keeps a copy. No I/O and no clock; used
-// on the loop thread alone. docs/operate/admin-server.md has the table of answers in each phase.
+// Listeners, the admin server and the service read this state; none of them keeps a copy. No I/O and no
+// clock; used on the loop thread alone. docs/operate/admin-server.md has the table of answers in each phase.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 namespace grademux::operate {
 
 enum class Phase {
-  starting,  // the journal is read, or an earlier process still owns it
+  starting,  // the journal is being read, or an earlier process still owns the journal
   serving,
   standby,  // by the operators: clients are sent away, and those that connect are still served
   fenced,   // by the fleet's plan: clients are sent away, and new messages are rejected
-  stopping  // for good: after SIGTERM, or since another process has taken over
+  stopping  // final: after SIGTERM, or since another process has taken over
 };
 
 /// The name of a phase in logs.
@@ -35,7 +35,7 @@
   /// The fleet's plan forbids this process to act, until unfence().
   void fence(std::string reason);
   void unfence() { fenced_ = false; }
-  /// The process ends; there is no way back. Later calls change nothing.
+  /// The process ends; the phase stays `stopping`. Later calls change nothing.
   void stop(std::string reason);
   /// The process that handed over was in standby.
   void inheritStandby() { standby_ = true; }
--- a/tests/daemon/daemon_file_test.cpp
+++ b/tests/daemon/daemon_file_test.cpp
@@ -1,4 +1,5 @@
-// The daemon file: every mistake is a line with its place and what was expected; the command line says so.
+// Reading of the daemon file: each mistake is reported with its position and what was expected. Also the exit
+// status and the output of `grademux_sender check`.
 #include "../../src/daemon/daemon_file.h"
 
 #include "../support/loopback.h"
@@ -11,14 +12,14 @@
   std::vector<Mistake> mistakes;
   readDaemonText(text, "f.toml", mistakes);
   std::vector<std::string> lines;
-  for (const Mistake& m : mistakes)
-    lines.push_back(m.in("f.toml"));
+  for (const Mistake& mistake : mistakes)
+    lines.push_back(mistake.format("f.toml"));
   return lines;
 }
 
-TEST(DaemonFile, AGoodOneIsReadWithItsDefaults) {
+TEST(DaemonFile, ReadsListenersAndTheirDefaults) {
   std::vector<Mistake> mistakes;
-  const DaemonFile f = readDaemonText(R"(
+  const DaemonFile file = readDaemonText(R"(
 [[door]]
 kind = "http"
 listen = "127.0.0.1:8080"
@@ -28,26 +29,26 @@
 listen = "[::1]:6380"
 max_connections = 9
 )",
-                                      "f", mistakes);
+                                         "f", mistakes);
   ASSERT_TRUE(mistakes.empty()) << mistakes[0].what;
-  ASSERT_EQ(2u, f.listeners.size());
-  EXPECT_EQ(ListenerKind::http, f.listeners[0].kind);
-  EXPECT_EQ(8080, f.listeners[0].listen.port());
-  EXPECT_EQ(7'000'000, f.listeners[0].limits.max_wait);
-  EXPECT_EQ(128u, f.listeners[0].limits.connections);
-  EXPECT_EQ(ListenerKind::resp, f.listeners[1].kind);
-  EXPECT_EQ(137, f.connections());
+  ASSERT_EQ(2u, file.listeners.size());
+  EXPECT_EQ(ListenerKind::http, file.listeners[0].kind);
+  EXPECT_EQ(8080, file.listeners[0].listen.port());
+  EXPECT_EQ(7'000'000, file.listeners[0].limits.max_wait);
+  EXPECT_EQ(128u, file.listeners[0].limits.connections);
+  EXPECT_EQ(ListenerKind::resp, file.listeners[1].kind);
+  EXPECT_EQ(137, file.maxConnections());
 }
 
-TEST(DaemonFile, TheExampleThatComesWithItIsGood) {
+TEST(DaemonFile, AcceptsTheExampleInDeploy) {
   std::vector<Mistake> mistakes;
-  const DaemonFile f = readDaemonFile(sourceFolder() + "/deploy/daemon.toml", mistakes);
-  for (const Mistake& m : mistakes)
-    ADD_FAILURE() << m.in("deploy/daemon.toml");
-  EXPECT_FALSE(f.listeners.empty());
+  const DaemonFile file = readDaemonFile(sourceFolder() + "/deploy/daemon.toml", mistakes);
+  for (const Mistake& mistake : mistakes)
+    ADD_FAILURE() << mistake.format("deploy/daemon.toml");
+  EXPECT_FALSE(file.listeners.empty());
 }
 
-// What a partner says of zones, in a file that is well but for that.
+// The mistake in a valid file to which a partner with these lines is added; empty if there is none.
 std::string zonesMistake(const std::string& partner) {
   const auto lines = mistakesOf(
       "[[region]]\nname = \"n\"\nzones = [\"buda\", \"pest\"]\n[[door]]\nkind = \"resp\"\nlisten = "
@@ -58,38 +59,38 @@
   return lines.empty() ? "" : lines[0];
 }
 
-TEST(DaemonFile, ZonesOfEndpointsAreThoseOfTheRegions) {
-  const std::string two = "endpoints = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
-  EXPECT_EQ("", zonesMistake(two + "zone = \"buda\"\nzones = { pest = [\"127.0.0.1:2\"] }\n"));
+TEST(DaemonFile, ChecksZonesOfEndpointsAgainstRegions) {
+  const std::string endpoints = "endpoints = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
+  EXPECT_EQ("", zonesMistake(endpoints + "zone = \"buda\"\nzones = { pest = [\"127.0.0.1:2\"] }\n"));
   EXPECT_EQ("", zonesMistake("dns = \"shop.example:1\"\nzone = \"buda\"\n"));
   EXPECT_EQ(0u,
-            zonesMistake(two + "zone = \"budda\"\n")
+            zonesMistake(endpoints + "zone = \"budda\"\n")
                 .find("f.toml:15:8: partner.zone: a zone of a [[region]] is expected, not \"budda\"; buda?"));
-  EXPECT_EQ(
-      0u,
-      zonesMistake(two + "zones = { west = [\"127.0.0.1:2\"] }\n").find("f.toml:15:18: partner.zones.west"));
-  EXPECT_NE(std::string::npos, zonesMistake(two + "zones = { pest = [\"127.0.0.1:3\"] }\n")
+  EXPECT_EQ(0u, zonesMistake(endpoints + "zones = { west = [\"127.0.0.1:2\"] }\n")
+                    .find("f.toml:15:18: partner.zones.west"));
+  EXPECT_NE(std::string::npos, zonesMistake(endpoints + "zones = { pest = [\"127.0.0.1:3\"] }\n")
                                    .find("127.0.0.1:3 is not one of the endpoints"));
   EXPECT_NE(std::string::npos,
-            zonesMistake(two + "zones = { buda = [\"127.0.0.1:2\"], pest = [\"127.0.0.1:2\"] }\n")
+            zonesMistake(endpoints + "zones = { buda = [\"127.0.0.1:2\"], pest = [\"127.0.0.1:2\"] }\n")
                 .find("127.0.0.1:2 stands in buda"));
-  EXPECT_EQ(0u, zonesMistake(two + "zones = 3\n").find("f.toml:15:9: partner.zones: a table is expected"));
+  EXPECT_EQ(0u,
+            zonesMistake(endpoints + "zones = 3\n").find("f.toml:15:9: partner.zones: a table is expected"));
 }
 
 struct Case {
   const char *name, *text, *expected;
-  friend void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
+  friend void PrintTo(const Case& test_case, std::ostream* out) { *out << test_case.name; }
 };
-class Mistakes : public ::testing::TestWithParam<Case> {};
+class DaemonFileMistakes : public ::testing::TestWithParam<Case> {};
 
-TEST_P(Mistakes, AreNamedWithTheirPlace) {
+TEST_P(DaemonFileMistakes, AreReportedWithTheirPosition) {
   const auto lines = mistakesOf(GetParam().text);
   ASSERT_EQ(1u, lines.size()) << (lines.empty() ? "" : lines[1]);
   EXPECT_EQ(0u, lines[0].find(GetParam().expected)) << lines[0];
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, Mistakes,
+    Table, DaemonFileMistakes,
     ::testing::Values(
         Case{"syntax", "[[door]\n", "f.toml:1:8: TOML is expected"},
         Case{"region_without_zones", "[[region]]\nname = \"n\"\n",
@@ -131,9 +132,9 @@
              "[[door]]\nkind = \"http\"\nlisten = \"0.0.0.0:9\"\n[[door]]\nkind = \"resp\"\n"
              "listen = \"127.0.0.1:9\"\n",
              "f.toml:6:10: door.listen: an address of its own"}),
-    [](const auto& p) { return std::string(p.param.name); });
+    [](const auto& info) { return std::string(info.param.name); });
 
-TEST(DaemonFile, AllMistakesAreToldInOrder) {
+TEST(DaemonFile, ReportsAllMistakesInOrderOfPosition) {
   const auto lines = mistakesOf("a = 1\n[[door]]\nkind = \"x\"\nlisten = 5\nidle_s = 0\n[b]\n");
   ASSERT_EQ(5u, lines.size());
   for (std::size_t i = 0; i < lines.size(); ++i) {
@@ -142,29 +143,30 @@
   }
 }
 
-int statusOf(const std::vector<std::string>& arguments, const std::string& log) {
+// Runs the program and returns its exit status; -1 if a signal ended it.
+int exitStatusOf(const std::vector<std::string>& arguments, const std::string& log) {
   int status = 0;
   const pid_t pid = loopback::Program::spawn("", "", {}, arguments, log);
   EXPECT_GT(::waitpid(pid, &status, 0), 0);
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(CommandLine, CheckAnswersByStatusAndLines) {
-  loopback::TempFolder t;
-  const std::string path = t.path() + "/d.toml", log = t.path() + "/log";
+TEST(CommandLine, CheckPrintsMistakesAndReturnsAStatus) {
+  loopback::TempFolder folder;
+  const std::string path = folder.path() + "/d.toml", log = folder.path() + "/log";
   std::ofstream(path) << "[[door]]\nkind = \"http\"\nlisten = \"127.0.0.1:8080\"\n";
-  EXPECT_EQ(0, statusOf({"check", path}, log));
+  EXPECT_EQ(0, exitStatusOf({"check", path}, log));
   std::ofstream(path) << "[[door]]\nkind = 1\nlisten = 2\n";
-  EXPECT_EQ(2, statusOf({"check", path}, log));
-  EXPECT_EQ(2, statusOf({"--daemon", path}, log));
-  EXPECT_EQ(2, statusOf({"check", t.path() + "/none"}, log));
-  EXPECT_EQ(2, statusOf({"check"}, log));
-  EXPECT_EQ(2, statusOf({"--nonsense"}, log));
-  EXPECT_EQ(0, statusOf({"--help"}, log));
-  std::ifstream f(log);
-  const std::string all{std::istreambuf_iterator<char>(f), {}};
-  EXPECT_NE(std::string::npos, all.find(path + ":2:8: door.kind")) << all;
-  EXPECT_NE(std::string::npos, all.find(path + ":3:10: door.listen"));
+  EXPECT_EQ(2, exitStatusOf({"check", path}, log));
+  EXPECT_EQ(2, exitStatusOf({"--daemon", path}, log));
+  EXPECT_EQ(2, exitStatusOf({"check", folder.path() + "/none"}, log));
+  EXPECT_EQ(2, exitStatusOf({"check"}, log));
+  EXPECT_EQ(2, exitStatusOf({"--nonsense"}, log));
+  EXPECT_EQ(0, exitStatusOf({"--help"}, log));
+  std::ifstream log_file(log);
+  const std::string output{std::istreambuf_iterator<char>(log_file), {}};
+  EXPECT_NE(std::string::npos, output.find(path + ":2:8: door.kind")) << output;
+  EXPECT_NE(std::string::npos, output.find(path + ":3:10: door.listen"));
 }
 
 }  // namespace
--- a/tests/daemon/reload_test.cpp
+++ b/tests/daemon/reload_test.cpp
@@ -1,4 +1,4 @@
-// New configurations while the program runs: SIGHUP beside messages, bad files and SIGTERM.
+// Reloading of the platform's configuration by SIGHUP, with open messages, malformed files and SIGTERM.
 #include "../support/loopback.h"
 
 namespace grademux {
@@ -9,30 +9,30 @@
 Act deliver(const Seen&) {
   return {answer("200 OK")};
 }
-Act stayOut(const Seen&) {
+Act neverAnswer(const Seen&) {
   return {};
 }
 
-// Risk: SIGHUP ends the process. Watch and notices move to the agent that the file names, what is owed with
-// them, and the list there is asked for whole.
-TEST(Reload, WatchAndOwedNoticesMoveToTheNewAgent) {
+// Guards against a SIGHUP that ends the process. The watch and the pending notices move to the agent that the
+// file names, and the complete endpoint list is requested there.
+TEST(Reload, WatchAndPendingNoticesMoveToTheNewAgent) {
   TempFolder folder;
   Agent old_agent, fresh_agent;
-  Server first(stayOut), second(deliver);
+  Server first(neverAnswer), second(deliver);
   Program program(folder.path(), old_agent.address(), json::array({listed("e1", first.address(), 7)}));
   old_agent.refuse_notices = true;
   fresh_agent.tell(json::array({listed("e2", second.address(), 7)}), true);
-  Client c(program.port());
-  ASSERT_EQ("+OK", c.put("owed", "payment", 7, "x", 300));
+  Client client(program.port());
+  ASSERT_EQ("+OK", client.put("owed", "payment", 7, "x", 300));
   ASSERT_TRUE(eventually([&] { return old_agent.refused > 0; }));
   program.configure("discovery", fresh_agent.address());
   program.signal(SIGHUP);
   EXPECT_TRUE(fresh_agent.waitForNotice("owed"));
   EXPECT_TRUE(fresh_agent.waitForWatch(2));
-  ASSERT_EQ("+OK", c.put("new", "notice", 7));
+  ASSERT_EQ("+OK", client.put("new", "notice", 7));
   ASSERT_TRUE(second.waitFor(1));
   EXPECT_EQ("new", second.seen()[0].field("X-Txn"));
-  // The next start holds to the file, too, whatever the environment says.
+  // The next start uses the agent of the file as well, whatever the environment says.
   program.kill();
   old_agent.refuse_notices = false;
   fresh_agent.tell(json::array({listed("e3", second.address(), 9)}));
@@ -42,8 +42,8 @@
   EXPECT_EQ("+OK", again.put("nine", "notice", 9));
 }
 
-// Risk: a file that is half written or wrong takes the program down, or its agent away.
-TEST(Reload, ABadFileLeavesTheOldConfigurationInForce) {
+// Guards against a partly written or invalid file that ends the process or disconnects it from its agent.
+TEST(Reload, InvalidFileLeavesTheOldConfigurationInForce) {
   TempFolder folder;
   Agent agent;
   Server endpoint(deliver);
@@ -57,8 +57,8 @@
       program.signal(SIGHUP);
     agent.tell(json::array({listed("e1", endpoint.address(), 7)}));
     EXPECT_TRUE(agent.waitForWatch(++index));
-    Client c(program.port());
-    EXPECT_EQ("+OK", c.put("m" + std::to_string(index), "notice", 7));
+    Client client(program.port());
+    EXPECT_EQ("+OK", client.put("m" + std::to_string(index), "notice", 7));
   }
   program.writeConfig(good);
   program.signal(SIGHUP);
--- a/tests/model/spoilt.h
+++ b/tests/model/spoilt.h
@@ -10,7 +10,7 @@
 inline World worldOf(const std::string& text) {
   const Reading r = readWorldText(text, "world");
   for (const Mistake& m : r.mistakes)
-    ADD_FAILURE() << m.in("world");
+    ADD_FAILURE() << m.format("world");
   return r.world;
 }
 
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -18,7 +18,7 @@
 std::string told(const std::string& text) {
   std::string all;
   for (const Mistake& m : readWorldText(text, "w").mistakes)
-    all += m.in("w") + "\n";
+    all += m.format("w") + "\n";
   return all;
 }
 
@@ -62,14 +62,14 @@
       continue;
     const Reading r = readWorld(f.path().string());
     for (const Mistake& m : r.mistakes)
-      ADD_FAILURE() << m.in(f.path().string());
+      ADD_FAILURE() << m.format(f.path().string());
     EXPECT_EQ(r.world.classes.size(), 3u);
     ++n;
   }
   EXPECT_GE(n, 10u);
   for (const auto& f : fs::directory_iterator(sourceFolder() + "/model/experiments"))
     for (const Mistake& m : readExperiment(f.path().string()).mistakes)
-      ADD_FAILURE() << m.in(f.path().string());
+      ADD_FAILURE() << m.format(f.path().string());
 }
 
 struct Experiments : ::testing::Test {
@@ -90,7 +90,7 @@
 )";
     const ExperimentReading r = readExperiment(folder.path() + "/e.toml");
     for (const Mistake& m : r.mistakes)
-      ADD_FAILURE() << m.in("e.toml");
+      ADD_FAILURE() << m.format("e.toml");
     e = r.experiment;
   }
   std::string summaryIn(const std::string& name, int jobs) {
--- a/tests/operate/admin_server_test.cpp
+++ b/tests/operate/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' door and the drain, over loopback, against the real program.
+// The admin server and the drain of a sender, over loopback sockets, with the real program.
 #include "../support/http_client.h"
 
 namespace grademux {
@@ -10,197 +10,201 @@
   return {answer("200 OK")};
 }
 
-struct Served {
-  explicit Served(const std::string& daemon = "", int sockets = 1024)
+struct SenderEnvironment {
+  explicit SenderEnvironment(const std::string& daemon_file = "", int max_descriptors = 1024)
       : endpoint(deliver),
         program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}), 3,
-                plainSettings(), sockets, daemon) {}
-  // Starts it anew with an operators' door.
-  void withDoor() {
+                plainSettings(), max_descriptors, daemon_file) {}
+  // Restarts the program with an admin server.
+  void restartWithAdminServer() {
     program.kill();
-    mgmt = harness::ownPort();
-    program.configure("mgmt", "127.0.0.1:" + std::to_string(mgmt));
+    admin_port = harness::ownPort();
+    program.configure("mgmt", "127.0.0.1:" + std::to_string(admin_port));
     program.restart();
   }
-  std::string call(const std::string& line) {
-    Client c(mgmt);
-    c.send(line);
-    return lineOf(c);
+  // Sends a line to the admin server, and returns the line that it answers.
+  std::string command(const std::string& line) {
+    Client client(admin_port);
+    client.send(line);
+    return readAnswer(client);
   }
   // Answers end with a bare line feed.
-  static std::string lineOf(Client& c) {
-    const std::string all = c.rest();
-    return all.substr(0, all.find('\n'));
+  static std::string readAnswer(Client& client) {
+    const std::string answer = client.rest();
+    return answer.substr(0, answer.find('\n'));
   }
   TempFolder folder;
   Agent agent;
   Server endpoint;
   Program program;
-  int mgmt = 0;
+  int admin_port = 0;
 };
 
-bool yes(const std::string& line) {
+bool isAck(const std::string& line) {
   return line.rfind("ACK", 0) == 0;
 }
-bool no(const std::string& line) {
+bool isNak(const std::string& line) {
   return line.rfind("NAK", 0) == 0;
 }
 
-TEST(OperatorsDoor, AnswersOneLineToAConnection) {
-  Served s;
-  s.withDoor();
-  EXPECT_TRUE(yes(s.call("status\n")));
-  EXPECT_TRUE(yes(s.call("status\r\n")));
-  EXPECT_TRUE(yes(s.call("active\n")));
-  EXPECT_TRUE(no(s.call("\n")));
-  EXPECT_TRUE(no(s.call("restart\n")));
-  EXPECT_TRUE(no(s.call(std::string("sta\0tus\n", 8))));
-  EXPECT_TRUE(no(s.call(std::string(100'000, 'x'))));
-  EXPECT_TRUE(no(s.call(std::string(127, 'x') + "\n")));
-  Client bytes(s.mgmt);
+TEST(AdminServer, AnswersOneLinePerConnection) {
+  SenderEnvironment environment;
+  environment.restartWithAdminServer();
+  EXPECT_TRUE(isAck(environment.command("status\n")));
+  EXPECT_TRUE(isAck(environment.command("status\r\n")));
+  EXPECT_TRUE(isAck(environment.command("active\n")));
+  EXPECT_TRUE(isNak(environment.command("\n")));
+  EXPECT_TRUE(isNak(environment.command("restart\n")));
+  EXPECT_TRUE(isNak(environment.command(std::string("sta\0tus\n", 8))));
+  EXPECT_TRUE(isNak(environment.command(std::string(100'000, 'x'))));
+  EXPECT_TRUE(isNak(environment.command(std::string(127, 'x') + "\n")));
+  Client byte_by_byte(environment.admin_port);
   for (const char b : std::string("status\n")) {
-    bytes.send(std::string(1, b));
+    byte_by_byte.send(std::string(1, b));
     std::this_thread::sleep_for(2ms);
   }
-  EXPECT_TRUE(yes(Served::lineOf(bytes)));
+  EXPECT_TRUE(isAck(SenderEnvironment::readAnswer(byte_by_byte)));
 }
 
-// Risk: callers with half a line hold all places, and nobody can send the sender's clients away.
-TEST(OperatorsDoor, TwoHundredHalfLinesKeepNobodyOut) {
-  Served s("", 256);
-  s.withDoor();
-  std::vector<std::unique_ptr<Client>> half;
+// Guards against connections with a partial line that use up all connections of the admin server, so that
+// nobody can send the sender's clients away.
+TEST(AdminServer, AnswersBesideTwoHundredPartialLines) {
+  SenderEnvironment environment("", 256);
+  environment.restartWithAdminServer();
+  std::vector<std::unique_ptr<Client>> partial;
   for (int i = 0; i < 200; ++i) {
-    half.push_back(std::make_unique<Client>(s.mgmt));
-    half.back()->send("stat");
+    partial.push_back(std::make_unique<Client>(environment.admin_port));
+    partial.back()->send("stat");
   }
-  EXPECT_TRUE(yes(s.call("status\n")));
-  EXPECT_TRUE(yes(s.call("standby\n")));
-  Client c(s.program.port());
-  EXPECT_EQ(0u, c.ask({"PING"}).find("-AWAY"));
+  EXPECT_TRUE(isAck(environment.command("status\n")));
+  EXPECT_TRUE(isAck(environment.command("standby\n")));
+  Client client(environment.program.port());
+  EXPECT_EQ(0u, client.ask({"PING"}).find("-AWAY"));
 }
 
-// Risk: clients take all descriptors and the operators are left without.
-TEST(OperatorsDoor, ClientsAtTheDescriptorLimitTakeNoneOfIts) {
-  Served s("", 128);
-  s.withDoor();
+// Guards against clients that use up all descriptors, including those of the admin server.
+TEST(AdminServer, AnswersWhileClientsUseAllTheirDescriptors) {
+  SenderEnvironment environment("", 128);
+  environment.restartWithAdminServer();
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 200; ++i)
-    clients.push_back(std::make_unique<Client>(s.program.port()));
+    clients.push_back(std::make_unique<Client>(environment.program.port()));
   for (int i = 0; i < 20; ++i)
-    EXPECT_TRUE(yes(s.call("status\n")));
+    EXPECT_TRUE(isAck(environment.command("status\n")));
 }
 
-TEST(OperatorsDoor, WithoutAnAddressThereIsNone_AndOneThatIsTakenIsOneLine) {
-  Served s;
-  s.program.kill();
-  Listener taken;
-  s.program.configure("mgmt", taken.address());
+TEST(AdminServer, ProcessExitsWhenTheAddressIsInUseOrInvalid) {
+  SenderEnvironment environment;
+  environment.program.kill();
+  Listener in_use;
+  environment.program.configure("mgmt", in_use.address());
   int status = 0;
-  ASSERT_GT(::waitpid(Program::spawn(s.program.path(), s.folder.path()), &status, 0), 0);
+  ASSERT_GT(::waitpid(Program::spawn(environment.program.path(), environment.folder.path()), &status, 0), 0);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2);
-  s.program.configure("mgmt", "nowhere");
-  ASSERT_GT(::waitpid(Program::spawn(s.program.path(), s.folder.path()), &status, 0), 0);
+  environment.program.configure("mgmt", "nowhere");
+  ASSERT_GT(::waitpid(Program::spawn(environment.program.path(), environment.folder.path()), &status, 0), 0);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2);
 }
 
-// Risk: clients are held on a sender that is to be taken out, or it loses what it has taken on.
-TEST(Standby, SendsClientsAwayAndTakesThemBack) {
-  Served s;
-  s.withDoor();
-  Client idle(s.program.port()), busy(s.program.port());
+// Guards against clients that stay at a sender in standby, and against the loss of messages that it has
+// accepted.
+TEST(Standby, SendsClientsAwayUntilActive) {
+  SenderEnvironment environment;
+  environment.restartWithAdminServer();
+  Client idle(environment.program.port()), busy(environment.program.port());
   ASSERT_EQ("+OK", idle.put("a", "order", 7));
   ASSERT_EQ("+OK", busy.put("b", "order", 7));
-  ASSERT_TRUE(yes(s.call("standby\n")));
-  ASSERT_TRUE(yes(s.call("standby\n")));  // twice is once
-  Client ping(s.program.port());
+  ASSERT_TRUE(isAck(environment.command("standby\n")));
+  ASSERT_TRUE(isAck(environment.command("standby\n")));  // the command is idempotent
+  Client ping(environment.program.port());
   EXPECT_EQ(0u, ping.ask({"PING"}).find("-AWAY"));
   EXPECT_TRUE(ping.ended());
-  EXPECT_EQ("+OK", busy.put("c", "order", 7));  // served, then ended
+  EXPECT_EQ("+OK", busy.put("c", "order", 7));  // served, then closed
   EXPECT_TRUE(busy.ended());
   EXPECT_TRUE(idle.ended());
-  Client late(s.program.port());  // a newcomer is served too
+  Client late(environment.program.port());  // a new client is served as well
   EXPECT_EQ("+OK", late.put("d", "order", 7));
   EXPECT_TRUE(late.ended());
-  Client silent(s.program.port());
+  Client silent(environment.program.port());
   EXPECT_TRUE(silent.ended());
-  EXPECT_TRUE(yes(s.call("status\n")));
-  ASSERT_TRUE(yes(s.call("active\n")));
-  Client back(s.program.port());
+  EXPECT_TRUE(isAck(environment.command("status\n")));
+  ASSERT_TRUE(isAck(environment.command("active\n")));
+  Client back(environment.program.port());
   EXPECT_EQ("+PONG", back.ask({"PING"}));
   EXPECT_EQ("+OK", back.put("e", "order", 7));
-  EXPECT_EQ("+PONG", back.ask({"PING"}));  // it is kept again
-  EXPECT_TRUE(s.endpoint.waitFor(5));
+  EXPECT_EQ("+PONG", back.ask({"PING"}));  // the connection stays open
+  EXPECT_TRUE(environment.endpoint.waitFor(5));
 }
 
-// Risk: what a client has sent when its connection ends is neither served nor left for it to send again.
-TEST(Standby, APipelineIsAnsweredBeforeTheEnd) {
-  Served s;
-  s.withDoor();
-  Client c(s.program.port());
-  ASSERT_TRUE(yes(s.call("standby\n")));
-  std::string all;
+// Guards against requests that a client has sent before its connection is closed and that get no answer.
+TEST(Standby, AnswersAPipelineBeforeClosing) {
+  SenderEnvironment environment;
+  environment.restartWithAdminServer();
+  Client client(environment.program.port());
+  ASSERT_TRUE(isAck(environment.command("standby\n")));
+  std::string pipeline;
   for (int i = 0; i < 50; ++i)
-    all += Client::request({"MSG.PUT", "0", "p" + std::to_string(i), "c=notice,d=20000,dest=7", "x"});
-  c.send(all);
+    pipeline += Client::request({"MSG.PUT", "0", "p" + std::to_string(i), "c=notice,d=20000,dest=7", "x"});
+  client.send(pipeline);
   for (int i = 0; i < 50; ++i)
-    ASSERT_EQ("+OK", c.line()) << i;
-  EXPECT_TRUE(c.ended());
-  EXPECT_TRUE(s.endpoint.waitFor(50));
+    ASSERT_EQ("+OK", client.line()) << i;
+  EXPECT_TRUE(client.ended());
+  EXPECT_TRUE(environment.endpoint.waitFor(50));
 }
 
-// Risk: a client that asks on and on over one connection is never sent away.
-TEST(Standby, AClientThatNeverPausesIsEndedToo) {
-  Served s;
-  s.withDoor();
-  Client c(s.program.port());
-  ASSERT_TRUE(yes(s.call("standby\n")));
-  std::atomic<bool> over{false};
-  std::thread sends([&] {
-    for (int i = 0; i < 200'000 && !over; ++i)
-      c.send(Client::request({"PING"}) + Client::request({"PING"}));
+// Guards against a client that sends requests without a pause on one connection and is never sent away.
+TEST(Standby, ClosesAConnectionThatIsNeverIdle) {
+  SenderEnvironment environment;
+  environment.restartWithAdminServer();
+  Client client(environment.program.port());
+  ASSERT_TRUE(isAck(environment.command("standby\n")));
+  std::atomic<bool> closed{false};
+  std::thread sender([&] {
+    for (int i = 0; i < 200'000 && !closed; ++i)
+      client.send(Client::request({"PING"}) + Client::request({"PING"}));
   });
-  while (!c.line().empty()) {
+  while (!client.line().empty()) {
   }
-  over = true;
-  sends.join();
-  Client other(s.program.port());
+  closed = true;
+  sender.join();
+  Client other(environment.program.port());
   EXPECT_EQ(0u, other.ask({"PING"}).find("-AWAY"));
 }
 
-TEST(Standby, CallsThatCross) {
-  Served s;
-  s.withDoor();
-  Client kept(s.program.port());
-  ASSERT_EQ("+PONG", kept.ask({"PING"}));
-  ASSERT_TRUE(yes(s.call("standby\n")));
-  ASSERT_TRUE(yes(s.call("active\n")));  // while connections are being ended
-  EXPECT_EQ("+PONG", Client(s.program.port()).ask({"PING"}));
-  ASSERT_TRUE(yes(s.call("standby\n")));
-  s.program.signal(SIGTERM);
-  const int status = s.program.wait();
+TEST(Standby, AcceptsActiveAndSigtermDuringADrain) {
+  SenderEnvironment environment;
+  environment.restartWithAdminServer();
+  Client open(environment.program.port());
+  ASSERT_EQ("+PONG", open.ask({"PING"}));
+  ASSERT_TRUE(isAck(environment.command("standby\n")));
+  ASSERT_TRUE(isAck(environment.command("active\n")));  // while connections are being closed
+  EXPECT_EQ("+PONG", Client(environment.program.port()).ask({"PING"}));
+  ASSERT_TRUE(isAck(environment.command("standby\n")));
+  environment.program.signal(SIGTERM);
+  const int status = environment.program.wait();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
 }
 
-TEST(Standby, TheHttpDoorSendsAwayToo) {
+TEST(Standby, HttpListenerSendsClientsAway) {
   const int http = harness::ownPort();
-  Served s("[[door]]\nkind = \"http\"\nlisten = \"127.0.0.1:" + std::to_string(http) + "\"\n");
-  s.withDoor();
+  SenderEnvironment environment("[[door]]\nkind = \"http\"\nlisten = \"127.0.0.1:" + std::to_string(http) +
+                                "\"\n");
+  environment.restartWithAdminServer();
   HttpClient idle(http), batch(http);
   EXPECT_EQ(404, idle.ask("GET", "/v1/messages/x").status);
   batch.send("POST /v1/messages:batch HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
-  ASSERT_TRUE(yes(s.call("standby\n")));
-  EXPECT_EQ(0, idle.reply().status);  // the connection ends
-  // A batch that never ends is ended by the door, with a line that says why.
+  ASSERT_TRUE(isAck(environment.command("standby\n")));
+  EXPECT_EQ(0, idle.reply().status);  // the connection is closed
+  // The listener ends a batch that has no end, with a line that has the reason.
   const HttpReply ended = batch.reply();
   EXPECT_EQ(200, ended.status);
   EXPECT_NE(std::string::npos, ended.body.find("draining")) << ended.body;
-  HttpClient put(http);  // served, then ended
-  const HttpReply r = put.ask("PUT", "/v1/messages/m1", "", messageDocument("notice", 7));
-  EXPECT_EQ(202, r.status);
-  EXPECT_EQ("close", r.field("Connection"));
+  HttpClient put(http);  // served, then closed
+  const HttpReply reply = put.ask("PUT", "/v1/messages/m1", "", messageDocument("notice", 7));
+  EXPECT_EQ(202, reply.status);
+  EXPECT_EQ("close", reply.field("Connection"));
   EXPECT_EQ(0, put.reply().status);
-  ASSERT_TRUE(yes(s.call("active\n")));
+  ASSERT_TRUE(isAck(environment.command("active\n")));
   HttpClient back(http);
   EXPECT_EQ(404, back.ask("GET", "/v1/messages/x").status);
   EXPECT_EQ(404, back.ask("GET", "/v1/messages/x").status);
--- a/tests/operate/service_state_test.cpp
+++ b/tests/operate/service_state_test.cpp
@@ -62,8 +62,8 @@
   EXPECT_TRUE(stateIn(Phase::stopping).isDraining());
 }
 
-// Risk: a standby command just before readiness is lost, and the load balancer sends clients to a sender that
-// the operators took out of service.
+// Guards against the loss of a standby command just before readiness: the load balancer would send clients to
+// a sender that the operators took out of service.
 TEST(ServiceState, EntersStandbyAtReadinessWhenCommandedBefore) {
   ServiceState state;
   state.handleCommand(AdminCommand::standby, false);
