--- a/model/experiment.cpp
+++ b/model/experiment.cpp
@@ -90,7 +90,7 @@
       TomlTable values(*tune->as_table(), "variant.tune", mistakes);
       for (const TunedValue& own : tunedValues())
         if (values.node(own.name.c_str()))
-          v.tune[own.name] = values.real(own.name.c_str(), 0, -1e9, 1e9);
+          v.tune[own.name] = values.number(own.name.c_str(), 0, -1e9, 1e9);
       values.reportUnknownKeys(" in variant.tune");
     }
     if (t.node("policy") && v.policy != "tuned")
--- a/model/world.cpp
+++ b/model/world.cpp
@@ -182,7 +182,7 @@
   void readTrouble(const toml::table& table) {
     TomlTable t(table, "trouble", out_.mistakes);
     Trouble x;
-    const std::string kind = t.word(
+    const std::string kind = t.oneOf(
         "kind", {"refuse", "hang", "shut", "slow", "common_slow", "cut", "limit", "leave", "kill", "stop"});
     for (const auto& [k, name] : kTroubles)
       if (kind == name)
--- a/src/membership/partner_file.cpp
+++ b/src/membership/partner_file.cpp
@@ -95,7 +95,7 @@
   for (const auto& [key, list] : *n->as_table()) {
     const std::string zone(key.str());
     known(z, zone.c_str(), zone);
-    for (const std::string& e : z.texts(zone.c_str())) {
+    for (const std::string& e : z.strings(zone.c_str())) {
       if (p.dns || std::find(p.endpoints.begin(), p.endpoints.end(), e) == p.endpoints.end())
         z.reportExpected(zone.c_str(), e + " is not one of the endpoints");
       else if (const auto other = p.zones.emplace(e, zone); !other.second && other.first->second != zone)
