--- a/src/daemon/commands/init_command.cpp
+++ b/src/daemon/commands/init_command.cpp
@@ -38,7 +38,7 @@
       return kExitUnusable;
     }
     std::ofstream out(path);
-    if (!(out << kStarterFile) || !out.flush()) {
+    if (!(out << starter_file) || !out.flush()) {
       std::cerr << "grademux: " << path.string() << " can't be written\n";
       return kExitUnusable;
     }
--- a/src/daemon/site.cpp
+++ b/src/daemon/site.cpp
@@ -190,7 +190,7 @@
   return names;
 }
 
-const char* const kStarterFile =
+const char* const starter_file =
     R"(# A standalone grademux sender. Check this file with `grademux_sender check FILE`, run the sender
 # with `grademux_sender run --daemon FILE`. SIGHUP reloads listeners, classes and partners.
 
--- a/src/daemon/site.h
+++ b/src/daemon/site.h
@@ -41,6 +41,6 @@
 std::string partsNeedingRestart(const StandaloneConfig& old, const StandaloneConfig& fresh);
 
 /// The daemon file that `grademux_sender init` writes.
-extern const char* const kStarterFile;
+extern const char* const starter_file;
 
 }  // namespace grademux
--- a/tests/daemon/standing_alone_test.cpp
+++ b/tests/daemon/standing_alone_test.cpp
@@ -26,7 +26,7 @@
 const char* const kPartner = "[[partner]]\nname = \"shop\"\nendpoints = [\"127.0.0.1:1\"]\n";
 
 TEST(StandaloneConfigFile, ReadsTheStarterFile) {
-  const ReadResult result(kStarterFile);
+  const ReadResult result(starter_file);
   for (const Mistake& mistake : result.mistakes)
     ADD_FAILURE() << mistake.format("starter");
   ASSERT_TRUE(result.file.standalone);
