--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -76,8 +76,8 @@
     request.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(poll_time / 1000);
   agent_.request(
       std::move(request), poll_time + PollSchedule::kResponseGrace, [this](const HttpAnswer& answer) {
-        if (answer.how != Exchanged::answered || answer.status != 200 || !answer.whole) {
-          const bool rejected = answer.how == Exchanged::answered && answer.status == kUnavailable;
+        if (answer.how != ExchangeResult::answered || answer.status != 200 || !answer.complete) {
+          const bool rejected = answer.how == ExchangeResult::answered && answer.status == kUnavailable;
           last_poll_failed_ = !rejected;
           return schedulePoll(rejected ? schedule_.delayAfterRejection() : schedule_.delayAfterFailure());
         }
@@ -145,14 +145,14 @@
   agent_.request(std::move(request), kNoticeTimeout, [this](const HttpAnswer& answer) {
     const std::size_t sent = in_flight_;
     in_flight_ = 0;
-    const bool unreadable = answer.how == Exchanged::answered && answer.status == 400;
+    const bool unreadable = answer.how == ExchangeResult::answered && answer.status == 400;
     if (unreadable && sent > 1) {  // one malformed notice must not block the others
       max_batch_ = 1;
       return send();
     }
     if (unreadable)
       log::write(log::Event::discovery_notice_rejected, {{"message", pending_.front().first}});
-    if (!unreadable && (answer.how != Exchanged::answered || answer.status / 100 != 2)) {
+    if (!unreadable && (answer.how != ExchangeResult::answered || answer.status / 100 != 2)) {
       backing_off_ = true;
       return agent_.retryAfterDelay(kNoticeRetryDelay, [this] {
         backing_off_ = false;
--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -91,7 +91,7 @@
 }
 
 std::string describeFailure(const HttpAnswer& answer, const std::string& address) {
-  if (answer.how != Exchanged::answered)
+  if (answer.how != ExchangeResult::answered)
     return address + " does not answer";
   constexpr std::size_t kShownBytes = 120;
   return address + " answers " + std::to_string(answer.status) + " " + answer.body.substr(0, kShownBytes);
@@ -147,7 +147,7 @@
 
 StoreResult Consul::readResult(const HttpAnswer& answer, const ReadAnswer& read_answer,
                                const std::string& address) {
-  if (answer.how != Exchanged::answered || !answer.whole)
+  if (answer.how != ExchangeResult::answered || !answer.complete)
     return StoreError{describeFailure(answer, address)};
   if (answer.status != 200 && answer.status != 404)
     return StoreError{describeFailure(answer, address)};
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -252,7 +252,7 @@
     }
     name.asking = true;
     ++asking_;
-    dns_->look(name.memory.spec(),
+    dns_->resolve(name.memory.spec(),
                [this, partner, turn = name.turn](const DnsAnswer& a) { answered(partner, turn, a); });
   }
   if (changed)
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -1,4 +1,4 @@
-// grademux: addresses; see address.h.
+// See address.h.
 #include "address.h"
 
 #include <boost/asio/ip/address.hpp>
@@ -25,7 +25,7 @@
     if (!e && number >= 0 && number <= 65535)
       return {ip, static_cast<unsigned short>(number)};
   }
-  throw std::invalid_argument("not an address with a port: " + address);
+  throw std::invalid_argument("expected IP:PORT or [IPv6]:PORT, found: " + address);
 }
 
 std::string addressText(const tcp::endpoint& address) {
--- a/src/net/answer_reader.cpp
+++ b/src/net/answer_reader.cpp
@@ -1,4 +1,4 @@
-// grademux: reading of HTTP answers; see answer_reader.h.
+// See answer_reader.h.
 #include "answer_reader.h"
 
 #include <boost/asio/buffer.hpp>
@@ -10,63 +10,63 @@
 
 namespace {
 constexpr std::size_t kHeaderLimit = 16384;  // bytes
-constexpr std::size_t kFirstLineKept = 64;   // bytes in which the status is looked for
-constexpr int kMostInterimAnswers = 16;      // 1xx ahead of the answer
-constexpr int kMostIdleSteps = 3;            // of the parser, which then needs more bytes
+constexpr std::size_t kFirstLineLimit = 64;  // bytes in which the status is searched
+constexpr int kMaxInterimResponses = 16;     // 1xx responses before the final response
+constexpr int kMaxIdleSteps = 3;  // parser calls in a row that consume nothing; then it needs more bytes
 }  // namespace
 
 AnswerReader::AnswerReader(std::size_t body_limit) : body_limit_(body_limit) {
-  begin();
+  resetParser();
 }
 
-void AnswerReader::begin() {
+void AnswerReader::resetParser() {
   first_line_.clear();
   parser_.emplace();
-  // Step by step: an eager parser (Beast of Boost 1.74) overlooks that a length is over the limit, and takes
-  // as much memory as it says.
+  // The parser is not eager: an eager parser (Beast of Boost 1.74) does not check Content-Length against the
+  // body limit and allocates as much memory as the header declares.
   parser_->eager(false);
   parser_->body_limit(body_limit_);
   parser_->header_limit(kHeaderLimit);
 }
 
-AnswerReader::State AnswerReader::take(std::string& in) {
-  for (int idle_steps = 0; !in.empty() && idle_steps < kMostIdleSteps;) {
-    if (first_line_.size() < kFirstLineKept)
-      first_line_.append(in, 0, kFirstLineKept - first_line_.size());
+AnswerReader::State AnswerReader::parse(std::string& in) {
+  for (int idle_steps = 0; !in.empty() && idle_steps < kMaxIdleSteps;) {
+    if (first_line_.size() < kFirstLineLimit)
+      first_line_.append(in, 0, kFirstLineLimit - first_line_.size());
     error_code error;
     const std::size_t used = parser_->put(boost::asio::buffer(in), error);
     in.erase(0, used);
     if (error == http::error::need_more)
-      return in.size() > kHeaderLimit ? State::spoilt : State::partial;
+      return in.size() > kHeaderLimit ? State::malformed : State::partial;
     if (error)
-      return State::spoilt;
+      return State::malformed;
     if (parser_->is_done()) {
       if (!isInterim())
-        return State::whole;
-      if (++interim_answers_ > kMostInterimAnswers)
-        return State::spoilt;
-      begin();
+        return State::complete;
+      if (++interim_responses_ > kMaxInterimResponses)
+        return State::malformed;
+      resetParser();
     }
     idle_steps = used == 0 ? idle_steps + 1 : 0;
   }
   return State::partial;
 }
 
-AnswerReader::State AnswerReader::end() {
+AnswerReader::State AnswerReader::parseEnd() {
   if (!parser_->got_some() || !parser_->is_header_done())
-    return State::spoilt;
+    return State::malformed;
   error_code error;
   parser_->put_eof(error);
-  return !error && parser_->is_done() && !isInterim() ? State::whole : State::spoilt;
+  return !error && parser_->is_done() && !isInterim() ? State::complete : State::malformed;
 }
 
-bool AnswerReader::says200() const {
+bool AnswerReader::hasStatus200() const {
   const std::string& line = first_line_;
   return line.size() > 12 && line.compare(0, 7, "HTTP/1.") == 0 && line[7] >= '0' && line[7] <= '9' &&
          line.compare(8, 4, " 200") == 0 && (line[12] == ' ' || line[12] == '\r' || line[12] == '\n');
 }
 
-bool AnswerReader::headDone() const {
+bool AnswerReader::isHeadComplete() const {
   return parser_->is_header_done() && !isInterim();
 }
 
--- a/src/net/answer_reader.h
+++ b/src/net/answer_reader.h
@@ -1,5 +1,5 @@
-// grademux: reads one HTTP/1.1 answer from bytes as they arrive, and decides how far it can be trusted. No
-// I/O.
+// Incremental parser of one HTTP/1.1 response, used by HttpConnection. It decides which parts of a response
+// can be trusted. No I/O.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -8,36 +8,36 @@
 
 namespace grademux {
 
-// An answer is whole and sound, or its first line says 200, or it says nothing of whether the request ran.
-// Guards against a spoilt 429, 503 or 410 that is believed: a second payment or a lost message. What a
-// complete head tells (a time to wait above all) counts even if the body breaks off.
+// A response shows whether the request was executed only if it is complete and well-formed, or if its status
+// line has status 200. Trusting a malformed 429, 503 or 410 could cause a second payment or a lost message.
+// The fields of a complete head (above all Retry-After) are valid even if the body is truncated.
 class AnswerReader {
  public:
-  enum class State { partial, whole, spoilt };
+  enum class State { partial, complete, malformed };
   using Head = boost::beast::http::response<boost::beast::http::string_body>;
 
-  // `body_limit`: in bytes; a longer body spoils the answer.
+  // `body_limit` is in bytes; a response with a longer body is malformed.
   explicit AnswerReader(std::size_t body_limit);
 
-  // Consumes `in`. What is left of it when the answer is whole was not part of the answer.
-  State take(std::string& in);
-  // The other side has ended the connection.
-  State end();
+  // Consumes bytes from `in`. Bytes that remain after a complete response do not belong to the response.
+  State parse(std::string& in);
+  // Handles the end of the stream: the peer has closed the connection.
+  State parseEnd();
 
-  // The first line is readable and says 200, whatever comes after it.
-  bool says200() const;
-  // The head of the answer proper (no 1xx) has been read to its end.
-  bool headDone() const;
-  // Requires headDone().
+  // Whether the status line is well-formed and has status 200, regardless of the bytes after it.
+  bool hasStatus200() const;
+  // Whether the head of the final response (not 1xx) is complete.
+  bool isHeadComplete() const;
+  // Requires isHeadComplete().
   const Head& head() const { return parser_->get(); }
   bool keepAlive() const { return parser_->keep_alive(); }
 
  private:
-  void begin();
+  void resetParser();
   bool isInterim() const { return parser_->get().result_int() / 100 == 1; }
 
   std::size_t body_limit_;
-  int interim_answers_ = 0;
+  int interim_responses_ = 0;
   std::string first_line_;
   std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser_;
 };
--- a/src/net/dns_client.h
+++ b/src/net/dns_client.h
@@ -1,5 +1,5 @@
-// grademux: queries to name servers by c-ares (RFC 1035, 2782, 3596), on the loop: UDP first, TCP where an
-// answer was truncated; what answers another question than the one that was asked is passed over.
+// DNS client on c-ares (RFC 1035, 2782, 3596), run by the event loop. Queries use UDP first and TCP after a
+// truncated response; a response to a different question is ignored.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,8 +13,8 @@
 namespace grademux {
 
 struct DnsServers {
-  std::vector<std::string> servers;  // HOST:PORT; empty: those of this machine
-  Micros timeout = 1'000'000;        // of one try at one server
+  std::vector<std::string> servers;  // HOST:PORT; empty: the servers that this machine is configured with
+  Micros timeout = 1'000'000;        // of one try at one server, microseconds
   int tries = 2;                     // at each server
   bool operator!=(const DnsServers& o) const {
     return servers != o.servers || timeout != o.timeout || tries != o.tries;
@@ -24,14 +24,14 @@
 class DnsClient {
  public:
   using Done = std::function<void(DnsAnswer)>;
-  // Throws std::runtime_error if c-ares can't begin with these.
+  // Throws std::runtime_error if c-ares can't be initialized with these servers.
   DnsClient(boost::asio::io_context& io, const DnsServers& servers);
-  ~DnsClient();  // what is under way is called off; its `done` is not called
+  ~DnsClient();  // cancels pending lookups; their `done` is not called
   DnsClient(const DnsClient&) = delete;
   DnsClient& operator=(const DnsClient&) = delete;
 
-  // All that a name stands for. `done` is called once, from the loop.
-  void look(const NameSpec& spec, Done done);
+  // Resolves a name to all its targets and addresses. `done` is called once, from the event loop.
+  void resolve(const NameSpec& spec, Done done);
 
  private:
   struct Channel;
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -1,4 +1,4 @@
-// grademux: HTTP client connections; see http_connection.h.
+// See http_connection.h.
 #include "http_connection.h"
 
 #include <boost/asio/steady_timer.hpp>
@@ -18,23 +18,23 @@
 
 namespace {
 
-constexpr std::size_t kPiece = 16384;     // bytes read at once
-constexpr int kMostPieces = 4;            // read before others have their turn
-constexpr int kReceiveBuffer = 32768;     // bytes; what the kernel buffers counts as this sender's memory
-constexpr Micros kAnswerLimit = 400'000;  // from an answer's first byte to its last
-// The same of an answer that tells to wait, from its head on: the wait runs from when it was written, and is
-// known to nobody else until the exchange is over.
-constexpr Micros kWaitAnswerLimit = 30'000;
+constexpr std::size_t kReadSize = 16384;    // bytes in one read
+constexpr int kMaxReads = 4;                // reads in a row before other handlers run
+constexpr int kReceiveBuffer = 32768;       // bytes; kernel buffers count as this sender's memory
+constexpr Micros kResponseLimit = 400'000;  // microseconds from a response's first byte to its last
+// The limit for the rest of a 429 response, in microseconds from its complete head on: the Retry-After time
+// runs from when the response was written, and no other attempt learns of it until the exchange is finished.
+constexpr Micros kRetryAfterResponseLimit = 30'000;
 constexpr unsigned kTooManyRequests = 429;
 
-std::string lower(std::string text) {
+std::string toLower(std::string text) {
   for (char& c : text)
     if (c >= 'A' && c <= 'Z')
       c = static_cast<char>(c - 'A' + 'a');
   return text;
 }
 
-std::string bytesOf(HttpRequest request, const std::string& host) {
+std::string serializeRequest(HttpRequest request, const std::string& host) {
   http::request<http::string_body> message;
   message.version(11);
   message.method_string(request.method);
@@ -69,7 +69,7 @@
 
 struct HttpConnection::State : std::enable_shared_from_this<State> {
   using Clock = std::chrono::steady_clock;
-  using Moment = Clock::time_point;
+  using TimePoint = Clock::time_point;
 
   State(asio::io_context& io, tcp::endpoint p, std::string h, std::size_t b)
       : socket(io), timer(io), peer(std::move(p)), host(std::move(h)), body_limit(b) {}
@@ -83,185 +83,187 @@
   std::size_t sent = 0;  // bytes of `out`
   std::optional<AnswerReader> reader;
   Done done;
-  std::function<bool()> may_begin;
-  // Exchanges begun or over, and timers set: what belongs to an earlier one is ignored. A handler that is
-  // queued already can't be cancelled any more.
+  std::function<bool()> is_write_allowed;
+  // Counters of exchanges started or finished and of timers set. A handler with an earlier number is ignored:
+  // a handler that is already queued can't be cancelled.
   std::uint64_t exchange_number = 0, timer_number = 0;
-  bool open = false, written = false, begun = false, keep = false, reused = false;
-  bool wait_told = false;  // the head of a 429 has come
-  Moment ends, write_ends;
+  bool open = false, written = false, response_started = false, keep = false, reused = false;
+  bool retry_after_received = false;  // the complete head of a 429 has arrived
+  TimePoint deadline, write_deadline;
 
   void begin(HttpRequest request, Micros connect_limit, Micros limit, Done then) {
-    const Moment now = Clock::now();
-    ends = now + std::chrono::microseconds(limit);
+    const TimePoint now = Clock::now();
+    deadline = now + std::chrono::microseconds(limit);
     const Micros write_limit = std::min(limit, request.write_within);
-    write_ends = now + std::chrono::microseconds(write_limit);
-    may_begin = std::move(request.may_begin);
-    out = bytesOf(std::move(request), host);
+    write_deadline = now + std::chrono::microseconds(write_limit);
+    is_write_allowed = std::move(request.is_write_allowed);
+    out = serializeRequest(std::move(request), host);
     sent = 0;
     reader.emplace(body_limit);
     done = std::move(then);
-    written = begun = keep = wait_told = false;
+    written = response_started = keep = retry_after_received = false;
     reused = open;
-    const std::uint64_t mine = ++exchange_number;
+    const std::uint64_t exchange = ++exchange_number;
     if (!open)
-      return connect(mine, std::min(connect_limit, write_limit));
-    setTimer(mine, write_limit);
-    asio::post(socket.get_executor(), [self = shared_from_this(), mine, connect_limit] {
-      if (mine != self->exchange_number)
+      return connect(exchange, std::min(connect_limit, write_limit));
+    setTimer(exchange, write_limit);
+    asio::post(socket.get_executor(), [self = shared_from_this(), exchange, connect_limit] {
+      if (exchange != self->exchange_number)
         return;
-      if (self->quiet())
-        return self->beginWrite(mine);
-      // The other side has closed it, or sent half a line, since it was chosen. Nothing was written.
+      if (self->isIdle())
+        return self->startWrite(exchange);
+      // The peer has closed the connection or sent unexpected bytes since the connection was chosen. Nothing
+      // was written.
       self->close();
       self->reused = false;
-      self->connect(mine, std::min(connect_limit, left(self->write_ends)));
+      self->connect(exchange, std::min(connect_limit, remaining(self->write_deadline)));
     });
   }
 
-  void connect(std::uint64_t mine, Micros limit) {
-    setTimer(mine, limit);
+  void connect(std::uint64_t exchange, Micros limit) {
+    setTimer(exchange, limit);
     error_code unset;
     socket.open(peer.protocol(), unset);
     if (!unset)
       socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBuffer), unset);
-    socket.async_connect(peer, [self = shared_from_this(), mine](error_code error) {
-      if (mine != self->exchange_number)
+    socket.async_connect(peer, [self = shared_from_this(), exchange](error_code error) {
+      if (exchange != self->exchange_number)
         return;
       if (error)
-        return self->finish(Exchanged::not_written);
+        return self->finish(ExchangeResult::not_written);
       self->open = true;
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
       self->socket.non_blocking(true, ignored);
-      self->setTimer(mine, left(self->write_ends));
-      self->beginWrite(mine);
+      self->setTimer(exchange, remaining(self->write_deadline));
+      self->startWrite(exchange);
     });
   }
 
-  static Micros left(Moment until) {
+  static Micros remaining(TimePoint until) {
     return std::chrono::duration_cast<std::chrono::microseconds>(until - Clock::now()).count();
   }
 
-  void setTimer(std::uint64_t mine, Micros span) {
+  void setTimer(std::uint64_t exchange, Micros span) {
     timer.expires_after(std::chrono::microseconds(std::max<Micros>(0, span)));
-    timer.async_wait([self = shared_from_this(), mine, number = ++timer_number](error_code error) {
-      if (error || mine != self->exchange_number || number != self->timer_number)
+    timer.async_wait([self = shared_from_this(), exchange, number = ++timer_number](error_code error) {
+      if (error || exchange != self->exchange_number || number != self->timer_number)
         return;
-      self->timeIsUp(mine);
+      self->onTimeout(exchange);
     });
   }
 
-  void timeIsUp(std::uint64_t mine) {
+  void onTimeout(std::uint64_t exchange) {
     if (!written)
-      return finish(Exchanged::not_written);
-    const bool had_begun = begun;
-    // This process, not the other side, may have been late.
-    if (readAvailable(mine))
+      return finish(ExchangeResult::not_written);
+    const bool had_response_started = response_started;
+    // The response may have arrived in time if this process was late to read it.
+    if (readAvailable(exchange))
       return;
-    if (begun && !had_begun)
-      return setTimer(mine, wait_told ? kWaitAnswerLimit : kAnswerLimit);
-    begun ? end(AnswerReader::State::spoilt) : finish(Exchanged::timed_out);
+    if (response_started && !had_response_started)
+      return setTimer(exchange, retry_after_received ? kRetryAfterResponseLimit : kResponseLimit);
+    response_started ? end(AnswerReader::State::malformed) : finish(ExchangeResult::timed_out);
   }
 
-  // Nothing has come that no request asked for, nor the end of the connection.
-  bool quiet() {
+  // Whether the socket has nothing to read: neither unexpected bytes nor the end of the stream.
+  bool isIdle() {
     char byte;
     error_code error;
     socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
     return error == asio::error::would_block;
   }
 
-  void beginWrite(std::uint64_t mine) {
-    if (may_begin && !may_begin())
-      return finish(Exchanged::not_written);
-    write(mine);
+  void startWrite(std::uint64_t exchange) {
+    if (is_write_allowed && !is_write_allowed())
+      return finish(ExchangeResult::not_written);
+    write(exchange);
   }
 
-  // Written step by step: `written` is true from the very call that hands the last byte to the system, so
-  // that whatever ends the exchange in between knows whether it may have run.
-  void write(std::uint64_t mine) {
+  // Writes without waiting. `written` becomes true right after the call that passes the last byte to the
+  // kernel, so that any event that ends the exchange can tell whether the request may have run.
+  void write(std::uint64_t exchange) {
     while (sent < out.size()) {
-      if (Clock::now() >= write_ends)
-        return finish(Exchanged::not_written);
+      if (Clock::now() >= write_deadline)
+        return finish(ExchangeResult::not_written);
       error_code error;
       sent += socket.write_some(asio::buffer(out.data() + sent, out.size() - sent), error);
       if (error == asio::error::would_block || error == asio::error::try_again)
-        return writeLater(mine);
+        return waitToWrite(exchange);
       if (error)
-        return finish(Exchanged::not_written);
+        return finish(ExchangeResult::not_written);
     }
     written = true;
     out = {};
-    setTimer(mine, left(ends));
-    read(mine);
+    setTimer(exchange, remaining(deadline));
+    read(exchange);
   }
 
-  void writeLater(std::uint64_t mine) {
-    socket.async_wait(tcp::socket::wait_write, [self = shared_from_this(), mine](error_code error) {
-      if (mine != self->exchange_number)
+  void waitToWrite(std::uint64_t exchange) {
+    socket.async_wait(tcp::socket::wait_write, [self = shared_from_this(), exchange](error_code error) {
+      if (exchange != self->exchange_number)
         return;
-      error ? self->finish(Exchanged::not_written) : self->write(mine);
+      error ? self->finish(ExchangeResult::not_written) : self->write(exchange);
     });
   }
 
-  void read(std::uint64_t mine) {
-    socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), mine](error_code error) {
-      if (mine != self->exchange_number)
+  void read(std::uint64_t exchange) {
+    socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), exchange](error_code error) {
+      if (exchange != self->exchange_number)
         return;
       if (error)
-        return self->end(AnswerReader::State::spoilt);
-      if (!self->readAvailable(mine))
-        self->read(mine);
+        return self->end(AnswerReader::State::malformed);
+      if (!self->readAvailable(exchange))
+        self->read(exchange);
     });
   }
 
-  // Reads what has come, without waiting. True: that has ended the exchange.
-  bool readAvailable(std::uint64_t mine) {
-    static char piece[kPiece];  // one loop, one thread: a connection that waits holds no buffer
-    for (int pieces = 0; pieces < kMostPieces; ++pieces) {
+  // Reads the bytes that have arrived, without waiting. Returns true if they ended the exchange.
+  bool readAvailable(std::uint64_t exchange) {
+    static char buffer[kReadSize];  // shared by the single loop thread: a waiting connection holds no buffer
+    for (int reads = 0; reads < kMaxReads; ++reads) {
       error_code error;
-      const std::size_t size = socket.read_some(asio::buffer(piece), error);
+      const std::size_t size = socket.read_some(asio::buffer(buffer), error);
       if (error == asio::error::would_block || error == asio::error::try_again)
         return false;
       if (error) {
-        end(error == asio::error::eof ? reader->end() : AnswerReader::State::spoilt);
+        end(error == asio::error::eof ? reader->parseEnd() : AnswerReader::State::malformed);
         return true;
       }
-      const bool first = !begun;
-      begun = true;
-      in.append(piece, size);
-      const AnswerReader::State state = reader->take(in);
+      const bool first = !response_started;
+      response_started = true;
+      in.append(buffer, size);
+      const AnswerReader::State state = reader->parse(in);
       if (state != AnswerReader::State::partial) {
-        keep = state == AnswerReader::State::whole && reader->keepAlive() && in.empty();
+        keep = state == AnswerReader::State::complete && reader->keepAlive() && in.empty();
         end(state);
         return true;
       }
-      limitAnswer(mine, first);
+      setResponseTimer(exchange, first);
     }
     return false;
   }
 
-  // A part of the answer has come; `first`: there was none before.
-  void limitAnswer(std::uint64_t mine, bool first) {
-    const bool tells_wait = reader->headDone() && reader->head().result_int() == kTooManyRequests;
-    if (tells_wait && !wait_told) {
-      wait_told = true;
-      setTimer(mine, std::min(kWaitAnswerLimit, left(ends)));
+  // Limits the time for the rest of a partial response; `first`: these were its first bytes.
+  void setResponseTimer(std::uint64_t exchange, bool first) {
+    const bool has_retry_after_head =
+        reader->isHeadComplete() && reader->head().result_int() == kTooManyRequests;
+    if (has_retry_after_head && !retry_after_received) {
+      retry_after_received = true;
+      setTimer(exchange, std::min(kRetryAfterResponseLimit, remaining(deadline)));
     } else if (first) {
-      setTimer(mine, std::min(kAnswerLimit, left(ends)));
+      setTimer(exchange, std::min(kResponseLimit, remaining(deadline)));
     }
   }
 
   void end(AnswerReader::State state) {
-    const bool whole = state == AnswerReader::State::whole;
-    finish(whole || reader->says200() ? Exchanged::answered : Exchanged::broken, whole);
+    const bool complete = state == AnswerReader::State::complete;
+    finish(complete || reader->hasStatus200() ? ExchangeResult::answered : ExchangeResult::broken, complete);
   }
 
-  void finish(Exchanged how, bool whole = false) {
+  void finish(ExchangeResult how, bool complete = false) {
     ++exchange_number;
     timer.cancel();
-    HttpAnswer answer = answerNow(how, whole);
+    HttpAnswer answer = buildAnswer(how, complete);
     reader.reset();
     in.clear();
     out = {};
@@ -273,20 +275,20 @@
       then(answer);
   }
 
-  HttpAnswer answerNow(Exchanged how, bool whole) const {
+  HttpAnswer buildAnswer(ExchangeResult how, bool complete) const {
     HttpAnswer answer;
     answer.how = how;
-    answer.whole = whole;
-    answer.begun = begun;
+    answer.complete = complete;
+    answer.response_started = response_started;
     answer.reused = reused;
-    if (reader->headDone()) {
+    if (reader->isHeadComplete()) {
       answer.head_status = static_cast<int>(reader->head().result_int());
       for (const auto& field : reader->head())
-        answer.fields.emplace_back(lower(std::string(field.name_string())), std::string(field.value()));
+        answer.fields.emplace_back(toLower(std::string(field.name_string())), std::string(field.value()));
     }
-    if (how == Exchanged::answered)
-      answer.status = whole ? answer.head_status : 200;
-    if (whole)
+    if (how == ExchangeResult::answered)
+      answer.status = complete ? answer.head_status : 200;
+    if (complete)
       answer.body = reader->head().body();
     return answer;
   }
@@ -295,9 +297,9 @@
     HttpAnswer last;
     done = [&last](const HttpAnswer& answer) { last = answer; };
     if (!written)
-      finish(Exchanged::not_written);
+      finish(ExchangeResult::not_written);
     else if (!readAvailable(exchange_number))
-      finish(Exchanged::timed_out);
+      finish(ExchangeResult::timed_out);
     return last;
   }
 
@@ -332,14 +334,14 @@
   return state_->written;
 }
 
-// What the other side has closed, or sent unasked, shows as something to read. Guards against a request
-// written to a connection that is gone: it would end as a reset and might have run.
+// A close by the peer or unexpected bytes make the socket readable. Guards against writing a request to a
+// closed connection: the exchange would end as a reset, and the request might have run.
 bool HttpConnection::reusable() const {
   if (!state_->open || state_->done)
     return false;
   error_code error;
   state_->socket.non_blocking(true, error);
-  return !error && state_->quiet();
+  return !error && state_->isIdle();
 }
 
 }  // namespace grademux
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -1,6 +1,6 @@
-// grademux: one kept-alive HTTP/1.1 client connection that carries one exchange at a time, on Boost.Beast. It
-// tells how far an exchange came, never sends anything twice, and is closed to call an exchange off. All
-// functions are called on the loop thread.
+// One persistent HTTP/1.1 client connection on Boost.Beast, with one exchange at a time. The connection
+// reports how far an exchange progressed, never sends a request twice, and is closed when an exchange is
+// cancelled. All functions are called on the loop thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,49 +24,53 @@
   std::string method, target;
   std::vector<std::pair<std::string, std::string>> fields;
   std::string body;
-  // Asked right before the first byte is written, once the connection is there; false: nothing is written, as
-  // if there was no connection. Empty: it may.
-  std::function<bool()> may_begin;
-  // The last byte is written within this span (microseconds, from exchange() on) or the exchange ends as not
-  // written.
+  // Called right before the first byte is written, once the connection is established. False: nothing is
+  // written and the exchange ends as not_written. An empty function allows the write.
+  std::function<bool()> is_write_allowed;
+  // Time limit for writing the last byte, in microseconds from the call of exchange(). When the limit passes,
+  // the exchange ends as not_written.
   Micros write_within = kNoLimit;
 };
 
-enum class Exchanged {
-  answered,     // an answer came that can be trusted: see `whole`
-  not_written,  // no connection, or it broke before the last byte was written
-  broken,       // after the last byte the connection broke, or the answer is spoilt: it may have run
-  timed_out     // nothing came in time
+enum class ExchangeResult {
+  answered,     // a response arrived that can be trusted: see HttpAnswer::complete
+  not_written,  // the connection was not made, or failed before the last byte was written
+  broken,    // the connection failed after the last byte, or the response is malformed: it may have run
+  timed_out  // no response byte arrived in time
 };
 
 struct HttpAnswer {
-  Exchanged how = Exchanged::not_written;
-  int status = 0;       // of an answer that can be trusted
-  bool begun = false;   // at least a byte of it came
-  bool whole = false;   // sound from end to end; else only its first line came, and that says 200
-  bool reused = false;  // the request was written on a connection of an earlier exchange
-  int head_status = 0;  // of a head that came to its end, also if the body broke off; 0: none did
-  std::vector<std::pair<std::string, std::string>> fields;  // of that head, names in lower case
-  std::string body;                                         // of a whole answer
-  const std::string* field(const std::string& name) const;  // in lower case; null: there is none
+  ExchangeResult how = ExchangeResult::not_written;
+  int status = 0;                 // of a response that can be trusted
+  bool response_started = false;  // at least one byte of the response arrived
+  bool complete =
+      false;  // complete and well-formed; if false on `answered`, only the status line with 200 is valid
+  bool reused = false;  // the request used the connection of an earlier exchange
+  int head_status = 0;  // of a complete head, also if the body is truncated; 0: no complete head
+  std::vector<std::pair<std::string, std::string>> fields;  // of that head, with names in lower case
+  std::string body;                                         // of a complete response
+  // The value of a field, whose name is given in lower case; null if the head has no such field.
+  const std::string* field(const std::string& name) const;
 };
 
 class HttpConnection {
  public:
   using Done = std::function<void(const HttpAnswer&)>;
   HttpConnection(boost::asio::io_context& io, tcp::endpoint peer, std::string host, std::size_t body_limit);
-  ~HttpConnection();  // closes it; an exchange under way is called off and its Done never called
+  ~HttpConnection();  // closes the connection; the Done of a pending exchange is never called
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Done is called once, from the event loop, never from within this call.
+  // Sends a request. Done is called once, from the event loop, never from within this call. Both limits are in
+  // microseconds.
   void exchange(HttpRequest request, Micros connect_limit, Micros limit, Done done);
-  // Calls the exchange off and answers what has come of it by now, without waiting. Its Done is not called.
-  // `answered`: it is over as if it had not been called off. Requires an exchange under way.
+  // Cancels the pending exchange and returns its result so far, without waiting. Its Done is not called. The
+  // result `answered` means that the response had already arrived. Requires a pending exchange.
   HttpAnswer abandon();
-  // The last byte of the request under way has been handed to the system: it may reach the other side.
+  // Whether the last byte of the current request has been passed to the kernel, so that the peer may receive
+  // it.
   bool written() const;
-  bool reusable() const;  // open, idle, and not closed from the other side
+  bool reusable() const;  // open, idle, and not closed by the peer
 
  private:
   struct State;
--- a/src/transport/http/answer_outcome.cpp
+++ b/src/transport/http/answer_outcome.cpp
@@ -34,11 +34,11 @@
 }  // namespace
 
 AttemptResult attemptResult(const HttpAnswer& answer) {
-  if (answer.how == Exchanged::not_written)
+  if (answer.how == ExchangeResult::not_written)
     return AttemptResult::connect_failed;
-  if (answer.how == Exchanged::broken)
+  if (answer.how == ExchangeResult::broken)
     return AttemptResult::reset;
-  if (answer.how == Exchanged::timed_out)
+  if (answer.how == ExchangeResult::timed_out)
     return AttemptResult::timeout;
   switch (answer.status) {
     case kOk:
@@ -67,7 +67,7 @@
   return static_cast<Micros>(std::ceil(std::min(*seconds * 1e6, static_cast<double>(kMaxRetryAfter))));
 }
 
-// Reads "x0=0.4,x1=25". A report with a malformed part is ignored: taken as zero it would mean no limit.
+// Parses "x0=0.4,x1=25". A report with a malformed part is ignored: a limit read as zero would mean no limit.
 std::optional<LimitReport> limitReportOf(const HttpAnswer& answer) {
   const std::string* header = answer.field(kLoadReportField);
   if (!header)
--- a/src/transport/http/answer_outcome.h
+++ b/src/transport/http/answer_outcome.h
@@ -1,5 +1,5 @@
-// What an endpoint's response means, by the platform protocol's table of outcomes: the only place that knows
-// its status codes and header fields. No I/O and no clock.
+// Maps an endpoint's response to an attempt outcome by the platform protocol's outcome table. Only this
+// module uses the protocol's status codes and response header fields. No I/O and no clock.
 #pragma once
 
 #include <optional>
@@ -10,9 +10,10 @@
 
 // The result of an attempt; a status that is not in the table is an error.
 AttemptResult attemptResult(const HttpAnswer& answer);
-// The Retry-After of a rejection, in microseconds; 0: none. It counts also if the body broke off.
+// The Retry-After of a rejection, in microseconds, or 0 without one. It is valid even if the body is
+// truncated.
 Micros retryAfterOf(const HttpAnswer& answer);
-// The load report in the head; none if it is absent or any part of it is malformed.
+// The load report in the head; empty if the report is absent or any part of it is malformed.
 std::optional<LimitReport> limitReportOf(const HttpAnswer& answer);
 
 }  // namespace grademux
--- a/src/transport/http/http_transport.cpp
+++ b/src/transport/http/http_transport.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxResponseBodyBytes = 65536;
 
 void logAttemptFinished(const AttemptId& id, const std::string& endpoint, AttemptResult result) {
-  if (!log::on(log::Event::attempt_finished))
+  if (!log::isEnabled(log::Event::attempt_finished))
     return;
   log::write(log::Event::attempt_finished, {{"message", id.message_id},
                                             {"endpoint", endpoint},
@@ -49,7 +49,7 @@
   cancelUnwrittenIf([&](const Attempt& attempt) { return attempt.endpoint == endpoint; });
 }
 
-// The most recently used idle connection that is still usable; null: there is none.
+// Returns the most recently used idle connection that is still usable, or null.
 std::unique_ptr<HttpConnection> HttpTransport::takeIdleConnection(const std::string& endpoint) {
   const auto pool = idle_connections_.find(endpoint);
   if (pool == idle_connections_.end())
@@ -79,7 +79,7 @@
   http.body = message.body;
   http.write_within = request.write_within;
   if (is_send_allowed_)
-    http.may_begin = [this, endpoint = request.endpoint] { return is_send_allowed_(endpoint); };
+    http.is_write_allowed = [this, endpoint = request.endpoint] { return is_send_allowed_(endpoint); };
   return http;
 }
 
@@ -134,19 +134,20 @@
   outcome.attempt = id.attempt;
   outcome.result = attemptResult(answer);
   // Missing the write deadline is not evidence against the endpoint.
-  if (answer.how == Exchanged::not_written && now >= attempt.write_deadline)
+  if (answer.how == ExchangeResult::not_written && now >= attempt.write_deadline)
     outcome.result = AttemptResult::not_sent;
-  outcome.already_finished =
-      answer.how == Exchanged::answered && (answer.status == kDelivered || answer.status == kFinishedEarlier);
+  outcome.already_finished = answer.how == ExchangeResult::answered &&
+                             (answer.status == kDelivered || answer.status == kFinishedEarlier);
   outcome.retry_after = retryAfterOf(answer);
   outcome.round_trip = std::max<Micros>(1, now - attempt.started_at);
   outcome.limit_report = limitReportOf(answer);
-  outcome.stale_connection = outcome.result == AttemptResult::reset && answer.reused && !answer.begun;
+  outcome.stale_connection =
+      outcome.result == AttemptResult::reset && answer.reused && !answer.response_started;
   return outcome;
 }
 
-// An endpoint has asked to wait for `retry_after` (0: it has not): attempts in its scope that are not written
-// yet are cancelled.
+// Cancels the unwritten attempts in the scope of an endpoint that sent a Retry-After; 0: the endpoint sent
+// none.
 void HttpTransport::applyRetryAfter(const std::string& endpoint, Micros retry_after) {
   if (retry_after == 0 || !scope_of_)
     return;
@@ -195,7 +196,7 @@
   attempts_.erase(known);
   const HttpAnswer last = attempt.connection->abandon();
   AttemptOutcome outcome = finishAttempt(attempt_id, attempt, last);
-  if (last.how != Exchanged::answered)
+  if (last.how != ExchangeResult::answered)
     outcome.result = AttemptResult::cancelled;
   logAttemptFinished(attempt_id, attempt.endpoint, outcome.result);
   const Micros retry_after = outcome.retry_after;
--- a/src/transport/http/http_transport.h
+++ b/src/transport/http/http_transport.h
@@ -1,6 +1,6 @@
-// Sends attempts to endpoints over HTTP/1.1: the connection pool, and the outcome of each attempt. No policy:
-// when an attempt starts, how long it may take and which connections are closed is decided elsewhere. Loop
-// thread only.
+// Sends attempts to endpoints over HTTP/1.1, manages the connection pool and reports the outcome of each
+// attempt. The module has no policy: the start and time limit of an attempt and the connections to close are
+// decided elsewhere. Loop thread only.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -40,7 +40,7 @@
   using SendGuard = std::function<bool(const std::string& endpoint)>;
   void setSendGuard(SendGuard guard) { is_send_allowed_ = std::move(guard); }
   // The scope of an endpoint's Retry-After: all endpoints of one scope wait when one of them asks to.
-  // Attempts in the scope whose last byte is not written by then end as not sent, and may be decided again.
+  // Attempts in the scope whose last byte is not yet written end as not_sent and may be decided again.
   using ScopeOf = std::function<std::string(const std::string& endpoint)>;
   void setScopes(ScopeOf scope_of) { scope_of_ = std::move(scope_of); }
   // Idle connections over the new limits are closed as they are used or expire.
@@ -63,7 +63,7 @@
   void onAttemptFinished(const AttemptId& id, const HttpAnswer& answer);
   AttemptOutcome outcomeOf(const AttemptId& id, const Attempt& attempt, const HttpAnswer& answer) const;
   AttemptOutcome finishAttempt(const AttemptId& id, Attempt& attempt, const HttpAnswer& answer);
-  void applyRetryAfter(const std::string& endpoint, Micros wait);
+  void applyRetryAfter(const std::string& endpoint, Micros retry_after);
   void postOutcome(AttemptOutcome outcome);
   void returnToPool(Attempt& attempt);
   void sweep();
--- a/tests/membership/dns_client_test.cpp
+++ b/tests/membership/dns_client_test.cpp
@@ -22,7 +22,7 @@
   }
   DnsAnswer look(const NameSpec& spec) {
     std::optional<DnsAnswer> got;
-    client->look(spec, [&](DnsAnswer a) { got = std::move(a); });
+    client->resolve(spec, [&](DnsAnswer a) { got = std::move(a); });
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(60);
     while (!got && std::chrono::steady_clock::now() < until)
       io.run_one_for(std::chrono::milliseconds(50));
@@ -121,7 +121,7 @@
   bool told = false;
   NameSpec s;
   s.host = "shop.test";
-  client->look(s, [&](const DnsAnswer&) { told = true; });
+  client->resolve(s, [&](const DnsAnswer&) { told = true; });
   io.poll();
   client.reset();
   io.run_for(std::chrono::milliseconds(50));
