--- a/bench/log_bench.cpp
+++ b/bench/log_bench.cpp
@@ -10,20 +10,20 @@
 using namespace grademux;
 
 void write(benchmark::State& state, log::Level level, double rate, bool json) {
-  log::Spec spec;
-  spec.file = "/tmp/grademux-log-bench";
-  spec.level = level;
-  spec.rate = rate;
-  spec.burst = 1;
-  spec.json = json;
-  log::configure(spec);
+  log::Config config;
+  config.file = "/tmp/grademux-log-bench";
+  config.level = level;
+  config.rate = rate;
+  config.burst = 1;
+  config.json = json;
+  log::configure(config);
   for (auto _ : state)
     log::write(log::Event::attempt_finished, {{"message", "0123456789abcdef"},
                                               {"endpoint", "print-shop@127.0.0.1:9001"},
                                               {"attempt", 1},
                                               {"outcome", "ok"}});
   log::configure({});
-  std::remove(spec.file.c_str());
+  std::remove(config.file.c_str());
 }
 void BM_LogLineOffByLevel(benchmark::State& s) {
   write(s, log::Level::info, 0, false);
--- a/src/core/final_outcomes.cpp
+++ b/src/core/final_outcomes.cpp
@@ -33,7 +33,7 @@
 }
 
 void FinalOutcomes::finish(const std::string& id, const FinalOutcome& outcome) {
-  if (log::on(log::Event::message_finished))
+  if (log::isEnabled(log::Event::message_finished))
     log::write(log::Event::message_finished, {{"message", id},
                                               {"outcome", nameOf(outcome.status)},
                                               {"attempts", registry_.findOpen(id)->attempts}});
--- a/src/daemon/daemon_file.cpp
+++ b/src/daemon/daemon_file.cpp
@@ -53,7 +53,7 @@
 
 void readLog(const toml::table& table, DaemonFile& file, std::vector<Mistake>& mistakes) {
   TomlTable log_table(table, "log", mistakes, &file.effective);
-  log::Spec& log_config = file.log;
+  log::Config& log_config = file.log;
   const auto read_level = [](TomlTable& source, const char* key, log::Level level) {
     const std::string name =
         source.oneOf(key, {"debug", "info", "warning", "error", "off"}, log::nameOf(level));
--- a/src/daemon/daemon_file.h
+++ b/src/daemon/daemon_file.h
@@ -30,7 +30,7 @@
 struct DaemonFile {
   std::string path;  // empty: the program runs without a daemon file
   std::vector<ListenerConfig> listeners;
-  log::Spec log;
+  log::Config log;
   knowledge::LearnedStateConfig knowledge;
   std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // of the admin server: [operators]
   std::optional<fleet::FleetConfig> fleet;                      // the fleet that this sender belongs to
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -234,7 +234,7 @@
            DaemonFile daemon_file, const Recording& recording) {
   Service service(io, signals, std::move(config), std::move(daemon_file), recording);
   io.run();
-  log::finish();
+  log::writeSuppressedCounts();
 }
 
 }  // namespace grademux
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,4 +1,4 @@
-// grademux: the log; see log.h.
+// See log.h.
 #include "log.h"
 
 #include <spdlog/sinks/basic_file_sink.h>
@@ -23,12 +23,12 @@
 constexpr const char* kJsonLine = "{\"time\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v}";
 constexpr const char* kLevels[] = {"debug", "info", "warning", "error", "off"};
 
-// As JSON has it, so that no value can end a line or look like another field.
-std::string quoted(std::string_view v) {
+// Returns a value as a JSON string, so that no value can end the line or imitate another field.
+std::string quote(std::string_view v) {
   return json(v).dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
-bool plain(std::string_view v) {
+bool isPlain(std::string_view v) {
   for (const char c : v)
     if (c <= ' ' || c >= 127 || c == '"' || c == '=' || c == '\\')
       return false;
@@ -36,62 +36,62 @@
 }
 
 struct Log {
-  Log() { use(Spec{}); }
+  Log() { apply(Config{}); }
 
-  void use(const Spec& fresh) {
-    auto next = make(fresh);
+  void apply(const Config& new_config) {
+    auto new_logger = makeLogger(new_config);
     const std::lock_guard<std::mutex> l(mutex);
-    spec = fresh;
-    bound = RateBound(kCount, fresh.rate, fresh.burst);
-    logger = std::move(next);
+    config = new_config;
+    rate_limiter = LineRateLimiter(kCount, new_config.rate, new_config.burst);
+    logger = std::move(new_logger);
     for (std::size_t i = 0; i < kCount; ++i) {
       const std::string name = kEvents[i].name;
-      const auto part = fresh.parts.find(name.substr(0, name.find('.')));
-      const Level least = part == fresh.parts.end() ? fresh.level : part->second;
-      enabled[i] = kEvents[i].level >= least && least != Level::off;
+      const auto part = new_config.parts.find(name.substr(0, name.find('.')));
+      const Level min_level = part == new_config.parts.end() ? new_config.level : part->second;
+      enabled[i] = kEvents[i].level >= min_level && min_level != Level::off;
     }
   }
 
-  static std::shared_ptr<spdlog::logger> make(const Spec& s) {
+  static std::shared_ptr<spdlog::logger> makeLogger(const Config& settings) {
     try {
       std::shared_ptr<spdlog::sinks::sink> sink;
-      if (s.file.empty())
+      if (settings.file.empty())
         sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
       else
-        sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(s.file);
+        sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(settings.file);
       auto l = std::make_shared<spdlog::logger>("grademux", std::move(sink));
       l->set_level(spdlog::level::trace);
       l->flush_on(spdlog::level::trace);
-      l->set_pattern(s.json ? kJsonLine : kTextLine, spdlog::pattern_time_type::utc);
+      l->set_pattern(settings.json ? kJsonLine : kTextLine, spdlog::pattern_time_type::utc);
       return l;
     } catch (const spdlog::spdlog_ex& e) {
-      throw std::runtime_error("the log's file " + s.file + " can't be opened: " + e.what());
+      throw std::runtime_error("the log's file " + settings.file + " can't be opened: " + e.what());
     }
   }
 
-  // Under the lock.
-  void line(Event e, std::initializer_list<Field> fields) {
-    logger->log(spdlog::level::info, "{}", shown(e, fields, spec.json));
+  // Requires the lock.
+  void writeLine(Event e, std::initializer_list<Field> fields) {
+    logger->log(spdlog::level::info, "{}", formatLine(e, fields, config.json));
   }
-  void tellLeftOut(Micros now, bool all) {
-    if (!bound.anyLeftOut())
+  void writeSuppressed(Micros now, bool all) {
+    if (!rate_limiter.hasSuppressed())
       return;
     for (std::size_t i = 0; i < kCount; ++i)
-      if (all || bound.calm(i, now))
-        if (const std::size_t n = bound.takeLeftOut(i))
-          line(Event::log_suppressed, {{"event", kEvents[i].name}, {"lines", n}});
+      if (all || rate_limiter.hasToken(i, now))
+        if (const std::size_t n = rate_limiter.takeSuppressed(i))
+          writeLine(Event::log_suppressed, {{"event", kEvents[i].name}, {"lines", n}});
   }
 
   std::mutex mutex;
-  Spec spec;
-  RateBound bound{kCount, 0, 0};
+  Config config;
+  LineRateLimiter rate_limiter{kCount, 0, 0};
   std::shared_ptr<spdlog::logger> logger;
   std::array<std::atomic<bool>, kCount> enabled{};
 };
 
 Log& log() {
-  static Log* const one = new Log;  // outlives every thread that may still write
-  return *one;
+  static Log* const instance = new Log;  // outlives every thread that may still write
+  return *instance;
 }
 
 }  // namespace
@@ -111,10 +111,11 @@
   return false;
 }
 
-std::string shown(Event e, std::initializer_list<Field> fields, bool as_json) {
-  const EventSpec& spec = specOf(e);
-  std::string out = as_json ? "\"level\":" + quoted(nameOf(spec.level)) + ",\"event\":" + quoted(spec.name)
-                            : std::string(nameOf(spec.level)) + " " + spec.name;
+std::string formatLine(Event e, std::initializer_list<Field> fields, bool as_json) {
+  const EventSpec& event_spec = specOf(e);
+  std::string out =
+      as_json ? "\"level\":" + quote(nameOf(event_spec.level)) + ",\"event\":" + quote(event_spec.name)
+              : std::string(nameOf(event_spec.level)) + " " + event_spec.name;
   for (const Field& f : fields) {
     const auto* text = std::get_if<std::string_view>(&f.value);
     if (text && text->empty())
@@ -122,37 +123,37 @@
     out += as_json ? ",\"" + std::string(f.name) + "\":" : " " + std::string(f.name) + "=";
     if (!text)
       out += std::to_string(std::get<std::int64_t>(f.value));
-    else if (!as_json && plain(*text))
+    else if (!as_json && isPlain(*text))
       out += *text;
     else
-      out += quoted(*text);
+      out += quote(*text);
   }
   return out;
 }
 
-void configure(const Spec& spec) {
-  log().use(spec);
+void configure(const Config& config) {
+  log().apply(config);
 }
-void finish() {
+void writeSuppressedCounts() {
   Log& l = log();
   const std::lock_guard<std::mutex> hold(l.mutex);
-  l.tellLeftOut(0, true);
+  l.writeSuppressed(0, true);
 }
 
-bool on(Event e) {
+bool isEnabled(Event e) {
   return log().enabled[static_cast<std::size_t>(e)].load(std::memory_order_relaxed);
 }
 
 void write(Event e, std::initializer_list<Field> fields) {
-  if (!on(e))
+  if (!isEnabled(e))
     return;
   Log& l = log();
   const Micros now = monotonicNow();
   const std::lock_guard<std::mutex> hold(l.mutex);
-  if (!l.bound.allow(static_cast<std::size_t>(e), now))
+  if (!l.rate_limiter.allow(static_cast<std::size_t>(e), now))
     return;
-  l.tellLeftOut(now, false);
-  l.line(e, fields);
+  l.writeSuppressed(now, false);
+  l.writeLine(e, fields);
 }
 
 }  // namespace grademux::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,6 +1,6 @@
-// grademux: the log: one line for each event, with its fields, as text or as JSON, by spdlog. Any thread may
-// write; a line is on its way to the file when write() returns. No body, key or secret of a message is a
-// field of any event.
+// Event log on spdlog: one line for each event with its fields, as text or JSON. Any thread may write; a line
+// has been passed to the file when write() returns. No field of any event contains a message body, key or
+// secret.
 #pragma once
 
 #include <initializer_list>
@@ -21,33 +21,34 @@
   Field(const char* n, Number v) : name(n), value(static_cast<std::int64_t>(v)) {}
 
   const char* name;
-  std::variant<std::int64_t, std::string_view> value;  // what it views lasts until write() returns
+  std::variant<std::int64_t, std::string_view> value;  // a view must stay valid until write() returns
 };
 
-struct Spec {
+struct Config {
   bool json = false;
   std::string file;  // empty: standard error
   Level level = Level::info;
-  std::map<std::string, Level> parts;  // instead, for these
-  double rate = 20;                    // lines a second of each event in the long run; 0: no bound
-  double burst = 100;                  // at once
+  std::map<std::string, Level> parts;  // levels of these parts, which override `level`
+  double rate = 20;                    // lines per second of each event in the long run; 0: no limit
+  double burst = 100;                  // lines of each event at once
 };
 
-// From now on; the file is opened anew, as it may have been renamed. Throws std::runtime_error if it can't be
-// opened; then all is as before.
-void configure(const Spec& spec);
-// Tells what was left out and not told yet: before the process ends.
-void finish();
+// Applies a configuration. The file is reopened, as it may have been renamed. Throws std::runtime_error if
+// the file can't be opened; the previous configuration then stays in effect.
+void configure(const Config& config);
+// Logs the counts of suppressed lines that are not logged yet. Called before the process ends.
+void writeSuppressedCounts();
 
-// Whether an event would be written by its level. For those that stand in the way of each message.
-bool on(Event e);
-// Fields are those of the event's entry in kEvents; an empty text is left out.
+// Whether the level of an event is enabled. Callers on the path of each message check this before they build
+// fields.
+bool isEnabled(Event e);
+// Writes a line. The fields are those of the event's entry in kEvents; a field with an empty text is omitted.
 void write(Event e, std::initializer_list<Field> fields = {});
 
 const EventSpec& specOf(Event e);
 const char* nameOf(Level l);
 bool levelOf(const std::string& name, Level& out);
-// One line without time and level, as it is written: for tests and for those who read logs by program.
-std::string shown(Event e, std::initializer_list<Field> fields, bool json);
+// Formats a line as it is written, without the time. Used by tests and by programs that read logs.
+std::string formatLine(Event e, std::initializer_list<Field> fields, bool json);
 
 }  // namespace grademux::log
--- a/src/log/rate.h
+++ b/src/log/rate.h
@@ -1,4 +1,4 @@
-// grademux: a bound on how many lines of one kind are logged: a token bucket for each kind. No I/O, no clock.
+// Limits the rate of log lines with one token bucket for each kind of line. No I/O and no clock.
 #pragma once
 
 #include <algorithm>
@@ -9,52 +9,55 @@
 
 namespace grademux::log {
 
-class RateBound {
+class LineRateLimiter {
  public:
-  // `rate`: lines a second of one kind in the long run; as many of `burst` at once. 0: no bound.
-  RateBound(std::size_t kinds, double rate, double burst)
-      : rate_(rate), burst_(std::max(burst, 1.0)), kinds_(kinds, Kind{burst_, 0, 0}) {}
+  // `rate` is the sustained number of lines per second of one kind, 0 for no limit; `burst` is the number of
+  // lines of one kind at once.
+  LineRateLimiter(std::size_t kinds, double rate, double burst)
+      : rate_(rate), burst_(std::max(burst, 1.0)), buckets_(kinds, Bucket{burst_, 0, 0}) {}
 
-  // Whether a line of this kind may be written at `now`; if not, it is counted.
+  // Returns whether a line of this kind may be written at `now`, and takes a token. Suppressed lines are
+  // counted.
   bool allow(std::size_t kind, Micros now) {
     if (rate_ <= 0)
       return true;
-    Kind& k = kinds_[kind];
-    k.tokens =
-        std::min(burst_, k.tokens + static_cast<double>(std::max<Micros>(0, now - k.at)) * rate_ / 1e6);
-    k.at = now;
-    if (k.tokens < 1) {
-      ++k.left_out;
-      ++left_out_;
+    Bucket& bucket = buckets_[kind];
+    bucket.tokens =
+        std::min(burst_, bucket.tokens +
+                             static_cast<double>(std::max<Micros>(0, now - bucket.updated_at)) * rate_ / 1e6);
+    bucket.updated_at = now;
+    if (bucket.tokens < 1) {
+      ++bucket.suppressed;
+      ++total_suppressed_;
       return false;
     }
-    k.tokens -= 1;
+    bucket.tokens -= 1;
     return true;
   }
 
-  // What was left out of a kind since this was asked last.
-  std::size_t takeLeftOut(std::size_t kind) {
-    const std::size_t n = kinds_[kind].left_out;
-    kinds_[kind].left_out = 0;
-    left_out_ -= n;
+  // Returns the number of suppressed lines of a kind and resets it to 0.
+  std::size_t takeSuppressed(std::size_t kind) {
+    const std::size_t n = buckets_[kind].suppressed;
+    buckets_[kind].suppressed = 0;
+    total_suppressed_ -= n;
     return n;
   }
-  bool anyLeftOut() const { return left_out_ > 0; }
-  // Whether a kind has tokens again: the flood is over, and its count may be told.
-  bool calm(std::size_t kind, Micros now) const {
-    const Kind& k = kinds_[kind];
-    return k.tokens + static_cast<double>(now - k.at) * rate_ / 1e6 >= 1;
+  bool hasSuppressed() const { return total_suppressed_ > 0; }
+  // Whether a kind has a token again: the burst is over, and its count of suppressed lines can be logged.
+  bool hasToken(std::size_t kind, Micros now) const {
+    const Bucket& bucket = buckets_[kind];
+    return bucket.tokens + static_cast<double>(now - bucket.updated_at) * rate_ / 1e6 >= 1;
   }
 
  private:
-  struct Kind {
+  struct Bucket {
     double tokens;
-    Micros at;
-    std::size_t left_out;
+    Micros updated_at;
+    std::size_t suppressed;
   };
   double rate_, burst_;
-  std::vector<Kind> kinds_;
-  std::size_t left_out_ = 0;
+  std::vector<Bucket> buckets_;
+  std::size_t total_suppressed_ = 0;
 };
 
 }  // namespace grademux::log
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -27,26 +27,26 @@
 struct LogTest : ::testing::Test {
   ~LogTest() override { log::configure({}); }
   void open(double rate = 0, bool as_json = false) {
-    spec.file = folder.path() + "/log";
-    spec.rate = rate;
-    spec.burst = 3;
-    spec.json = as_json;
-    log::configure(spec);
+    config.file = folder.path() + "/log";
+    config.rate = rate;
+    config.burst = 3;
+    config.json = as_json;
+    log::configure(config);
   }
-  std::string text() const { return read(spec.file); }
+  std::string text() const { return read(config.file); }
   loopback::TempFolder folder;
-  log::Spec spec;
+  log::Config config;
 };
 
 TEST_F(LogTest, ALineIsALineWhateverItsValuesHold) {
   const std::string odd = "a b=\"c\"\nd\x01\xff";
-  EXPECT_EQ(log::shown(Event::discovery_malformed, {{"cause", "plain"}}, false),
+  EXPECT_EQ(log::formatLine(Event::discovery_malformed, {{"cause", "plain"}}, false),
             "warning discovery.malformed cause=plain");
   const std::string text =
-      log::shown(Event::discovery_malformed, {{"cause", odd}, {"n", -5}, {"e", ""}}, false);
+      log::formatLine(Event::discovery_malformed, {{"cause", odd}, {"n", -5}, {"e", ""}}, false);
   EXPECT_EQ(text, "warning discovery.malformed cause=\"a b=\\\"c\\\"\\nd\\u0001\\ufffd\" n=-5");
   const json j =
-      json::parse("{" + log::shown(Event::discovery_malformed, {{"cause", odd}, {"n", 5}}, true) + "}");
+      json::parse("{" + log::formatLine(Event::discovery_malformed, {{"cause", odd}, {"n", 5}}, true) + "}");
   EXPECT_EQ(j["event"], "discovery.malformed");
   EXPECT_EQ(j["level"], "warning");
   EXPECT_EQ(j["n"], 5);
@@ -70,49 +70,49 @@
   log::write(Event::journal_tail_truncated);
   EXPECT_EQ(count(text(), "journal.write_failed"), 3u);
   EXPECT_EQ(count(text(), "journal.tail_truncated"), 1u);
-  log::finish();
+  log::writeSuppressedCounts();
   EXPECT_EQ(count(text(), "log.suppressed event=journal.write_failed lines=4997"), 1u) << text();
-  log::finish();
+  log::writeSuppressedCounts();
   EXPECT_EQ(count(text(), "log.suppressed"), 1u);
 }
 
 TEST(LogRate, RefillsWithTimeAndTellsWhenItIsCalm) {
-  log::RateBound r(2, 10, 2);
+  log::LineRateLimiter r(2, 10, 2);
   EXPECT_TRUE(r.allow(0, 0));
   EXPECT_TRUE(r.allow(0, 0));
   EXPECT_FALSE(r.allow(0, 0));
   EXPECT_TRUE(r.allow(1, 0));
-  EXPECT_FALSE(r.calm(0, 50'000));
-  EXPECT_TRUE(r.calm(0, 100'000));
+  EXPECT_FALSE(r.hasToken(0, 50'000));
+  EXPECT_TRUE(r.hasToken(0, 100'000));
   EXPECT_TRUE(r.allow(0, 100'000));
   EXPECT_FALSE(r.allow(0, 90'000));  // a clock that goes back gives nothing
-  EXPECT_EQ(r.takeLeftOut(0), 2u);
-  EXPECT_FALSE(r.anyLeftOut());
+  EXPECT_EQ(r.takeSuppressed(0), 2u);
+  EXPECT_FALSE(r.hasSuppressed());
 }
 
 TEST_F(LogTest, LevelsAreSetByPart) {
-  spec.level = log::Level::error;
-  spec.parts["journal"] = log::Level::info;
-  spec.parts["attempt"] = log::Level::debug;
-  spec.parts["membership"] = log::Level::off;
+  config.level = log::Level::error;
+  config.parts["journal"] = log::Level::info;
+  config.parts["attempt"] = log::Level::debug;
+  config.parts["membership"] = log::Level::off;
   open();
-  EXPECT_TRUE(log::on(Event::journal_tail_truncated));
-  EXPECT_TRUE(log::on(Event::attempt_finished));
-  EXPECT_FALSE(log::on(Event::message_finished));
-  EXPECT_FALSE(log::on(Event::daemon_ready));
-  EXPECT_TRUE(log::on(Event::daemon_file_rejected));
-  EXPECT_FALSE(log::on(Event::membership_file_rejected));
+  EXPECT_TRUE(log::isEnabled(Event::journal_tail_truncated));
+  EXPECT_TRUE(log::isEnabled(Event::attempt_finished));
+  EXPECT_FALSE(log::isEnabled(Event::message_finished));
+  EXPECT_FALSE(log::isEnabled(Event::daemon_ready));
+  EXPECT_TRUE(log::isEnabled(Event::daemon_file_rejected));
+  EXPECT_FALSE(log::isEnabled(Event::membership_file_rejected));
 }
 
 TEST_F(LogTest, AFileThatWasRenamedIsOpenedAnewAndOneThatCantBeOpenedLeavesAllAsItWas) {
   open();
   log::write(Event::journal_tail_truncated);
-  std::filesystem::rename(spec.file, spec.file + ".1");
-  log::configure(spec);
+  std::filesystem::rename(config.file, config.file + ".1");
+  log::configure(config);
   log::write(Event::daemon_stopping);
-  EXPECT_EQ(count(read(spec.file + ".1"), "journal.tail_truncated"), 1u);
+  EXPECT_EQ(count(read(config.file + ".1"), "journal.tail_truncated"), 1u);
   EXPECT_EQ(count(text(), "daemon.stopping"), 1u);
-  log::Spec bad = spec;
+  log::Config bad = config;
   bad.file = folder.path() + "/no/such/folder\0/log";
   std::ofstream(folder.path() + "/no") << "a file";
   EXPECT_THROW(log::configure(bad), std::runtime_error);
@@ -135,8 +135,8 @@
     std::istringstream words(e.fields);
     for (std::string w; words >> w;)
       fields += (fields.empty() ? "`" : ", `") + w + "`";
-    const std::string row =
-        "| `" + std::string(e.name) + "` | " + log::nameOf(e.level) + " | " + fields + " | " + e.says + " |";
+    const std::string row = "| `" + std::string(e.name) + "` | " + log::nameOf(e.level) + " | " + fields +
+                            " | " + e.description + " |";
     EXPECT_EQ(lines.erase(row), 1u) << "missing: " << row;
   }
   for (const std::string& l : lines)
