--- a/src/net/dns_client.cpp
+++ b/src/net/dns_client.cpp
@@ -46,7 +46,7 @@
 }
 
 template <class Record, class Parse, class Text>
-DnsRecords recordsOf(const unsigned char* bytes, int size, Parse parse, Text text) {
+DnsRecords parseRecords(const unsigned char* bytes, int size, Parse parse, Text text) {
   std::vector<Record> found(kMaxRecords);
   int count = kMaxRecords;
   const int status = parse(bytes, size, nullptr, found.data(), &count);
