--- a/src/daemon/sender_components.cpp
+++ b/src/daemon/sender_components.cpp
@@ -57,7 +57,7 @@
   if (components.recorder)
     components.engine->setObserver(
         [&components](Micros now, const std::vector<Event>& events, const std::vector<Action>& actions) {
-          components.recorder->turn(now, events, actions);
+          components.recorder->recordIteration(now, events, actions);
         });
 }
 
--- a/src/replay/losses.cpp
+++ b/src/replay/losses.cpp
@@ -1,4 +1,4 @@
-// grademux: where worth went; see losses.h.
+// See losses.h.
 #include "losses.h"
 
 #include <algorithm>
@@ -17,265 +17,277 @@
 
 namespace {
 
-constexpr std::size_t kParts = static_cast<std::size_t>(Part::count);
-constexpr const char* kPartNames[kParts] = {"before it came",        "held before its first call",
-                                            "held for another call", "in calls that failed",
-                                            "the process was away",  "in the call that delivered"};
-constexpr std::size_t kMostShown = 10;  // destinations
+constexpr std::size_t kPhases = static_cast<std::size_t>(Phase::count);
+constexpr const char* kPhaseNames[kPhases] = {"before it came",        "held before its first call",
+                                              "held for another call", "in calls that failed",
+                                              "the process was away",  "in the call that delivered"};
+constexpr std::size_t kMaxPrintedDestinations = 10;
 
-struct Call {
-  Micros sent = 0;
-  bool out = true;
+struct AttemptState {
+  Micros sent_at = 0;
+  bool in_flight = true;
 };
 
-struct Account {
-  const MessageClass* cls = nullptr;
+struct MessageTimeline {
+  const MessageClass* message_class = nullptr;
   std::int64_t destination = 0;
-  Micros handed_in = 0, heard = 0, since = 0;  // since: what passed before has its part
-  std::vector<Call> calls;
-  int out = 0;
-  bool ailing = false, started = false, tried = false;
-  Micros parts[kParts] = {};
+  Micros submitted_at = 0, arrived_at = 0;
+  Micros accounted_until = 0;  // the time before this is assigned to phases
+  std::vector<AttemptState> attempts;
+  int in_flight = 0;  // number of attempts
+  bool unhealthy = false, recently_started = false, attempted = false;
+  Micros phase_times[kPhases] = {};
 };
 
-struct Ailing {
+struct DestinationState {
   bool down = false;
-  Micros cold_since = 0;
+  Micros warming_since = 0;
 };
 
-class Reader {
+class LossAnalyzer {
  public:
-  explicit Reader(Losses& l) : l_(l) {}
+  explicit LossAnalyzer(Losses& l) : losses_(l) {}
 
-  void head(Head h) {
-    ++l_.runs;
+  void onHead(Head h) {
+    ++losses_.runs;
     settings_.push_back(std::make_unique<Settings>(std::move(h.settings)));
-    begun_ = -1;
-    for (auto& [id, a] : open_) {  // out when the process ended: nobody heard
-      if (a.out > 0)
-        spend(a, Part::failed, last_);
-      a.out = 0;
-      for (Call& c : a.calls)
-        c.out = false;
+    run_started_at_ = -1;
+    // No process received the outcomes of attempts that were in flight at the end of the previous run.
+    for (auto& [id, timeline] : open_) {
+      if (timeline.in_flight > 0)
+        addTime(timeline, Phase::failed_attempt, last_iteration_at_);
+      timeline.in_flight = 0;
+      for (AttemptState& c : timeline.attempts)
+        c.in_flight = false;
     }
   }
 
-  void turn(const Turn& t) {
+  void onIteration(const Iteration& t) {
     now_ = t.now;
-    if (begun_ < 0)
-      begun_ = now_;
+    if (run_started_at_ < 0)
+      run_started_at_ = now_;
     for (const Event& e : t.events)
       std::visit([this](const auto& x) { on(x); }, e);
-    for (const Action& a : t.actions)
-      std::visit([this](const auto& x) { on(x); }, a);
-    last_ = now_;
+    for (const Action& action : t.actions)
+      std::visit([this](const auto& x) { on(x); }, action);
+    last_iteration_at_ = now_;
   }
 
   void finish() {
-    for (auto& [id, a] : open_) {
-      // One that may still come in time is no loss.
-      if (now_ - a.handed_in > a.cls->latency_objective)
-        close(a, "unfinished", lostAt(a, now_));
+    for (auto& [id, timeline] : open_) {
+      // A message that may still meet its latency objective is not a loss.
+      if (now_ - timeline.submitted_at > timeline.message_class->latency_objective)
+        recordEnd(timeline, "unfinished", lostWeight(timeline, now_));
     }
   }
 
  private:
   const Settings& settings() const { return *settings_.back(); }
-  double lostAt(const Account& a, Micros at) const {
-    const double span = static_cast<double>(at - a.handed_in),
-                 aim = static_cast<double>(a.cls->latency_objective),
-                 deadline = static_cast<double>(a.cls->deadline);
-    if (span <= aim)
+  double lostWeight(const MessageTimeline& timeline, Micros at) const {
+    const double elapsed = static_cast<double>(at - timeline.submitted_at),
+                 objective = static_cast<double>(timeline.message_class->latency_objective),
+                 deadline = static_cast<double>(timeline.message_class->deadline);
+    if (elapsed <= objective)
       return 0;
     if (settings().lateness_penalty == LatenessPenalty::halving)
-      return a.cls->priority_weight * (1 - std::exp2(-(span - aim) / aim));
-    if (span >= deadline)
-      return a.cls->priority_weight;
-    return a.cls->priority_weight * (1 - a.cls->late_weight_fraction) * (span - aim) /
-           std::max(1.0, deadline - aim);
+      return timeline.message_class->priority_weight * (1 - std::exp2(-(elapsed - objective) / objective));
+    if (elapsed >= deadline)
+      return timeline.message_class->priority_weight;
+    return timeline.message_class->priority_weight * (1 - timeline.message_class->late_weight_fraction) *
+           (elapsed - objective) / std::max(1.0, deadline - objective);
   }
 
-  bool ails(std::int64_t destination) const {
-    const auto at = ailing_.find(destination);
-    return at != ailing_.end() &&
-           (at->second.down || now_ - at->second.cold_since < settings().slow_start_time);
+  bool isUnhealthy(std::int64_t destination) const {
+    const auto at = health_.find(destination);
+    return at != health_.end() &&
+           (at->second.down || now_ - at->second.warming_since < settings().slow_start_time);
   }
-  void look(Account& a) {
-    a.ailing = a.ailing || ails(a.destination);
-    a.started = a.started || (l_.runs > 1 && now_ - begun_ < settings().slow_start_time);
+  void updateHealth(MessageTimeline& timeline) {
+    timeline.unhealthy = timeline.unhealthy || isUnhealthy(timeline.destination);
+    timeline.recently_started = timeline.recently_started ||
+                                (losses_.runs > 1 && now_ - run_started_at_ < settings().slow_start_time);
   }
-  // The time up to `until` belongs to this part.
-  static void spend(Account& a, Part part, Micros until) {
-    a.parts[static_cast<std::size_t>(part)] += std::max<Micros>(0, until - a.since);
-    a.since = std::max(a.since, until);
+  // Assigns the time up to `until` that is not assigned yet to a phase.
+  static void addTime(MessageTimeline& timeline, Phase phase, Micros until) {
+    timeline.phase_times[static_cast<std::size_t>(phase)] +=
+        std::max<Micros>(0, until - timeline.accounted_until);
+    timeline.accounted_until = std::max(timeline.accounted_until, until);
+  }
+  void addHeldTime(MessageTimeline& timeline) {
+    addTime(timeline, timeline.attempted ? Phase::before_retry : Phase::before_first_attempt, now_);
   }
-  void spendHeld(Account& a) { spend(a, a.tried ? Part::again : Part::first, now_); }
 
-  void close(Account& a, std::string cause, double lost) {
-    look(a);
-    l_.lost += lost;
-    if (lost <= 0 && cause.empty())
-      ++l_.in_time;
-    if (lost <= 0)
+  void recordEnd(MessageTimeline& timeline, std::string cause, double lost_weight) {
+    updateHealth(timeline);
+    losses_.lost_weight += lost_weight;
+    if (lost_weight <= 0 && cause.empty())
+      ++losses_.on_time;
+    if (lost_weight <= 0)
       return;
     if (cause.empty()) {
-      const auto longest = std::max_element(std::begin(a.parts), std::end(a.parts)) - std::begin(a.parts);
-      cause = std::string("late: ") + kPartNames[longest];
+      const auto longest =
+          std::max_element(std::begin(timeline.phase_times), std::end(timeline.phase_times)) -
+          std::begin(timeline.phase_times);
+      cause = std::string("late: ") + kPhaseNames[longest];
     }
-    for (Loss* loss : {&l_.by_cause[cause], &l_.by_destination[a.destination]}) {
+    for (Loss* loss : {&losses_.by_cause[cause], &losses_.by_destination[timeline.destination]}) {
       ++loss->messages;
-      loss->worth += lost;
-      loss->ailing += a.ailing;
-      loss->started += a.started;
-      for (std::size_t i = 0; i < kParts; ++i)
-        loss->parts[i] += a.parts[i];
+      loss->lost_weight += lost_weight;
+      loss->unhealthy += timeline.unhealthy;
+      loss->recently_started += timeline.recently_started;
+      for (std::size_t i = 0; i < kPhases; ++i)
+        loss->phase_times[i] += timeline.phase_times[i];
     }
   }
 
-  Account* find(const std::string& id) {
+  MessageTimeline* find(const std::string& id) {
     const auto at = open_.find(id);
     return at == open_.end() ? nullptr : &at->second;
   }
-  Account* arrive(const MessageArrival& e) {
+  MessageTimeline* addMessage(const MessageArrival& e) {
     const auto c = std::find_if(settings().classes.begin(), settings().classes.end(),
                                 [&](const MessageClass& k) { return k.name == e.message_class; });
     if (c == settings().classes.end())
       return nullptr;
-    Account& a = open_[e.id];
-    a.cls = &*c;
-    a.destination = e.destination;
-    a.handed_in = std::min(now_, e.deadline - c->deadline);
-    a.heard = now_;
-    a.since = a.handed_in;
-    ++l_.messages;
-    l_.worth += c->priority_weight;
-    return &a;
+    MessageTimeline& timeline = open_[e.id];
+    timeline.message_class = &*c;
+    timeline.destination = e.destination;
+    timeline.submitted_at = std::min(now_, e.deadline - c->deadline);
+    timeline.arrived_at = now_;
+    timeline.accounted_until = timeline.submitted_at;
+    ++losses_.messages;
+    losses_.total_weight += c->priority_weight;
+    return &timeline;
   }
 
   void on(const MessageArrival& e) {
-    if (Account* a = arrive(e)) {
-      spend(*a, Part::before, now_);
-      look(*a);
+    if (MessageTimeline* timeline = addMessage(e)) {
+      addTime(*timeline, Phase::before_decision, now_);
+      updateHealth(*timeline);
     }
   }
   void on(const RecoveredMessage& e) {
-    Account* a = find(e.message.id);
-    if (!a)
-      a = arrive(e.message);  // taken on before the record begins
-    if (!a)
+    MessageTimeline* timeline = find(e.message.id);
+    if (!timeline)
+      timeline = addMessage(e.message);  // accepted before the recording began
+    if (!timeline)
       return;
     for (const MessageClass& c : settings().classes)
       if (c.name == e.message.message_class)
-        a->cls = &c;
+        timeline->message_class = &c;
     if (e.class_version)
-      a->cls = versions_.emplace_back(e.class_version).get();
-    spend(*a, Part::away, now_);
-    a->tried = a->tried || !e.attempts.empty();
-    a->calls.resize(e.attempts.size());
-    for (Call& c : a->calls)
-      c.out = false;
-    look(*a);
+      timeline->message_class = versions_.emplace_back(e.class_version).get();
+    addTime(*timeline, Phase::no_process, now_);
+    timeline->attempted = timeline->attempted || !e.attempts.empty();
+    timeline->attempts.resize(e.attempts.size());
+    for (AttemptState& c : timeline->attempts)
+      c.in_flight = false;
+    updateHealth(*timeline);
   }
   void on(const MessageWithdrawn& e) { open_.erase(e.id); }
   void on(const SettingsChanged& e) { settings_.push_back(std::make_unique<Settings>(e.settings)); }
   void on(const AttemptOutcome& e) {
-    Account* a = find(e.id);
-    if (!a || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= a->calls.size())
+    MessageTimeline* timeline = find(e.id);
+    if (!timeline || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= timeline->attempts.size())
       return;
-    Call& c = a->calls[static_cast<std::size_t>(e.attempt)];
-    if (!c.out)
+    AttemptState& c = timeline->attempts[static_cast<std::size_t>(e.attempt)];
+    if (!c.in_flight)
       return;
-    c.out = false;
-    --a->out;
-    const bool over = e.already_finished || e.result == AttemptResult::ok;
-    spend(*a, over ? Part::answer : Part::failed, now_);
-    if (!over) {
-      ++l_.results[nameOf(e.result)];
+    c.in_flight = false;
+    --timeline->in_flight;
+    const bool is_delivered = e.already_finished || e.result == AttemptResult::ok;
+    addTime(*timeline, is_delivered ? Phase::delivering_attempt : Phase::failed_attempt, now_);
+    if (!is_delivered) {
+      ++losses_.results[nameOf(e.result)];
       return;
     }
-    close(*a, "", lostAt(*a, now_));
+    recordEnd(*timeline, "", lostWeight(*timeline, now_));
     open_.erase(e.id);
   }
   void on(const StartAttempt& s) {
-    Account* a = find(s.id);
-    if (!a)
+    MessageTimeline* timeline = find(s.id);
+    if (!timeline)
       return;
-    if (a->out == 0)
-      spendHeld(*a);
-    a->calls.push_back({now_, true});
-    ++a->out;
-    a->tried = true;
-    look(*a);
+    if (timeline->in_flight == 0)
+      addHeldTime(*timeline);
+    timeline->attempts.push_back({now_, true});
+    ++timeline->in_flight;
+    timeline->attempted = true;
+    updateHealth(*timeline);
   }
-  void end(const std::string& id, const std::string& how) {
-    Account* a = find(id);
-    if (!a)
+  void finishUndelivered(const std::string& id, const std::string& how) {
+    MessageTimeline* timeline = find(id);
+    if (!timeline)
       return;
-    a->out > 0 ? spend(*a, Part::failed, now_) : spendHeld(*a);
-    close(*a, how, a->cls->priority_weight);
+    timeline->in_flight > 0 ? addTime(*timeline, Phase::failed_attempt, now_) : addHeldTime(*timeline);
+    recordEnd(*timeline, how, timeline->message_class->priority_weight);
     open_.erase(id);
   }
   void on(const RejectMessage& r) {
-    const Account* a = find(r.id);
-    if (a)
-      end(r.id, a->heard == now_ ? "refused at once" : a->tried ? "handed back after calls" : "handed back");
+    const MessageTimeline* timeline = find(r.id);
+    if (timeline)
+      finishUndelivered(r.id, timeline->arrived_at == now_ ? "refused at once"
+                              : timeline->attempted        ? "handed back after calls"
+                                                           : "handed back");
   }
-  void on(const FailMessage& f) { end(f.id, "given up"); }
-  void on(const DestinationHealth& a) {
-    if (a.endpoint.empty())
-      ailing_[a.destination] = {a.down, a.warming_since};
+  void on(const FailMessage& f) { finishUndelivered(f.id, "given up"); }
+  void on(const DestinationHealth& health) {
+    if (health.endpoint.empty())
+      health_[health.destination] = {health.down, health.warming_since};
   }
   template <class Other>
   void on(const Other&) {}
 
-  Losses& l_;
+  Losses& losses_;
   std::vector<std::unique_ptr<Settings>> settings_;
-  std::vector<ClassVersion> versions_;  // of resumed messages
-  std::unordered_map<std::string, Account> open_;
-  std::unordered_map<std::int64_t, Ailing> ailing_;
-  Micros now_ = 0, last_ = 0, begun_ = -1;
+  std::vector<ClassVersion> versions_;  // of recovered messages
+  std::unordered_map<std::string, MessageTimeline> open_;
+  std::unordered_map<std::int64_t, DestinationState> health_;
+  Micros now_ = 0, last_iteration_at_ = 0, run_started_at_ = -1;
 };
 
-nlohmann::json shown(const Loss& l) {
-  nlohmann::json parts = nlohmann::json::object();
-  for (std::size_t i = 0; i < kParts; ++i)
-    if (l.parts[i] > 0 && l.messages > 0)
-      parts[kPartNames[i]] = static_cast<double>(l.parts[i]) / 1000 / static_cast<double>(l.messages);
+nlohmann::json toJson(const Loss& l) {
+  nlohmann::json mean_times = nlohmann::json::object();
+  for (std::size_t i = 0; i < kPhases; ++i)
+    if (l.phase_times[i] > 0 && l.messages > 0)
+      mean_times[kPhaseNames[i]] =
+          static_cast<double>(l.phase_times[i]) / 1000 / static_cast<double>(l.messages);
   return {{"messages", l.messages},
-          {"worth", l.worth},
-          {"ailing", l.ailing},
-          {"after_start", l.started},
-          {"mean_ms", std::move(parts)}};
+          {"worth", l.lost_weight},
+          {"ailing", l.unhealthy},
+          {"after_start", l.recently_started},
+          {"mean_ms", std::move(mean_times)}};
 }
 
 template <class Map>
-auto mostFirst(const Map& map) {
+auto byLostWeight(const Map& map) {
   std::vector<std::pair<typename Map::key_type, const Loss*>> all;
   all.reserve(map.size());
   for (const auto& [key, l] : map)
     all.emplace_back(key, &l);
-  std::stable_sort(all.begin(), all.end(),
-                   [](const auto& a, const auto& b) { return a.second->worth > b.second->worth; });
+  std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
+    return a.second->lost_weight > b.second->lost_weight;
+  });
   return all;
 }
 
 }  // namespace
 
-Losses losses(std::istream& in) {
+Losses analyzeLosses(std::istream& in) {
   Losses l;
-  Reader reader(l);
+  LossAnalyzer analyzer(l);
   std::string line;
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     const nlohmann::json j = nlohmann::json::parse(line, nullptr, false);
     if (j.is_discarded())
-      continue;  // cut short by a kill; a replay tells of others
+      continue;  // truncated by a kill; replay() reports malformed lines elsewhere
     try {
       if (isHead(j))
-        reader.head(readHead(j));
+        analyzer.onHead(readHead(j));
       else if (l.runs == 0)
         throw std::runtime_error("a head is expected first");
       else
-        reader.turn(readTurn(j));
+        analyzer.onIteration(readIteration(j));
     } catch (const std::exception& e) {
       l.unreadable = "line " + std::to_string(number) + ": " + e.what();
       return l;
@@ -283,43 +295,44 @@
   }
   if (l.runs == 0)
     l.unreadable = "line 1: a head is expected first";
-  reader.finish();
+  analyzer.finish();
   return l;
 }
 
-nlohmann::json shown(const Losses& l) {
+nlohmann::json toJson(const Losses& l) {
   nlohmann::json causes = nlohmann::json::object(), destinations = nlohmann::json::object();
   for (const auto& [cause, loss] : l.by_cause)
-    causes[cause] = shown(loss);
+    causes[cause] = toJson(loss);
   for (const auto& [d, loss] : l.by_destination)
-    destinations[std::to_string(d)] = shown(loss);
-  return {{"runs", l.runs},       {"messages", l.messages},
-          {"in_time", l.in_time}, {"worth", l.worth},
-          {"lost", l.lost},       {"by_cause", std::move(causes)},
-          {"results", l.results}, {"by_destination", std::move(destinations)}};
+    destinations[std::to_string(d)] = toJson(loss);
+  return {{"runs", l.runs},        {"messages", l.messages},
+          {"in_time", l.on_time},  {"worth", l.total_weight},
+          {"lost", l.lost_weight}, {"by_cause", std::move(causes)},
+          {"results", l.results},  {"by_destination", std::move(destinations)}};
 }
 
 void print(const Losses& l, std::ostream& out) {
   const auto row = [&](const std::string& name, const Loss& x) {
     out << "  " << std::left << std::setw(38) << name << std::right << std::setw(7) << x.messages
-        << std::setw(10) << std::fixed << std::setprecision(1) << x.worth << std::setw(7)
-        << (l.worth > 0 ? 100 * x.worth / l.worth : 0) << " %" << std::setw(8) << x.ailing << std::setw(12)
-        << x.started;
-    for (const Micros part : x.parts)
+        << std::setw(10) << std::fixed << std::setprecision(1) << x.lost_weight << std::setw(7)
+        << (l.total_weight > 0 ? 100 * x.lost_weight / l.total_weight : 0) << " %" << std::setw(8)
+        << x.unhealthy << std::setw(12) << x.recently_started;
+    for (const Micros time : x.phase_times)
       out << std::setw(9) << std::setprecision(0)
-          << static_cast<double>(part) / 1000 / static_cast<double>(std::max<std::size_t>(1, x.messages));
+          << static_cast<double>(time) / 1000 / static_cast<double>(std::max<std::size_t>(1, x.messages));
     out << '\n';
   };
-  out << l.messages << " messages in " << l.runs << " runs, " << l.in_time << " in time; worth " << std::fixed
-      << std::setprecision(1) << l.worth << ", lost " << l.lost << "\n  " << std::left << std::setw(38)
-      << "cause" << std::right << "messages    worth  of all  ailing after start   before    first    again"
+  out << l.messages << " messages in " << l.runs << " runs, " << l.on_time << " in time; worth " << std::fixed
+      << std::setprecision(1) << l.total_weight << ", lost " << l.lost_weight << "\n  " << std::left
+      << std::setw(38) << "cause" << std::right
+      << "messages    worth  of all  ailing after start   before    first    again"
       << "   failed     away   answer (mean ms)\n";
-  for (const auto& [cause, loss] : mostFirst(l.by_cause))
+  for (const auto& [cause, loss] : byLostWeight(l.by_cause))
     row(cause, *loss);
   out << "  destinations\n";
   std::size_t n = 0;
-  for (const auto& [d, loss] : mostFirst(l.by_destination))
-    if (++n <= kMostShown)
+  for (const auto& [d, loss] : byLostWeight(l.by_destination))
+    if (++n <= kMaxPrintedDestinations)
       row(std::to_string(d), *loss);
   out << "  calls that did not deliver:";
   for (const auto& [result, count] : l.results)
--- a/src/replay/losses.h
+++ b/src/replay/losses.h
@@ -1,6 +1,6 @@
-// grademux: where worth went, message by message, in a record of decisions: what came late or not at all, and
-// in which part of its way its time passed. Reads records of one sender, also over restarts. No decision is
-// made anew.
+// Analyzes a recording of decisions for lost priority weight: which messages were late or not delivered, and
+// in which phase their time was spent. A recording is of one sender and may span restarts. The analysis does
+// not run the decision module again.
 #pragma once
 
 #include <iosfwd>
@@ -12,39 +12,40 @@
 
 namespace grademux::replay {
 
-// The parts of a message's way, from when its client handed it in.
-enum class Part {
-  before,  // until the decision module heard of it
-  first,   // held, before its first call
-  again,   // held, after a call that did not deliver it
-  failed,  // in calls that did not deliver it
-  away,    // no process was there, or the one that was left it to the next
-  answer,  // in the call that delivered it
+// Phases of a message's time, from its submission by the client.
+enum class Phase {
+  before_decision,       // until the decision module received it
+  before_first_attempt,  // queued before its first attempt
+  before_retry,          // queued after a failed attempt
+  failed_attempt,        // in attempts that did not deliver it
+  no_process,            // no process was running, or the process left the message to its successor
+  delivering_attempt,    // in the attempt that delivered it
   count
 };
 
 struct Loss {
   std::size_t messages = 0;
-  double worth = 0;         // lost, as classes give it
-  std::size_t ailing = 0;   // of the messages: their destination was down or ramped up in that time
-  std::size_t started = 0;  // of the messages: the process was younger than a ramp when it came, or came back
-  Micros parts[static_cast<std::size_t>(Part::count)] = {};  // sums
+  double lost_weight = 0;     // in units of the classes' priority weight
+  std::size_t unhealthy = 0;  // messages whose destination was down or in slow start in that time
+  // Messages that arrived or were recovered while the process was younger than the slow start time.
+  std::size_t recently_started = 0;
+  Micros phase_times[static_cast<std::size_t>(Phase::count)] = {};  // sums over the messages, microseconds
 };
 
 struct Losses {
-  std::size_t runs = 0, messages = 0, in_time = 0;
-  double worth = 0, lost = 0;
-  // "late: " and the part that took longest, or what the end was: "refused at once", "refused", "handed
-  // back", "given up", "unfinished" (the record ends before).
+  std::size_t runs = 0, messages = 0, on_time = 0;
+  double total_weight = 0, lost_weight = 0;
+  // Keys are "late: " with the longest phase, or how the message ended: "refused at once", "handed back",
+  // "handed back after calls", "given up", "unfinished" (the recording ends before the message does).
   std::map<std::string, Loss> by_cause;
   std::map<std::int64_t, Loss> by_destination;
-  std::map<std::string, std::size_t> results;  // of calls that did not deliver
-  std::string unreadable;
+  std::map<std::string, std::size_t> results;  // number of failed attempts by result
+  std::string unreadable;  // the first line that can't be read, and why; empty: all lines were read
 };
 
-Losses losses(std::istream& in);
-nlohmann::json shown(const Losses& l);
-// The same for people: causes, then the destinations that lost most.
+Losses analyzeLosses(std::istream& in);
+nlohmann::json toJson(const Losses& l);
+// Prints a readable table: causes, then the destinations with the highest lost weight.
 void print(const Losses& l, std::ostream& out);
 
 }  // namespace grademux::replay
--- a/src/replay/main.cpp
+++ b/src/replay/main.cpp
@@ -1,4 +1,4 @@
-// grademux_replay: the command line of the replay. Its last line of output is one JSON object.
+// Command line of grademux_replay. The last line of the output is one JSON object.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -8,16 +8,16 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "grademux_replay: has the decision module decide anew what "
-      "`grademux_sender --record FILE` recorded. Exit status "
-      "0: the same actions; 1: the first that differs is shown; 2: the file can't be read."};
+      "grademux_replay: replays decisions that `grademux_sender --record FILE` recorded and compares the "
+      "actions. Exit status 0: all actions are the same; 1: the first different action is printed; 2: the "
+      "file can't be read."};
   std::string file;
-  app.add_option("FILE", file, "the record")->required();
-  bool where = false;
+  app.add_option("FILE", file, "file with recorded decisions")->required();
+  bool show_losses = false;
   app.add_flag(
-      "--losses", where,
-      "tells where worth went: messages that came late or not at all, and in which part of their way; "
-      "the last line is JSON");
+      "--losses", show_losses,
+      "prints the lost priority weight: messages that were late or not delivered, and in which phase their "
+      "time was spent; the last line is JSON");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -25,15 +25,15 @@
   }
   std::ifstream in(file, std::ios::binary);
   if (!in) {
-    std::cerr << "grademux_replay: can't be read: " << file << '\n';
+    std::cerr << "grademux_replay: can't open the file: " << file << '\n';
     return 2;
   }
-  if (where) {
-    const grademux::replay::Losses l = grademux::replay::losses(in);
+  if (show_losses) {
+    const grademux::replay::Losses l = grademux::replay::analyzeLosses(in);
     if (!l.unreadable.empty())
       std::cerr << file << ": " << l.unreadable << '\n';
     print(l, std::cout);
-    std::cout << shown(l).dump() << '\n';
+    std::cout << toJson(l).dump() << '\n';
     return l.unreadable.empty() ? 0 : 2;
   }
   const grademux::replay::Report r = grademux::replay::replay(in);
@@ -47,9 +47,9 @@
   }
   const bool same = r.unreadable.empty() && !r.difference;
   std::cout << nlohmann::json{{"runs", r.runs},
-                              {"turns", r.turns},
+                              {"turns", r.iterations},
                               {"actions", r.actions},
-                              {"cut", r.cut},
+                              {"cut", r.truncated},
                               {"same", same}}
                    .dump()
             << '\n';
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -1,4 +1,4 @@
-// grademux: the recorder; see recorder.h.
+// See recorder.h.
 #include "recorder.h"
 
 #include <stdexcept>
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr Micros kFlush = 1'000'000;  // what a kill may cost at most, with turns that come
+constexpr Micros kFlushInterval =
+    1'000'000;  // microseconds; bounds the iterations lost by a kill while iterations keep coming
 
-bool endsWithinALine(const std::string& path) {
+bool endsWithPartialLine(const std::string& path) {
   std::ifstream in(path, std::ios::binary | std::ios::ate);
   if (!in || in.tellg() <= 0)
     return false;
@@ -21,36 +22,38 @@
 
 }  // namespace
 
-Recorder::Recorder(const std::string& path, std::uint64_t most_bytes, const Settings& settings,
+Recorder::Recorder(const std::string& path, std::uint64_t max_bytes, const Settings& settings,
                    std::uint64_t seed)
-    : path_(path), most_(most_bytes) {
-  const bool torn = endsWithinALine(path);  // of a process that was killed
+    : path_(path), max_bytes_(max_bytes) {
+  const bool has_torn_tail = endsWithPartialLine(path);  // left by a process that was killed
   out_.open(path, std::ios::binary | std::ios::app);
   if (!out_)
-    throw std::runtime_error("the record " + path + " can't be written");
+    throw std::runtime_error("can't write the recording " + path);
   bytes_ = static_cast<std::uint64_t>(std::max<std::streamoff>(0, out_.tellp()));
-  write((torn ? "\n" : "") + headLine(settings, seed));
+  write((has_torn_tail ? "\n" : "") + headLine(settings, seed));
   out_.flush();
 }
 
-void Recorder::turn(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions) {
-  if (ended_)
+void Recorder::recordIteration(Micros now, const std::vector<Event>& events,
+                               const std::vector<Action>& actions) {
+  if (is_stopped_)
     return;
-  write(turnLine(now, events, actions));
-  if (now - flushed_ < kFlush)
+  write(iterationLine(now, events, actions));
+  if (now - last_flush_at_ < kFlushInterval)
     return;
-  flushed_ = now;
+  last_flush_at_ = now;
   out_.flush();
 }
 
 void Recorder::write(const std::string& line) {
-  if (bytes_ + line.size() + 1 <= most_ && out_ << line << '\n') {
+  if (bytes_ + line.size() + 1 <= max_bytes_ && out_ << line << '\n') {
     bytes_ += line.size() + 1;
     return;
   }
-  ended_ = true;
+  is_stopped_ = true;
   log::write(log::Event::record_stopped,
-             {{"file", path_}, {"cause", out_ ? "it has reached its size" : "it can't be written"}});
+             {{"file", path_},
+              {"cause", out_ ? "the file has reached its maximum size" : "the file can't be written"}});
   out_.close();
 }
 
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -1,5 +1,6 @@
-// grademux: writes what the decision module hears and answers to a file, for `grademux_replay`. For finding
-// out, not for every day: it costs some microseconds a message, and the disk that the file takes.
+// Records the events and actions of the decision module in a file for `grademux_replay`. Intended for
+// diagnosis rather than permanent use: recording costs some microseconds per message and the disk space of
+// the file.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +13,21 @@
 
 class Recorder {
  public:
-  // Adds to `path`, a new head first. Throws std::runtime_error when it can't be written. At `most_bytes` of
-  // the file, or when a write fails, recording ends with one line in the log; the program goes on.
-  Recorder(const std::string& path, std::uint64_t most_bytes, const Settings& settings, std::uint64_t seed);
-  void turn(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions);
-  bool ended() const { return ended_; }
+  // Appends a new head to the file `path`. Throws std::runtime_error when the file can't be written.
+  // Recording stops, with one log line, when the file reaches `max_bytes` or a write fails; the program
+  // continues.
+  Recorder(const std::string& path, std::uint64_t max_bytes, const Settings& settings, std::uint64_t seed);
+  void recordIteration(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions);
+  bool isStopped() const { return is_stopped_; }
 
  private:
   void write(const std::string& line);
 
   std::string path_;
   std::ofstream out_;
-  std::uint64_t bytes_ = 0, most_;
-  Micros flushed_ = 0;
-  bool ended_ = false;
+  std::uint64_t bytes_ = 0, max_bytes_;
+  Micros last_flush_at_ = 0;
+  bool is_stopped_ = false;
 };
 
 }  // namespace grademux::replay
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -1,4 +1,4 @@
-// grademux: replays recorded decisions; see replay.h.
+// See replay.h.
 #include "replay.h"
 
 #include <istream>
@@ -11,41 +11,42 @@
 Report replay(std::istream& in) {
   Report r;
   std::optional<Sender> sender;
-  std::string line,
-      torn;  // why a line could not be parsed, until it is known whether it was the last of its run
-  Micros latest = 0;
+  // parse_error: set by a malformed line until the next line shows whether the line was the last of its run.
+  std::string line, parse_error;
+  Micros previous_time = 0;
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     try {
       const json j = json::parse(line, nullptr, false);
-      if (!torn.empty() && !isHead(j))
-        bad(torn);
-      if (!torn.empty())
-        ++r.cut;
-      torn.clear();
+      if (!parse_error.empty() && !isHead(j))
+        bad(parse_error);
+      if (!parse_error.empty())
+        ++r.truncated;
+      parse_error.clear();
       if (j.is_discarded()) {
-        torn = "JSON is expected, or the line before was cut short in the middle of a run";
+        parse_error = "expected JSON, or the previous line is truncated in the middle of a run";
         continue;
       }
       if (isHead(j)) {
         Head h = readHead(j);
         sender.emplace(std::move(h.settings), h.seed);
-        latest = 0;
+        previous_time = 0;
         ++r.runs;
         continue;
       }
       if (!sender)
         bad("a head is expected first");
-      const Turn t = readTurn(j);
-      if (t.now < latest)
+      const Iteration iteration = readIteration(j);
+      if (iteration.now < previous_time)
         bad("its time is before that of the turn before");
-      latest = t.now;
-      const std::vector<Action> decided = sender->decide(t.now, t.events);
-      ++r.turns;
-      for (std::size_t i = 0; i < std::max(decided.size(), t.actions.size()); ++i) {
-        const std::string was = i < t.actions.size() ? actionJson(t.actions[i]).dump() : "";
-        const std::string is = i < decided.size() ? actionJson(decided[i]).dump() : "";
-        if (was != is) {
-          r.difference = Difference{number, i, t.now, was, is};
+      previous_time = iteration.now;
+      const std::vector<Action> decided = sender->decide(iteration.now, iteration.events);
+      ++r.iterations;
+      for (std::size_t i = 0; i < std::max(decided.size(), iteration.actions.size()); ++i) {
+        const std::string recorded_action =
+            i < iteration.actions.size() ? actionJson(iteration.actions[i]).dump() : "";
+        const std::string decided_action = i < decided.size() ? actionJson(decided[i]).dump() : "";
+        if (recorded_action != decided_action) {
+          r.difference = Difference{number, i, iteration.now, recorded_action, decided_action};
           return r;
         }
         ++r.actions;
@@ -55,8 +56,8 @@
       return r;
     }
   }
-  if (!torn.empty())
-    ++r.cut;
+  if (!parse_error.empty())
+    ++r.truncated;
   if (r.runs == 0)
     r.unreadable = "line 1: a head is expected first";
   return r;
--- a/src/replay/stream_codec.cpp
+++ b/src/replay/stream_codec.cpp
@@ -1,4 +1,4 @@
-// grademux: recorded decisions; see stream_codec.h. One table of fields for each type serves both directions.
+// See stream_codec.h. Each type has one table of fields, which serves encoding and decoding.
 #include "stream_codec.h"
 
 #include <limits>
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr const char* kEvents[] = {"arrival", "resumed", "ailment", "stopping", "gone",   "outcome",
-                                   "list",    "wake",    "lesson",  "pool",     "survey", "retuned"};
-constexpr const char* kActions[] = {"send",       "cancel", "refuse",  "fail",   "watch",
-                                    "close_idle", "wake",   "ailment", "lesson", "surveyed"};
-static_assert(std::size(kEvents) == std::variant_size_v<Event>);
-static_assert(std::size(kActions) == std::variant_size_v<Action>);
+constexpr const char* kEventNames[] = {"arrival", "resumed", "ailment", "stopping", "gone",   "outcome",
+                                       "list",    "wake",    "lesson",  "pool",     "survey", "retuned"};
+constexpr const char* kActionNames[] = {"send",       "cancel", "refuse",  "fail",   "watch",
+                                        "close_idle", "wake",   "ailment", "lesson", "surveyed"};
+static_assert(std::size(kEventNames) == std::variant_size_v<Event>);
+static_assert(std::size(kActionNames) == std::variant_size_v<Action>);
 
-// ---- the tables: what is visited is written, or read, under that name
+// ---- field tables: each visited member is written or read under the given name
 
 template <class T>
 struct Fields;
@@ -39,7 +39,7 @@
   v("group", x.idempotency_scope);
   v("memory", x.idempotency_window);
   v("ordered", x.ordered);
-  v.later("max_attempts", x.max_attempts);
+  v.optionalField("max_attempts", x.max_attempts);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(Tenant) {
@@ -113,13 +113,13 @@
   v("endpoint", x.endpoint);
   v("sent", x.sent_at);
   v("may_have_run", x.may_have_run);
-  v.later("out", x.in_flight);
+  v.optionalField("out", x.in_flight);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(RecoveredMessage) {
   v("message", x.message);
   v("attempts", x.attempts);
-  v.later("rules", x.class_version);
+  v.optionalField("rules", x.class_version);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(DestinationHealth) {
@@ -127,8 +127,8 @@
   v("destination", x.destination);
   v("down", x.down);
   v("cold_since", x.warming_since);
-  v.later("wait_until", x.retry_after_until);
-  v.later("noted", x.observed_at);
+  v.optionalField("wait_until", x.retry_after_until);
+  v.optionalField("noted", x.observed_at);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(LearnedEndpoint) {
@@ -185,7 +185,7 @@
   v("wait", x.retry_after);
   v("rtt", x.round_trip);
   v("report", x.limit_report);
-  v.later("stale", x.stale_connection);
+  v.optionalField("stale", x.stale_connection);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(EndpointListUpdate) {
@@ -199,7 +199,7 @@
   v("id", x.id);
   v("endpoint", x.endpoint);
   v("timeout", x.timeout);
-  v.later("write_within", x.write_within);
+  v.optionalField("write_within", x.write_within);
 }
 GRADEMUX_END;
 GRADEMUX_FIELDS(CancelAttempt) {
@@ -230,33 +230,33 @@
 #undef GRADEMUX_FIELDS
 #undef GRADEMUX_END
 
-// The last of each enumeration.
-constexpr Idempotency lastOf(Idempotency) {
+// The last value of each enumeration, for range checks.
+constexpr Idempotency lastValue(Idempotency) {
   return Idempotency::non_idempotent;
 }
-constexpr IdempotencyScope lastOf(IdempotencyScope) {
+constexpr IdempotencyScope lastValue(IdempotencyScope) {
   return IdempotencyScope::cell;
 }
-constexpr LatenessPenalty lastOf(LatenessPenalty) {
+constexpr LatenessPenalty lastValue(LatenessPenalty) {
   return LatenessPenalty::halving;
 }
-constexpr WeightKind lastOf(WeightKind) {
+constexpr WeightKind lastValue(WeightKind) {
   return WeightKind::rough;
 }
-constexpr ListMode lastOf(ListMode) {
+constexpr ListMode lastValue(ListMode) {
   return ListMode::poll;
 }
-constexpr EndpointState lastOf(EndpointState) {
+constexpr EndpointState lastValue(EndpointState) {
   return EndpointState::gone;
 }
-constexpr AttemptResult lastOf(AttemptResult) {
+constexpr AttemptResult lastValue(AttemptResult) {
   return AttemptResult::not_sent;
 }
-constexpr EndpointListKind lastOf(EndpointListKind) {
+constexpr EndpointListKind lastValue(EndpointListKind) {
   return EndpointListKind::failed;
 }
 
-// ---- both directions
+// ---- encoding and decoding
 
 template <class T>
 json encode(const T& x);
@@ -272,9 +272,10 @@
   void operator()(const char* name, const T& x) {
     out[name] = encode(x);
   }
-  // A field that records of earlier versions lack: absent is as new.
+  // A field that recordings of earlier versions lack: an absent field has the default value, which is not
+  // written.
   template <class T>
-  void later(const char* name, const T& x) {
+  void optionalField(const char* name, const T& x) {
     if (x != T{})
       out[name] = encode(x);
   }
@@ -307,7 +308,7 @@
   }
 }
 
-[[noreturn]] void unfit(const char* name) {
+[[noreturn]] void badField(const char* name) {
   bad(std::string("can't be used: ") + name);
 }
 
@@ -326,7 +327,7 @@
     decode(field(in, name), name, x);
   }
   template <class T>
-  void later(const char* name, T& x) {
+  void optionalField(const char* name, T& x) {
     const auto at = in.find(name);
     if (at != in.end())
       decode(*at, name, x);
@@ -336,7 +337,7 @@
 template <class T>
 void decode(const json& in, const char* name, std::vector<T>& all) {
   if (!in.is_array())
-    unfit(name);
+    badField(name);
   all.clear();
   for (const json& i : in)
     decode(i, name, all.emplace_back());
@@ -356,74 +357,74 @@
 void decode(const json& in, const char* name, T& x) {
   if constexpr (std::is_same_v<T, bool>) {
     if (!in.is_boolean())
-      unfit(name);
+      badField(name);
     x = in.get<bool>();
   } else if constexpr (std::is_enum_v<T>) {
-    if (!in.is_number_integer() || in < 0 || in > static_cast<int>(lastOf(T{})))
-      unfit(name);
+    if (!in.is_number_integer() || in < 0 || in > static_cast<int>(lastValue(T{})))
+      badField(name);
     x = static_cast<T>(in.get<int>());
   } else if constexpr (std::is_floating_point_v<T>) {
     if (!in.is_number())
-      unfit(name);
+      badField(name);
     x = in.get<T>();
   } else if constexpr (std::is_integral_v<T>) {
     if (!in.is_number_integer() || in.get<std::int64_t>() > std::numeric_limits<T>::max() ||
         in.get<std::int64_t>() < std::numeric_limits<T>::min())
-      unfit(name);
+      badField(name);
     x = in.get<T>();
   } else if constexpr (std::is_same_v<T, std::string>) {
     if (!in.is_string())
-      unfit(name);
+      badField(name);
     x = in.get<std::string>();
   } else {
     if (!in.is_object())
-      unfit(name);
+      badField(name);
     Decoder d{in};
     Fields<T>::visit(d, x);
   }
 }
 
-// A variant is an object with one member, which is named after its kind.
+// A variant is an object with one member, whose name is the kind of the value.
 template <class V>
-json encodeKind(const V& v, const char* const* names) {
+json encodeVariant(const V& v, const char* const* names) {
   return {{names[v.index()], std::visit([](const auto& x) { return encode(x); }, v)}};
 }
 template <class V, std::size_t I = 0>
-V decodeKind(const json& in, const char* const* names) {
+V decodeVariant(const json& in, const char* const* names) {
   if constexpr (I == std::variant_size_v<V>) {
     bad("unknown kind: " + (in.is_object() && !in.empty() ? in.begin().key() : std::string("none")));
   } else {
     if (!in.is_object() || !in.contains(names[I]))
-      return decodeKind<V, I + 1>(in, names);
+      return decodeVariant<V, I + 1>(in, names);
     std::variant_alternative_t<I, V> x;
     decode(in[names[I]], names[I], x);
     return x;
   }
 }
 
-std::string lineOf(const json& j) {
+std::string dump(const json& j) {
   return j.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 }  // namespace
 
 std::string headLine(const Settings& settings, std::uint64_t seed) {
-  // As text: a number over 2^63 is not read back by every reader of JSON.
-  return lineOf(
+  // The seed is a string, as not every JSON parser reads a number over 2^63.
+  return dump(
       {{"grademux_decisions", kFormat}, {"seed", std::to_string(seed)}, {"settings", encode(settings)}});
 }
 
-std::string turnLine(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions) {
+std::string iterationLine(Micros now, const std::vector<Event>& events, const std::vector<Action>& actions) {
   json e = json::array(), a = json::array();
   for (const Event& x : events)
-    e.push_back(encodeKind(x, kEvents));
+    e.push_back(encodeVariant(x, kEventNames));
   for (const Action& x : actions)
     a.push_back(actionJson(x));
-  return lineOf({{"now", now}, {"events", std::move(e)}, {"actions", std::move(a)}});
+  return dump({{"now", now}, {"events", std::move(e)}, {"actions", std::move(a)}});
 }
 
 json actionJson(const Action& a) {
-  return encodeKind(a, kActions);
+  return encodeVariant(a, kActionNames);
 }
 
 bool isHead(const json& line) {
@@ -437,21 +438,21 @@
   Head h;
   const std::string seed = text(line, "seed");
   if (seed.empty() || seed.size() > 20 || seed.find_first_not_of("0123456789") != std::string::npos)
-    unfit("seed");
+    badField("seed");
   h.seed = std::stoull(seed);
   decode(field(line, "settings"), "settings", h.settings);
   return h;
 }
 
-Turn readTurn(const json& line) {
+Iteration readIteration(const json& line) {
   if (!line.is_object())
-    bad("a turn is not an object");
-  Turn t;
+    bad("expected an object for an iteration");
+  Iteration t;
   t.now = integer(line, "now");
   for (const json& e : array(line, "events"))
-    t.events.push_back(decodeKind<Event>(e, kEvents));
+    t.events.push_back(decodeVariant<Event>(e, kEventNames));
   for (const json& a : array(line, "actions"))
-    t.actions.push_back(decodeKind<Action>(a, kActions));
+    t.actions.push_back(decodeVariant<Action>(a, kActionNames));
   return t;
 }
 
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -1,4 +1,5 @@
-// Recorded decisions: what is written reads back the same, and a replay finds the first action that differs.
+// Recorded decisions: encoded values decode to the same values, and a replay finds the first action that
+// differs.
 #include "../../src/replay/replay.h"
 
 #include <fstream>
@@ -14,28 +15,28 @@
 
 using replay::Report;
 
-std::string recorded(const char* shape, int turns, std::uint64_t seed = 1) {
+std::string recordStream(const char* shape, int iterations, std::uint64_t seed = 1) {
   StreamShape s = streamShape(shape);
-  s.iterations = turns;
+  s.iterations = iterations;
   Stream stream(s, seed);
   std::string all = replay::headLine(stream.settings, seed) + "\n";
   stream.on_decision = [&](Micros now, const std::vector<Event>& e, const std::vector<Action>& a) {
-    all += replay::turnLine(now, e, a) + "\n";
+    all += replay::iterationLine(now, e, a) + "\n";
   };
   stream.run();
   return all;
 }
-Report replayed(const std::string& text) {
+Report replayText(const std::string& text) {
   std::istringstream in(text);
   return replay::replay(in);
 }
-std::string joined(const std::vector<std::string>& lines) {
+std::string joinLines(const std::vector<std::string>& lines) {
   std::string all;
   for (const std::string& l : lines)
     all += l + "\n";
   return all;
 }
-std::vector<std::string> linesOf(const std::string& text) {
+std::vector<std::string> splitLines(const std::string& text) {
   std::vector<std::string> lines;
   std::istringstream in(text);
   for (std::string l; std::getline(in, l);)
@@ -44,13 +45,14 @@
 }
 
 class RecordedStreams : public ::testing::TestWithParam<const char*> {};
-// Risk: a field that isn't written, or a number that loses a digit, and the replay decides otherwise.
-TEST_P(RecordedStreams, AreDecidedAgainTheSame) {
-  const std::string text = recorded(GetParam(), 1500, 5);
-  const Report r = replayed(text);
+// Guards against a field that is not written or a number that loses a digit: the replay would decide
+// differently.
+TEST_P(RecordedStreams, ReplayWithoutDifference) {
+  const std::string text = recordStream(GetParam(), 1500, 5);
+  const Report r = replayText(text);
   EXPECT_EQ(r.unreadable, "");
   EXPECT_FALSE(r.difference) << r.difference->recorded << " / " << r.difference->decided;
-  EXPECT_EQ(r.turns, 1500u);
+  EXPECT_EQ(r.iterations, 1500u);
   EXPECT_GT(r.actions, 500u);
 }
 INSTANTIATE_TEST_SUITE_P(Streams, RecordedStreams,
@@ -58,7 +60,7 @@
                                            "waits", "many"),
                          [](const auto& p) { return std::string(p.param); });
 
-TEST(Replay, EveryKindReadsBackAsItWas) {
+TEST(Replay, DecodesEveryKindAsEncoded) {
   AttemptOutcome o;
   o.id = "\"\\\n";
   o.attempt = 3;
@@ -93,17 +95,17 @@
                                     DestinationHealth{"", 7, false, 1, 2, 3},
                                     LearnedEndpoint{"", 7, 1, false, 1, 0, 0, 0, 0, 0, 0},
                                     LearnedExported{9, true, {}}};
-  const std::string line = replay::turnLine(77, events, actions);
-  const replay::Turn t = replay::readTurn(json::parse(line));
-  EXPECT_EQ(line, replay::turnLine(t.now, t.events, t.actions));
+  const std::string line = replay::iterationLine(77, events, actions);
+  const replay::Iteration t = replay::readIteration(json::parse(line));
+  EXPECT_EQ(line, replay::iterationLine(t.now, t.events, t.actions));
   ASSERT_EQ(t.events.size(), events.size());
   const auto& report = std::get<AttemptOutcome>(t.events[5]).limit_report;
   EXPECT_EQ(report->remaining_fraction, 0.1 + 0.2);
   EXPECT_EQ(report->rate_limit, 1e-300);
   EXPECT_TRUE(std::get<AttemptOutcome>(t.events[5]).stale_connection);
-  json old = json::parse(line);  // of a version that knew nothing of it
+  json old = json::parse(line);  // a recording of a version without this field
   old["events"][5]["outcome"].erase("stale");
-  EXPECT_FALSE(std::get<AttemptOutcome>(replay::readTurn(old).events[5]).stale_connection);
+  EXPECT_FALSE(std::get<AttemptOutcome>(replay::readIteration(old).events[5]).stale_connection);
   EXPECT_EQ(std::get<EndpointListUpdate>(t.events[6]).endpoints[0].weight, 1.0 / 3);
   Settings s = makeSettings();
   s.tenants = {{"t", 0.1, 0.7}};
@@ -113,39 +115,39 @@
   EXPECT_EQ(head, replay::headLine(h.settings, h.seed));
 }
 
-// Risk: a difference is passed over, or shown where it is not.
-TEST(Replay, ShowsTheFirstActionThatDiffers) {
-  std::vector<std::string> lines = linesOf(recorded("calm", 200));
+// Guards against a missed difference and against a difference reported at the wrong place.
+TEST(Replay, ReportsFirstDifferentAction) {
+  std::vector<std::string> lines = splitLines(recordStream("calm", 200));
   std::size_t at = 120;
   while (json::parse(lines[at])["actions"].empty())
     ++at;
   json turn = json::parse(lines[at]);
   turn["actions"][0] = {{"fail", {{"id", "other"}}}};
   lines[at] = turn.dump();
-  Report r = replayed(joined(lines));
+  Report r = replayText(joinLines(lines));
   ASSERT_TRUE(r.difference);
   EXPECT_EQ(r.difference->line, at + 1);
   EXPECT_EQ(r.difference->action, 0u);
   EXPECT_EQ(r.difference->now, turn["now"]);
   EXPECT_NE(r.difference->recorded.find("other"), std::string::npos);
 
-  turn["actions"] = json::array();  // one too many, decided
+  turn["actions"] = json::array();  // the module decides one action more than recorded
   lines[at] = turn.dump();
-  r = replayed(joined(lines));
+  r = replayText(joinLines(lines));
   ASSERT_TRUE(r.difference);
   EXPECT_EQ(r.difference->recorded, "");
   EXPECT_NE(r.difference->decided, "");
 }
 
-TEST(Replay, SaysWhichLineCantBeRead) {
-  const std::vector<std::string> good = linesOf(recorded("calm", 20));
+TEST(Replay, NamesLineThatCantBeRead) {
+  const std::vector<std::string> good = splitLines(recordStream("calm", 20));
   const auto with = [&](std::size_t at, const std::string& line) {
     std::vector<std::string> lines = good;
     lines[at] = line;
-    return replayed(joined(lines)).unreadable;
+    return replayText(joinLines(lines)).unreadable;
   };
   EXPECT_NE(with(0, "{}").find("line 1: a head"), std::string::npos);
-  EXPECT_NE(replayed("").unreadable.find("line 1: a head"), std::string::npos);
+  EXPECT_NE(replayText("").unreadable.find("line 1: a head"), std::string::npos);
   EXPECT_NE(with(0, "{\"grademux_decisions\":2}").find("line 1: format 2"), std::string::npos);
   json head = json::parse(good[0]);
   head["settings"]["slots"] = 0;
@@ -163,11 +165,11 @@
   turn["events"] = json::array({{{"outcome", {{"id", "m"}}}}});
   EXPECT_NE(with(5, turn.dump()).find("attempt"), std::string::npos);
   EXPECT_NE(with(5, good[5].substr(0, 20)).find("line 7"),
-            std::string::npos);  // no tail: a run goes on
+            std::string::npos);  // not a torn tail: the run continues
 }
 
-// Risk: a process that was killed spoils the record of the next, or of itself.
-TEST(Recorder, ARunThatWasKilledIsPassedOverAndTheNextReplayed) {
+// Guards against a killed process that makes its own recording or that of the next process unreadable.
+TEST(Recorder, SkipsTruncatedLineOfKilledRunAndReplaysNextRun) {
   loopback::TempFolder folder;
   const std::string path = folder.path() + "/record";
   for (int run = 0; run < 3; ++run) {
@@ -177,7 +179,7 @@
     {
       replay::Recorder recorder(path, 1 << 30, s.settings, 3);
       s.on_decision = [&](Micros now, const std::vector<Event>& e, const std::vector<Action>& a) {
-        recorder.turn(now, e, a);
+        recorder.recordIteration(now, e, a);
       };
       s.run();
     }
@@ -190,11 +192,11 @@
   EXPECT_EQ(r.unreadable, "");
   EXPECT_FALSE(r.difference);
   EXPECT_EQ(r.runs, 3u);
-  EXPECT_EQ(r.cut, 2u);
-  EXPECT_EQ(r.turns, 898u);
+  EXPECT_EQ(r.truncated, 2u);
+  EXPECT_EQ(r.iterations, 898u);
 }
 
-TEST(Recorder, EndsAtItsSizeAndIsGoodUpToThere) {
+TEST(Recorder, StopsAtMaximumSizeWithReadableRecording) {
   loopback::TempFolder folder;
   const std::string path = folder.path() + "/record";
   StreamShape shape = streamShape("calm");
@@ -202,16 +204,16 @@
   Stream s(shape, 3);
   replay::Recorder recorder(path, 40'000, s.settings, 3);
   s.on_decision = [&](Micros now, const std::vector<Event>& e, const std::vector<Action>& a) {
-    recorder.turn(now, e, a);
+    recorder.recordIteration(now, e, a);
   };
   s.run();
-  EXPECT_TRUE(recorder.ended());
+  EXPECT_TRUE(recorder.isStopped());
   EXPECT_LE(std::filesystem::file_size(path), 40'000u);
   std::ifstream in(path);
   const Report r = replay::replay(in);
   EXPECT_EQ(r.unreadable, "");
   EXPECT_FALSE(r.difference);
-  EXPECT_GT(r.turns, 50u);
+  EXPECT_GT(r.iterations, 50u);
   EXPECT_THROW(replay::Recorder("/nowhere/at/all", 1000, s.settings, 3), std::runtime_error);
 }
 
