--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: its lines, its bound on rate, its file that is opened anew, and its table in the operators' pages.
+// The log: line format, rate limit, reopening of the file, and its event table in the operators' pages.
 #include "../../src/log/log.h"
 
 #include <set>
@@ -38,7 +38,7 @@
   log::Config config;
 };
 
-TEST_F(LogTest, ALineIsALineWhateverItsValuesHold) {
+TEST_F(LogTest, EscapesValuesSoThatEachEventIsOneLine) {
   const std::string odd = "a b=\"c\"\nd\x01\xff";
   EXPECT_EQ(log::formatLine(Event::discovery_malformed, {{"cause", "plain"}}, false),
             "warning discovery.malformed cause=plain");
@@ -53,7 +53,7 @@
   EXPECT_EQ(j["cause"].get<std::string>().substr(0, 10), odd.substr(0, 10));
 }
 
-TEST_F(LogTest, JsonLinesAreReadWithTheirTime) {
+TEST_F(LogTest, WritesJsonLinesWithTime) {
   open(0, true);
   log::write(Event::daemon_ready, {{"version", "1"}, {"doors", 2}});
   const json j = json::parse(text());
@@ -62,8 +62,8 @@
   EXPECT_EQ(j["time"].get<std::string>().back(), 'Z');
 }
 
-// Risk: a fault that comes ten thousand times a second fills the disk and stalls the loop.
-TEST_F(LogTest, AFloodOfOneKindIsCutAndCountedAndTheOthersGoOn) {
+// Guards against a fault that is logged ten thousand times a second, fills the disk and stalls the loop.
+TEST_F(LogTest, SuppressesAndCountsLinesOfOneEventAboveItsRate) {
   open(0.001);
   for (int i = 0; i < 5000; ++i)
     log::write(Event::journal_write_failed);
@@ -76,7 +76,7 @@
   EXPECT_EQ(count(text(), "log.suppressed"), 1u);
 }
 
-TEST(LogRate, RefillsWithTimeAndTellsWhenItIsCalm) {
+TEST(LogRate, RefillsTokensWithTime) {
   log::LineRateLimiter r(2, 10, 2);
   EXPECT_TRUE(r.allow(0, 0));
   EXPECT_TRUE(r.allow(0, 0));
@@ -85,12 +85,12 @@
   EXPECT_FALSE(r.hasToken(0, 50'000));
   EXPECT_TRUE(r.hasToken(0, 100'000));
   EXPECT_TRUE(r.allow(0, 100'000));
-  EXPECT_FALSE(r.allow(0, 90'000));  // a clock that goes back gives nothing
+  EXPECT_FALSE(r.allow(0, 90'000));  // a clock that goes back adds no token
   EXPECT_EQ(r.takeSuppressed(0), 2u);
   EXPECT_FALSE(r.hasSuppressed());
 }
 
-TEST_F(LogTest, LevelsAreSetByPart) {
+TEST_F(LogTest, AppliesLevelsByPart) {
   config.level = log::Level::error;
   config.parts["journal"] = log::Level::info;
   config.parts["attempt"] = log::Level::debug;
@@ -104,7 +104,7 @@
   EXPECT_FALSE(log::isEnabled(Event::membership_file_rejected));
 }
 
-TEST_F(LogTest, AFileThatWasRenamedIsOpenedAnewAndOneThatCantBeOpenedLeavesAllAsItWas) {
+TEST_F(LogTest, ReopensRenamedFileAndKeepsConfigurationWhenFileCantBeOpened) {
   open();
   log::write(Event::journal_tail_truncated);
   std::filesystem::rename(config.file, config.file + ".1");
@@ -120,8 +120,8 @@
   EXPECT_EQ(count(text(), "journal.tail_truncated"), 1u);
 }
 
-// The page and the code can't part: each event with its level and fields, none else.
-TEST(LogTable, TheOperatorsPageIsTheCodesTable) {
+// The page lists each event of the code with its level and fields, and no other event.
+TEST(LogTable, MatchesOperatorsPage) {
   const std::string page = read(sourceFolder() + "/docs/operate/log.md");
   std::set<std::string> lines;
   std::istringstream in(page);
@@ -140,7 +140,7 @@
     EXPECT_EQ(lines.erase(row), 1u) << "missing: " << row;
   }
   for (const std::string& l : lines)
-    ADD_FAILURE() << "of no event: " << l;
+    ADD_FAILURE() << "row without an event: " << l;
 }
 
 }  // namespace
--- a/tests/transport/http_transport_test.cpp
+++ b/tests/transport/http_transport_test.cpp
@@ -1,4 +1,4 @@
-// Calls over loopback sockets: each row of the protocol's table of outcomes, and the pool of connections.
+// HTTP transport over loopback sockets: each row of the protocol's outcome table, and the connection pool.
 #include "../../src/transport/http/http_transport.h"
 
 #include <arpa/inet.h>
@@ -19,9 +19,9 @@
 using loopback::Seen;
 using loopback::Server;
 
-struct Pool {
-  explicit Pool(Micros conn_idle = 60'000'000, Micros dial = 5'000'000)
-      : endpoints(io, {dial, conn_idle, 16}, [this](AttemptOutcome o) { outcomes.push_back(std::move(o)); }) {
+struct TransportFixture {
+  explicit TransportFixture(Micros conn_idle = 60'000'000, Micros dial = 5'000'000)
+      : transport(io, {dial, conn_idle, 16}, [this](AttemptOutcome o) { outcomes.push_back(std::move(o)); }) {
   }
 
   AcceptedMessage message(const std::string& id) {
@@ -31,10 +31,10 @@
     m.body = std::string("any\0bytes\r\n", 11);
     return m;
   }
-  // Makes a call and waits for its outcome.
-  AttemptOutcome call(const std::string& id, Micros timeout = 60'000'000) {
+  // Starts an attempt and waits for its outcome.
+  AttemptOutcome runAttempt(const std::string& id, Micros timeout = 60'000'000) {
     const std::size_t before = outcomes.size();
-    endpoints.startAttempt({message(id), 0, "e", timeout});
+    transport.startAttempt({message(id), 0, "e", timeout});
     return waitFor(before + 1);
   }
   AttemptOutcome waitFor(std::size_t count) {
@@ -49,14 +49,14 @@
 
   boost::asio::io_context io;
   std::vector<AttemptOutcome> outcomes;
-  HttpTransport endpoints;
+  HttpTransport transport;
 };
 
 AttemptOutcome outcomeOf(const Act& act, Micros timeout = 60'000'000) {
   Server s([&](const Seen&) { return act; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  return p.call("m", timeout);
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  return fixture.runAttempt("m", timeout);
 }
 
 struct Row {
@@ -69,7 +69,7 @@
 };
 class Outcomes : public ::testing::TestWithParam<Row> {};
 
-TEST_P(Outcomes, AreThoseOfTheTable) {
+TEST_P(Outcomes, MatchOutcomeTable) {
   const Row& r = GetParam();
   const AttemptOutcome o = outcomeOf(r.act);
   EXPECT_EQ(r.result, o.result);
@@ -103,7 +103,8 @@
         Row{"over", {answer("410 Gone")}, AttemptResult::not_sent, true, 0},
         Row{"unknown_status", {answer("418 Tea")}, AttemptResult::error, false, 0},
         Row{"garbled", {"no http at all\r\n\r\n", true}, AttemptResult::reset, false, 0},
-        // Spoilt answers: the request has run, whatever is told, unless the first line says 200.
+        // Malformed responses: the request may have run, whatever the response says, unless its status line
+        // has 200.
         Row{"interim_first",
             {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\nX-A: b\r\n\r\n" +
              answer("429 Slow", "Retry-After: 0.25\r\n")},
@@ -137,7 +138,7 @@
             AttemptResult::reset,
             false,
             0},
-        // Risk: memory is taken for as much as a length says.
+        // Guards against allocating as much memory as Content-Length declares.
         Row{"over_the_body_limit",
             {"HTTP/1.1 410 Gone\r\nContent-Length: 70000\r\n\r\n" + std::string(70'000, 'x')},
             AttemptResult::reset,
@@ -153,7 +154,7 @@
             AttemptResult::reset,
             false,
             0},
-        // What a head has told counts, though the answer says nothing of whether the call ran.
+        // Retry-After of a complete head is valid, though the response does not show whether the attempt ran.
         Row{"body_short_429",
             {"HTTP/1.1 429 Slow\r\nRetry-After: 5\r\nContent-Length: 10\r\n\r\nhalf", true},
             AttemptResult::reset,
@@ -204,37 +205,37 @@
         Row{"half_a_head", {"HTTP/1.1 200", true}, AttemptResult::reset, false, 0}),
     [](const auto& i) { return std::string(i.param.name); });
 
-TEST(HttpTransport, SilenceEndsInATimeOutAndClosesTheConnection) {
+TEST(HttpTransport, TimesOutAndClosesConnectionWithoutResponse) {
   Server s([](const Seen&) { return Act{}; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  const AttemptOutcome o = p.call("m", 200'000);
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  const AttemptOutcome o = fixture.runAttempt("m", 200'000);
   EXPECT_EQ(AttemptResult::timeout, o.result);
   EXPECT_FALSE(o.already_finished);
-  EXPECT_EQ(0u, p.endpoints.idleConnections());
+  EXPECT_EQ(0u, fixture.transport.idleConnections());
 }
 
-// Risk: the loop was held up past a call's limit. The answer has come meanwhile, but the limit's end is first
-// in line: a payment that the partner took counts as one of which nothing is known.
-TEST(HttpTransport, AnAnswerThatIsThereGoesBeforeALimitThatHasPassed) {
+// Guards against a loop that is blocked past an attempt's time limit: the response has arrived meanwhile, but
+// the handler of the limit runs first. A payment that the partner executed would count as an unknown outcome.
+TEST(HttpTransport, PrefersArrivedResponseOverExpiredTimeLimit) {
   loopback::Listener l;
-  Pool p;
-  p.endpoints.setAddress("e", l.address());
-  boost::asio::steady_timer first(p.io, std::chrono::milliseconds(250));
-  p.endpoints.startAttempt({p.message("m"), 0, "e", 300'000});
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", l.address());
+  boost::asio::steady_timer first(fixture.io, std::chrono::milliseconds(250));
+  fixture.transport.startAttempt({fixture.message("m"), 0, "e", 300'000});
   const auto limit = std::chrono::steady_clock::now() + std::chrono::milliseconds(300);
   int fd = -1;
   while (fd < 0) {
-    p.io.restart();
-    p.io.poll();
+    fixture.io.restart();
+    fixture.io.poll();
     pollfd ready{l.fd, POLLIN, 0};
     if (::poll(&ready, 1, 1) > 0)
       fd = ::accept4(l.fd, nullptr, nullptr, SOCK_CLOEXEC);
   }
   std::string in;
   while (in.find("any") == std::string::npos) {  // its body
-    p.io.restart();
-    p.io.poll();
+    fixture.io.restart();
+    fixture.io.poll();
     char piece[4096];
     const ssize_t n = ::recv(fd, piece, sizeof piece, MSG_DONTWAIT);
     if (n > 0)
@@ -245,101 +246,103 @@
     EXPECT_EQ(static_cast<ssize_t>(bytes.size()), ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   });
   std::this_thread::sleep_until(limit + std::chrono::milliseconds(50));  // both are due now, in this order
-  EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
+  EXPECT_EQ(AttemptResult::ok, fixture.waitFor(1).result);
   ::close(fd);
 }
 
-TEST(HttpTransport, ARefusedConnectionNeverRan) {
-  Pool p;
-  p.endpoints.setAddress("e", loopback::closedAddress());
-  EXPECT_EQ(AttemptResult::connect_failed, p.call("m").result);
-  p.endpoints.setAddress("e", "nonsense");
-  EXPECT_EQ(AttemptResult::connect_failed, p.call("n").result);
+TEST(HttpTransport, ReportsConnectFailedWhenConnectionIsRefused) {
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", loopback::closedAddress());
+  EXPECT_EQ(AttemptResult::connect_failed, fixture.runAttempt("m").result);
+  fixture.transport.setAddress("e", "nonsense");
+  EXPECT_EQ(AttemptResult::connect_failed, fixture.runAttempt("n").result);
 }
 
-// A call is written whole and once: id, key and body unchanged, and how long the sender will wait.
-TEST(HttpTransport, ACallCarriesTheMessageUnchanged) {
+// A request is written completely and once, with id, key and body unchanged and the time the sender will
+// wait.
+TEST(HttpTransport, SendsMessageUnchanged) {
   Server s([](const Seen&) { return Act{answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")}; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  const AttemptOutcome o = p.call("9b1f03aa5c7e2d41", 1'500'000);
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  const AttemptOutcome o = fixture.runAttempt("9b1f03aa5c7e2d41", 1'500'000);
   ASSERT_EQ(1u, s.seen().size());
   const Seen seen = s.seen()[0];
   EXPECT_EQ(0u, seen.head.find("POST /hook HTTP/1.1\r\n"));
   EXPECT_EQ("9b1f03aa5c7e2d41", seen.field("X-Txn"));
   EXPECT_EQ("5c0f6e1a2b3d4c59", seen.field("Idempotency-Key"));
   EXPECT_EQ("1500", seen.field("X-Remaining-Ms"));
-  EXPECT_EQ(p.message("").body, seen.body);
+  EXPECT_EQ(fixture.message("").body, seen.body);
   ASSERT_TRUE(o.limit_report);
   EXPECT_DOUBLE_EQ(0.4, o.limit_report->remaining_fraction);
   EXPECT_DOUBLE_EQ(25, o.limit_report->rate_limit);
 }
 
-// Risk: a report that can't be read is taken for zeros, which say that there is no limit.
-TEST(HttpTransport, AReportThatCantBeReadIsNone) {
+// Guards against reading a malformed load report as zeros, which would mean no limit.
+TEST(HttpTransport, IgnoresMalformedLoadReport) {
   for (const char* told : {"", "x0", "x0=,x1=", "x0=0.4", "x0=0.4,x1=25,", "x0=0.4,x1=2\x01", "x0=nan,x1=inf",
                            "x0=0.4;x1=25", "x0=0.4,x1=99999999999"}) {
     Server s([&](const Seen&) { return Act{answer("200 OK", std::string("X-Pressure: ") + told + "\r\n")}; });
-    Pool p;
-    p.endpoints.setAddress("e", s.address());
-    EXPECT_FALSE(p.call("m").limit_report) << told;
+    TransportFixture fixture;
+    fixture.transport.setAddress("e", s.address());
+    EXPECT_FALSE(fixture.runAttempt("m").limit_report) << told;
   }
 }
 
-// Risk: what comes behind a good answer is read as the answer to the next call on that connection.
-TEST(HttpTransport, WhatComesBehindAnAnswerIsNotTheNextOne) {
+// Guards against reading bytes after a complete response as the response to the next request on that
+// connection.
+TEST(HttpTransport, DoesNotReadBytesAfterResponseAsNextResponse) {
   std::atomic<int> calls{0};
   Server s([&](const Seen&) {
     return ++calls == 1 ? Act{answer("200 OK") + answer("200 OK")} : Act{answer("503 Full")};
   });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  EXPECT_EQ(AttemptResult::ok, p.call("a").result);
-  EXPECT_EQ(AttemptResult::rejected, p.call("b").result);
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  EXPECT_EQ(AttemptResult::ok, fixture.runAttempt("a").result);
+  EXPECT_EQ(AttemptResult::rejected, fixture.runAttempt("b").result);
   EXPECT_NE(s.seen()[0].connection, s.seen()[1].connection);
 }
 
-// Risk: addresses and connections of endpoints that are gone are kept for good.
-TEST(HttpTransport, WhatIsGoneIsForgotten) {
+// Guards against keeping addresses and connections of removed endpoints forever.
+TEST(HttpTransport, ClosesConnectionsOfRemovedEndpoint) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  p.call("a");
-  EXPECT_EQ(1u, p.endpoints.idleConnections());
-  p.endpoints.removeEndpoint("e");
-  EXPECT_EQ(0u, p.endpoints.idleConnections());
-  EXPECT_EQ(AttemptResult::connect_failed, p.call("b").result);
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  fixture.runAttempt("a");
+  EXPECT_EQ(1u, fixture.transport.idleConnections());
+  fixture.transport.removeEndpoint("e");
+  EXPECT_EQ(0u, fixture.transport.idleConnections());
+  EXPECT_EQ(AttemptResult::connect_failed, fixture.runAttempt("b").result);
 }
 
-TEST(HttpTransport, ConnectionsAreReusedAndClosedOnDemand) {
+TEST(HttpTransport, ReusesConnectionsAndClosesThemOnDemand) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  p.call("a");
-  p.call("b");
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  fixture.runAttempt("a");
+  fixture.runAttempt("b");
   EXPECT_EQ(s.seen()[0].connection, s.seen()[1].connection);
-  p.endpoints.closeIdleConnections("e");
-  EXPECT_EQ(0u, p.endpoints.idleConnections());
-  p.call("c");
+  fixture.transport.closeIdleConnections("e");
+  EXPECT_EQ(0u, fixture.transport.idleConnections());
+  fixture.runAttempt("c");
   EXPECT_NE(s.seen()[1].connection, s.seen()[2].connection);
 }
 
-// Guards against a request that is written to a connection the endpoint has closed: it would end as a reset,
-// and an unsafe message would be lost by it.
-TEST(HttpTransport, AConnectionClosedByTheEndpointIsNotWrittenTo) {
-  Server s([](const Seen&) { return Act{answer("200 OK"), true}; });  // closes, without saying so
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
+// Guards against writing a request to a connection that the endpoint has closed: the attempt would end as a
+// reset, and a non-idempotent message would be lost.
+TEST(HttpTransport, DoesNotWriteToConnectionClosedByEndpoint) {
+  Server s([](const Seen&) { return Act{answer("200 OK"), true}; });  // closes without "Connection: close"
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(AttemptResult::ok, p.call("m" + std::to_string(i)).result);
-    p.io.restart();
-    p.io.run_for(std::chrono::milliseconds(50));  // time for the end to arrive
+    EXPECT_EQ(AttemptResult::ok, fixture.runAttempt("m" + std::to_string(i)).result);
+    fixture.io.restart();
+    fixture.io.run_for(std::chrono::milliseconds(50));  // time for the close to arrive
   }
 }
 
-// What breaks on a kept connection before a byte of the answer came is told apart: it says nothing of the
-// endpoint.
-TEST(HttpTransport, AKeptConnectionThatTurnsOutDeadIsTold) {
+// A reused connection that fails before the first response byte is reported as stale: the failure is no
+// evidence against the endpoint.
+TEST(HttpTransport, ReportsStaleReusedConnection) {
   std::atomic<int> calls{0};
   Server s([&](const Seen&) {
     const int n = ++calls;
@@ -347,75 +350,76 @@
       return Act{answer("200 OK")};
     return n == 4 ? Act{"HTTP/1.1 50", false, true} : Act{"", false, true};
   });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  EXPECT_EQ(AttemptResult::ok, p.call("a").result);
-  AttemptOutcome o = p.call("b");
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  EXPECT_EQ(AttemptResult::ok, fixture.runAttempt("a").result);
+  AttemptOutcome o = fixture.runAttempt("b");
   EXPECT_EQ(AttemptResult::reset, o.result);
   EXPECT_TRUE(o.stale_connection);
-  EXPECT_EQ(AttemptResult::ok, p.call("c").result);
-  EXPECT_FALSE(p.call("d").stale_connection);  // part of an answer came
-  o = p.call("e");
+  EXPECT_EQ(AttemptResult::ok, fixture.runAttempt("c").result);
+  EXPECT_FALSE(fixture.runAttempt("d").stale_connection);  // part of a response arrived
+  o = fixture.runAttempt("e");
   EXPECT_EQ(AttemptResult::reset, o.result);
-  EXPECT_FALSE(o.stale_connection);  // a fresh connection
+  EXPECT_FALSE(o.stale_connection);  // a new connection
 }
 
-TEST(HttpTransport, AnIdleConnectionIsClosedBeforeTheEndpointWould) {
+TEST(HttpTransport, ClosesIdleConnectionBeforeEndpointDoes) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
-  Pool p(100'000);
-  p.endpoints.setAddress("e", s.address());
-  p.call("a");
-  EXPECT_EQ(1u, p.endpoints.idleConnections());
+  TransportFixture fixture(100'000);
+  fixture.transport.setAddress("e", s.address());
+  fixture.runAttempt("a");
+  EXPECT_EQ(1u, fixture.transport.idleConnections());
   const auto until = std::chrono::steady_clock::now() + loopback::kLong;
-  while (p.endpoints.idleConnections() > 0 && std::chrono::steady_clock::now() < until) {
-    p.io.restart();
-    p.io.run_one_for(std::chrono::seconds(1));
+  while (fixture.transport.idleConnections() > 0 && std::chrono::steady_clock::now() < until) {
+    fixture.io.restart();
+    fixture.io.run_one_for(std::chrono::seconds(1));
   }
-  EXPECT_EQ(0u, p.endpoints.idleConnections());
+  EXPECT_EQ(0u, fixture.transport.idleConnections());
 }
 
-TEST(HttpTransport, ACallIsCalledOffByClosingAndHasOneOutcome) {
+TEST(HttpTransport, CancelsAttemptWithOneOutcome) {
   Server s([](const Seen&) { return Act{}; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
-  p.endpoints.startAttempt({p.message("m"), 3, "e", 60'000'000});
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
+  fixture.transport.startAttempt({fixture.message("m"), 3, "e", 60'000'000});
   while (s.seen().empty()) {
-    p.io.restart();
-    p.io.run_one_for(std::chrono::milliseconds(20));
+    fixture.io.restart();
+    fixture.io.run_one_for(std::chrono::milliseconds(20));
   }
-  p.endpoints.cancelAttempt("m", 3);
-  p.endpoints.cancelAttempt("m", 3);
-  const AttemptOutcome o = p.waitFor(1);
+  fixture.transport.cancelAttempt("m", 3);
+  fixture.transport.cancelAttempt("m", 3);
+  const AttemptOutcome o = fixture.waitFor(1);
   EXPECT_EQ(AttemptResult::cancelled, o.result);
   EXPECT_EQ(3, o.attempt);
-  EXPECT_EQ(0u, p.endpoints.attemptsInFlight());
-  p.io.restart();
-  p.io.run_for(std::chrono::milliseconds(50));
-  EXPECT_EQ(1u, p.outcomes.size());
+  EXPECT_EQ(0u, fixture.transport.attemptsInFlight());
+  fixture.io.restart();
+  fixture.io.run_for(std::chrono::milliseconds(50));
+  EXPECT_EQ(1u, fixture.outcomes.size());
 }
 
-// Risk: a call that waited for its connection is written after the right to make it has ended.
-TEST(HttpTransport, WhatMayNotGoWhenTheConnectionIsThereIsNotWritten) {
+// Guards against writing an attempt that waited for its connection after the permission to send has ended.
+TEST(HttpTransport, DoesNotWriteWhenSendGuardForbidsIt) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
-  Pool p;
-  p.endpoints.setAddress("e", s.address());
+  TransportFixture fixture;
+  fixture.transport.setAddress("e", s.address());
   bool may = true;
   int asked = 0;
-  p.endpoints.setSendGuard([&](const std::string& endpoint) {
+  fixture.transport.setSendGuard([&](const std::string& endpoint) {
     EXPECT_EQ("e", endpoint);
     ++asked;
     return may;
   });
-  EXPECT_EQ(AttemptResult::ok, p.call("a").result);
+  EXPECT_EQ(AttemptResult::ok, fixture.runAttempt("a").result);
   EXPECT_EQ(1, asked);
   may = false;
-  EXPECT_EQ(AttemptResult::connect_failed, p.call("kept").result);  // on the connection that is there
-  EXPECT_EQ(AttemptResult::connect_failed, p.call("fresh").result);
+  EXPECT_EQ(AttemptResult::connect_failed, fixture.runAttempt("kept").result);  // on the idle connection
+  EXPECT_EQ(AttemptResult::connect_failed, fixture.runAttempt("fresh").result);
   EXPECT_EQ(3, asked);
   EXPECT_EQ(1u, s.seen().size());
 }
 
-// A listener whose queue is full: a connection to it comes up a second later, when there is room.
+// A listener with a full accept queue: a connection to it is established a second later, when the queue has
+// room.
 class LateListener {
  public:
   LateListener() {
@@ -436,13 +440,14 @@
     ::close(fd_);
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(ntohs(at_.sin_port)); }
-  // Makes room; answers the one request, if one comes. `got`: the bytes that came on the late connection.
+  // Makes room in the queue and answers the one request, if one arrives. `got`: bytes received on the late
+  // connection.
   void admit() {
     server_ = std::thread([this] {
       ::close(::accept(fd_, nullptr, nullptr));  // the filler
       pollfd late{fd_, POLLIN, 0};
       if (::poll(&late, 1, kLateMs) <= 0)
-        return;  // the call was called off before its connection was there
+        return;  // the attempt was cancelled before its connection was established
       const int c = ::accept(fd_, nullptr, nullptr);
       char bytes[512];
       got = ::recv(c, bytes, sizeof bytes, 0);
@@ -456,62 +461,65 @@
   std::atomic<ssize_t> got{0};
 
  private:
-  static constexpr int kLateMs = 3000;  // the system tries again after 1 s
+  static constexpr int kLateMs = 3000;  // the kernel retries after 1 s
   int fd_ = -1, filler_ = -1;
   sockaddr_in at_{};
   std::thread server_;
 };
 
-// Risk: a connection comes up late, and what is written on it breaks a wait that was told meanwhile.
-TEST(HttpTransport, ACallThatWaitedForItsConnectionHeedsAWaitThatWasToldMeanwhile) {
+// Guards against a connection that is established late and a request on it that violates a Retry-After
+// received meanwhile.
+TEST(HttpTransport, CancelsAttemptWaitingForConnectionOnRetryAfter) {
   for (const bool told : {true, false}) {
     LateListener late;
     Server s([&](const Seen&) {
       return Act{told ? answer("429 Too Many Requests", "Retry-After: 30\r\n") : answer("200 OK")};
     });
-    Pool p;
-    p.endpoints.setScopes([](const std::string&) { return std::string("destination 7"); });
-    p.endpoints.setAddress("late", late.address());
-    p.endpoints.setAddress("e", s.address());
-    p.endpoints.startAttempt({p.message("late"), 0, "late", 60'000'000});
-    EXPECT_EQ(told ? AttemptResult::rejected : AttemptResult::ok, p.call("m").result);
+    TransportFixture fixture;
+    fixture.transport.setScopes([](const std::string&) { return std::string("destination 7"); });
+    fixture.transport.setAddress("late", late.address());
+    fixture.transport.setAddress("e", s.address());
+    fixture.transport.startAttempt({fixture.message("late"), 0, "late", 60'000'000});
+    EXPECT_EQ(told ? AttemptResult::rejected : AttemptResult::ok, fixture.runAttempt("m").result);
     late.admit();
-    EXPECT_EQ(told ? AttemptResult::not_sent : AttemptResult::ok, p.waitFor(2).result);
+    EXPECT_EQ(told ? AttemptResult::not_sent : AttemptResult::ok, fixture.waitFor(2).result);
     late.finish();
     EXPECT_EQ(told, late.got == 0);
   }
 }
 
-// Risk: an endpoint drains or moves while a connection to it comes up, and gets a new call after the grace.
-TEST(HttpTransport, ACallThatWaitedForItsConnectionIsNotMadeWhereTheListHasChanged) {
+// Guards against an endpoint that drains or moves while a connection to it is established: it would get a new
+// attempt after the drain grace period.
+TEST(HttpTransport, CancelsAttemptWaitingForConnectionWhenListChanges) {
   LateListener late;
-  Pool p;
-  p.endpoints.setAddress("late", late.address());
-  p.endpoints.startAttempt({p.message("m"), 0, "late", 60'000'000});
-  p.io.poll();
-  p.endpoints.cancelUnwritten("other");
-  EXPECT_EQ(1u, p.endpoints.attemptsInFlight());
-  p.endpoints.cancelUnwritten("late");
+  TransportFixture fixture;
+  fixture.transport.setAddress("late", late.address());
+  fixture.transport.startAttempt({fixture.message("m"), 0, "late", 60'000'000});
+  fixture.io.poll();
+  fixture.transport.cancelUnwritten("other");
+  EXPECT_EQ(1u, fixture.transport.attemptsInFlight());
+  fixture.transport.cancelUnwritten("late");
   late.admit();
-  EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
+  EXPECT_EQ(AttemptResult::not_sent, fixture.waitFor(1).result);
   late.finish();
   EXPECT_EQ(0, late.got);
 }
 
-// Risk: a repeat goes out when its destination has forgotten the key: a second effect.
-TEST(HttpTransport, ARepeatIsNotMadeOnAConnectionThatComesUpTooLateForIt) {
+// Guards against a retry that is sent when its destination no longer remembers the key: a second effect.
+TEST(HttpTransport, DoesNotRetryOnConnectionEstablishedAfterWriteLimit) {
   LateListener late;
-  Pool p;
-  p.endpoints.setAddress("late", late.address());
-  p.endpoints.startAttempt({p.message("m"), 0, "late", 60'000'000, 300'000});
-  late.admit();  // its connection would be there after 1 s
-  EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
+  TransportFixture fixture;
+  fixture.transport.setAddress("late", late.address());
+  fixture.transport.startAttempt({fixture.message("m"), 0, "late", 60'000'000, 300'000});
+  late.admit();  // the connection would be established after 1 s
+  EXPECT_EQ(AttemptResult::not_sent, fixture.waitFor(1).result);
   late.finish();
   EXPECT_EQ(0, late.got);
 }
 
-// Accepts connections by hand, so that a test decides when each byte goes, with no loop in between.
-struct ByHand {
+// Accepts connections in the test itself, so that the test decides when each byte is sent, without an event
+// loop.
+struct ManualServer {
   int accept() {
     pollfd ready{listener.fd, POLLIN, 0};
     constexpr int kLongMs = 20'000;
@@ -521,12 +529,12 @@
     }
     return ::accept4(listener.fd, nullptr, nullptr, SOCK_CLOEXEC);
   }
-  // Runs the transport until the request has come whole.
-  static void readRequest(Pool& p, int fd) {
+  // Runs the transport until the complete request has arrived.
+  static void readRequest(TransportFixture& fixture, int fd) {
     std::string in;
     EXPECT_TRUE(loopback::eventually([&] {
-      p.io.restart();
-      p.io.poll();
+      fixture.io.restart();
+      fixture.io.poll();
       char piece[4096];
       const ssize_t n = ::recv(fd, piece, sizeof piece, MSG_DONTWAIT);
       if (n > 0)
@@ -534,13 +542,14 @@
       return in.find("any") != std::string::npos;  // its body
     }));
   }
-  // Makes the first call to endpoint "e", which is this one, and reads its request; gives the connection.
-  int takeFirstCall(Pool& p, const std::string& id) {
-    p.endpoints.setAddress("e", listener.address());
-    p.endpoints.startAttempt({p.message(id), 0, "e", 60'000'000});
-    p.io.poll();
+  // Starts the first attempt to endpoint "e", which is this server, reads its request and returns the
+  // connection.
+  int startFirstAttempt(TransportFixture& fixture, const std::string& id) {
+    fixture.transport.setAddress("e", listener.address());
+    fixture.transport.startAttempt({fixture.message(id), 0, "e", 60'000'000});
+    fixture.io.poll();
     const int fd = accept();
-    readRequest(p, fd);
+    readRequest(fixture, fd);
     return fd;
   }
   static void send(int fd, const std::string& bytes) {
@@ -549,9 +558,9 @@
   loopback::Listener listener;
 };
 
-// Risk: a call is called off while its answer lies unread in the socket: a wait is broken, or a delivery is
-// not known of.
-TEST(HttpTransport, WhatHasComeCountsWhenACallIsCalledOff) {
+// Guards against cancelling an attempt while its response is unread in the socket: a Retry-After would be
+// violated, or a delivery would be missed.
+TEST(HttpTransport, EvaluatesArrivedBytesOnCancel) {
   const struct {
     std::string bytes;
     AttemptResult result;
@@ -566,12 +575,12 @@
       {"", AttemptResult::cancelled, 0, false},
   };
   for (const auto& row : rows) {
-    ByHand server;
-    Pool p;
-    const int fd = server.takeFirstCall(p, "m");
-    ByHand::send(fd, row.bytes);  // on loopback it has come when this returns
-    p.endpoints.cancelAttempt("m", 0);
-    const AttemptOutcome o = p.waitFor(1);
+    ManualServer server;
+    TransportFixture fixture;
+    const int fd = server.startFirstAttempt(fixture, "m");
+    ManualServer::send(fd, row.bytes);  // on loopback the bytes have arrived when send() returns
+    fixture.transport.cancelAttempt("m", 0);
+    const AttemptOutcome o = fixture.waitFor(1);
     EXPECT_EQ(row.result, o.result) << row.bytes;
     EXPECT_EQ(row.wait, o.retry_after) << row.bytes;
     EXPECT_EQ(row.finished, o.already_finished) << row.bytes;
@@ -579,66 +588,68 @@
   }
 }
 
-// Risk: the time limit on connecting and the connection come in one step of the loop. The request is written,
-// and then the limit, whose handler can't be cancelled any more, says that it never was: a second effect.
-TEST(HttpTransport, ALimitThatIsDueWithTheConnectionDoesNotDenyARequestThatWasWritten) {
+// Guards against a connect time limit that expires in the same loop iteration as the connection is
+// established. The request is written, and then the handler of the limit, which can't be cancelled any more,
+// reports it as not written: a second effect.
+TEST(HttpTransport, IgnoresConnectLimitThatExpiresAlongWithConnection) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
-  Pool p(60'000'000, 50'000);
-  p.endpoints.setAddress("e", s.address());
-  p.endpoints.startAttempt({p.message("m"), 0, "e", 60'000'000});
+  TransportFixture fixture(60'000'000, 50'000);
+  fixture.transport.setAddress("e", s.address());
+  fixture.transport.startAttempt({fixture.message("m"), 0, "e", 60'000'000});
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // both are due now
-  EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
+  EXPECT_EQ(AttemptResult::ok, fixture.waitFor(1).result);
   EXPECT_EQ(1u, s.seen().size());
 }
 
-// Risk: an endpoint closes a kept connection, or sends half a line on it, just after it was chosen for a
-// call: the call would end in the unknown.
-TEST(HttpTransport, AKeptConnectionIsLookedAtAgainRightBeforeTheFirstByte) {
+// Guards against an endpoint that closes an idle connection, or sends half a line on it, just after the
+// connection was chosen for an attempt: the attempt would have an unknown outcome.
+TEST(HttpTransport, ChecksReusedConnectionAgainBeforeFirstByte) {
   for (const bool half_a_line : {false, true}) {
-    ByHand server;
-    Pool p;
-    const int first = server.takeFirstCall(p, "a");
-    ByHand::send(first, answer("200 OK"));
-    EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
-    ASSERT_EQ(1u, p.endpoints.idleConnections());
-    p.endpoints.startAttempt(
-        {p.message("b"), 0, "e", 60'000'000});  // on it; nothing is written before the loop runs
+    ManualServer server;
+    TransportFixture fixture;
+    const int first = server.startFirstAttempt(fixture, "a");
+    ManualServer::send(first, answer("200 OK"));
+    EXPECT_EQ(AttemptResult::ok, fixture.waitFor(1).result);
+    ASSERT_EQ(1u, fixture.transport.idleConnections());
+    fixture.transport.startAttempt(
+        {fixture.message("b"), 0, "e",
+         60'000'000});  // on the idle connection; nothing is written before the loop runs
     if (half_a_line)
-      ByHand::send(first, "HTTP/1.1 4");
+      ManualServer::send(first, "HTTP/1.1 4");
     else
       ::shutdown(first, SHUT_WR);
-    p.io.restart();
-    p.io.poll();
+    fixture.io.restart();
+    fixture.io.poll();
     const int second = server.accept();
     ASSERT_GE(second, 0);
-    ByHand::readRequest(p, second);
-    ByHand::send(second, answer("200 OK"));
-    EXPECT_EQ(AttemptResult::ok, p.waitFor(2).result);
+    ManualServer::readRequest(fixture, second);
+    ManualServer::send(second, answer("200 OK"));
+    EXPECT_EQ(AttemptResult::ok, fixture.waitFor(2).result);
     char byte;
-    EXPECT_LE(::recv(first, &byte, 1, 0), 0);  // it ended, and nothing was written there
+    EXPECT_LE(::recv(first, &byte, 1, 0), 0);  // the connection was closed, and nothing was written on it
     ::close(first);
     ::close(second);
   }
 }
 
-// Risk: a request that goes out in several writes has its last byte after a wait was told, or after its
-// endpoint drained. An endpoint begins a call at its last byte.
-TEST(HttpTransport, ARequestThatIsHalfWrittenIsNotFinishedIntoAWait) {
-  ByHand slow;
+// Guards against a request in several writes whose last byte is sent after a Retry-After arrived or its
+// endpoint drained. An endpoint starts to execute a request at its last byte.
+TEST(HttpTransport, CancelsHalfWrittenRequestOnRetryAfter) {
+  ManualServer slow;
   Server s([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 30\r\n")}; });
-  Pool p;
-  p.endpoints.setScopes([](const std::string&) { return std::string("destination 7"); });
-  p.endpoints.setAddress("slow", slow.listener.address());
-  p.endpoints.setAddress("e", s.address());
-  AcceptedMessage large = p.message("large");
-  large.body.assign(32u << 20, 'x');  // more than the system buffers
-  p.endpoints.startAttempt({large, 0, "slow", 60'000'000});
-  p.io.poll();
+  TransportFixture fixture;
+  fixture.transport.setScopes([](const std::string&) { return std::string("destination 7"); });
+  fixture.transport.setAddress("slow", slow.listener.address());
+  fixture.transport.setAddress("e", s.address());
+  AcceptedMessage large = fixture.message("large");
+  large.body.assign(32u << 20, 'x');  // more than the kernel buffers
+  fixture.transport.startAttempt({large, 0, "slow", 60'000'000});
+  fixture.io.poll();
   const int fd = slow.accept();
-  p.io.restart();
-  p.io.poll();
-  EXPECT_EQ(AttemptResult::rejected, p.call("m").result);
-  const AttemptOutcome o = p.waitFor(2);
+  fixture.io.restart();
+  fixture.io.poll();
+  EXPECT_EQ(AttemptResult::rejected, fixture.runAttempt("m").result);
+  const AttemptOutcome o = fixture.waitFor(2);
   EXPECT_EQ("large", o.id);
   EXPECT_EQ(AttemptResult::not_sent, o.result);
   std::size_t got = 0;
