--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -65,7 +65,7 @@
       l->set_pattern(settings.json ? kJsonLine : kTextLine, spdlog::pattern_time_type::utc);
       return l;
     } catch (const spdlog::spdlog_ex& e) {
-      throw std::runtime_error("the log's file " + settings.file + " can't be opened: " + e.what());
+      throw std::runtime_error("can't open log file " + settings.file + ": " + e.what());
     }
   }
 
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -253,7 +253,7 @@
     name.asking = true;
     ++asking_;
     dns_->resolve(name.memory.spec(),
-               [this, partner, turn = name.turn](const DnsAnswer& a) { answered(partner, turn, a); });
+                  [this, partner, turn = name.turn](const DnsAnswer& a) { answered(partner, turn, a); });
   }
   if (changed)
     return tell(last);  // comes back here
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -330,13 +330,13 @@
   return state_->abandon();
 }
 
-bool HttpConnection::written() const {
+bool HttpConnection::isWritten() const {
   return state_->written;
 }
 
 // A close by the peer or unexpected bytes make the socket readable. Guards against writing a request to a
 // closed connection: the exchange would end as a reset, and the request might have run.
-bool HttpConnection::reusable() const {
+bool HttpConnection::isReusable() const {
   if (!state_->open || state_->done)
     return false;
   error_code error;
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -35,16 +35,17 @@
 enum class ExchangeResult {
   answered,     // a response arrived that can be trusted: see HttpAnswer::complete
   not_written,  // the connection was not made, or failed before the last byte was written
-  broken,    // the connection failed after the last byte, or the response is malformed: it may have run
-  timed_out  // no response byte arrived in time
+  // The connection failed after the last byte, or the response is malformed: the request may have run.
+  broken,
+  timed_out  // the response did not start in time
 };
 
 struct HttpAnswer {
   ExchangeResult how = ExchangeResult::not_written;
   int status = 0;                 // of a response that can be trusted
   bool response_started = false;  // at least one byte of the response arrived
-  bool complete =
-      false;  // complete and well-formed; if false on `answered`, only the status line with 200 is valid
+  // The response is complete and well-formed. If false on `answered`, only the status line with 200 is valid.
+  bool complete = false;
   bool reused = false;  // the request used the connection of an earlier exchange
   int head_status = 0;  // of a complete head, also if the body is truncated; 0: no complete head
   std::vector<std::pair<std::string, std::string>> fields;  // of that head, with names in lower case
@@ -61,16 +62,16 @@
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Sends a request. Done is called once, from the event loop, never from within this call. Both limits are in
-  // microseconds.
+  // Sends a request. Done is called once, from the event loop, never from within this call. Both limits are
+  // in microseconds.
   void exchange(HttpRequest request, Micros connect_limit, Micros limit, Done done);
   // Cancels the pending exchange and returns its result so far, without waiting. Its Done is not called. The
   // result `answered` means that the response had already arrived. Requires a pending exchange.
   HttpAnswer abandon();
   // Whether the last byte of the current request has been passed to the kernel, so that the peer may receive
   // it.
-  bool written() const;
-  bool reusable() const;  // open, idle, and not closed by the peer
+  bool isWritten() const;
+  bool isReusable() const;  // open, idle, and not closed by the peer
 
  private:
   struct State;
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -37,7 +37,7 @@
         bad("a head is expected first");
       const Iteration iteration = readIteration(j);
       if (iteration.now < previous_time)
-        bad("its time is before that of the turn before");
+        bad("its time is before that of the previous iteration");
       previous_time = iteration.now;
       const std::vector<Action> decided = sender->decide(iteration.now, iteration.events);
       ++r.iterations;
--- a/src/transport/http/http_transport.cpp
+++ b/src/transport/http/http_transport.cpp
@@ -59,7 +59,7 @@
     std::unique_ptr<HttpConnection> freshest = std::move(idle.back().connection);
     idle.pop_back();
     --idle_count_;
-    if (freshest->reusable())
+    if (freshest->isReusable())
       return freshest;
   }
   return nullptr;
@@ -113,7 +113,7 @@
 void HttpTransport::cancelUnwrittenIf(const std::function<bool(const Attempt&)>& matches) {
   std::vector<AttemptId> unwritten;
   for (const auto& [id, attempt] : attempts_)
-    if (!attempt.connection->written() && matches(attempt))
+    if (!attempt.connection->isWritten() && matches(attempt))
       unwritten.push_back(id);
   for (const AttemptId& id : unwritten) {
     const auto attempt = attempts_.find(id);
@@ -226,7 +226,7 @@
 
 void HttpTransport::returnToPool(Attempt& attempt) {
   const auto listed = addresses_.find(attempt.endpoint);
-  if (listed == addresses_.end() || attempt.address != listed->second || !attempt.connection->reusable())
+  if (listed == addresses_.end() || attempt.address != listed->second || !attempt.connection->isReusable())
     return;
   if (idle_count_ >= limits_.max_idle)
     return;
--- a/tests/replay/losses_test.cpp
+++ b/tests/replay/losses_test.cpp
@@ -52,8 +52,8 @@
   std::string text;
 };
 
-Micros phaseMs(const Loss& l, Phase phase) {
-  return l.phase_times[static_cast<std::size_t>(p)] / kMs;
+Micros phaseMs(const Loss& loss, Phase phase) {
+  return loss.phase_times[static_cast<std::size_t>(phase)] / kMs;
 }
 
 TEST(Losses, DividesTimeOfLateMessageAmongPhases) {
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -121,18 +121,18 @@
   std::size_t at = 120;
   while (json::parse(lines[at])["actions"].empty())
     ++at;
-  json turn = json::parse(lines[at]);
-  turn["actions"][0] = {{"fail", {{"id", "other"}}}};
-  lines[at] = turn.dump();
+  json iteration = json::parse(lines[at]);
+  iteration["actions"][0] = {{"fail", {{"id", "other"}}}};
+  lines[at] = iteration.dump();
   Report r = replayText(joinLines(lines));
   ASSERT_TRUE(r.difference);
   EXPECT_EQ(r.difference->line, at + 1);
   EXPECT_EQ(r.difference->action, 0u);
-  EXPECT_EQ(r.difference->now, turn["now"]);
+  EXPECT_EQ(r.difference->now, iteration["now"]);
   EXPECT_NE(r.difference->recorded.find("other"), std::string::npos);
 
-  turn["actions"] = json::array();  // the module decides one action more than recorded
-  lines[at] = turn.dump();
+  iteration["actions"] = json::array();  // the module decides one action more than recorded
+  lines[at] = iteration.dump();
   r = replayText(joinLines(lines));
   ASSERT_TRUE(r.difference);
   EXPECT_EQ(r.difference->recorded, "");
@@ -159,11 +159,11 @@
   EXPECT_NE(with(0, head.dump()).find("tick"), std::string::npos);
   EXPECT_NE(with(5, "{\"now\":1,\"events\":[],\"actions\":[]}").find("line 6: its time"), std::string::npos);
   EXPECT_NE(with(5, "[]").find("line 6"), std::string::npos);
-  json turn = json::parse(good[5]);
-  turn["events"] = json::array({{{"surprise", json::object()}}});
-  EXPECT_NE(with(5, turn.dump()).find("line 6: unknown kind: surprise"), std::string::npos);
-  turn["events"] = json::array({{{"outcome", {{"id", "m"}}}}});
-  EXPECT_NE(with(5, turn.dump()).find("attempt"), std::string::npos);
+  json iteration = json::parse(good[5]);
+  iteration["events"] = json::array({{{"surprise", json::object()}}});
+  EXPECT_NE(with(5, iteration.dump()).find("line 6: unknown kind: surprise"), std::string::npos);
+  iteration["events"] = json::array({{{"outcome", {{"id", "m"}}}}});
+  EXPECT_NE(with(5, iteration.dump()).find("attempt"), std::string::npos);
   EXPECT_NE(with(5, good[5].substr(0, 20)).find("line 7"),
             std::string::npos);  // not a torn tail: the run continues
 }
