--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -26,7 +26,7 @@
     : io_(io), peer_(std::move(peer)), host_(std::move(host)), timer_(io) {}
 
 void Agent::request(HttpRequest request, Micros limit, HttpConnection::Done done) {
-  if (!connection_ || !connection_->reusable())
+  if (!connection_ || !connection_->isReusable())
     connection_ = std::make_unique<HttpConnection>(io_, peer_, host_, kMaxListBytes);
   connection_->exchange(std::move(request), PollSchedule::kConnectTimeout, limit, std::move(done));
 }
--- a/src/fleet/consul.cpp
+++ b/src/fleet/consul.cpp
@@ -127,7 +127,7 @@
   Call call = std::move(channel.queue.front());
   channel.queue.pop_front();
   const std::string& address = addresses_[channel.address_index % addresses_.size()];
-  if (!channel.connection || !channel.connection->reusable())
+  if (!channel.connection || !channel.connection->isReusable())
     channel.connection =
         std::make_unique<HttpConnection>(io_, parseAddress(address), address, kMaxAnswerBytes);
   const Micros connect_timeout = std::min(kConnectTimeout, timeout_);
