--- a/src/audit/audit_reader.cpp
+++ b/src/audit/audit_reader.cpp
@@ -97,13 +97,13 @@
     if (summary_.sender.empty())
       summary_.sender = sender;
     if (!expected_sender_.empty() && sender != expected_sender_)
-      gap_reason_ = segment_name_ + " belongs to " + sender;
+      gap_reason_ = segment_name_ + " is of " + sender;
     else if (sender != summary_.sender)
-      gap_reason_ = segment_name_ + " belongs to " + sender + ", not to " + summary_.sender;
+      gap_reason_ = segment_name_ + " is of " + sender + ", not of " + summary_.sender;
     if (started_ && sequence > sequence_ && gap_reason_.empty())
       gap_reason_ = std::to_string(sequence - sequence_) + " records are missing before " + segment_name_;
     if (!started_ && sequence > 0)
-      gap_reason_ = "the records before " + segment_name_ + " are missing";
+      gap_reason_ = "what came before " + segment_name_ + " is gone";
     flushGap(at);
     started_ = true;
     sequence_ = std::max(sequence_, sequence);
--- a/src/audit/command.cpp
+++ b/src/audit/command.cpp
@@ -47,7 +47,7 @@
 
 std::string SenderState::describe() const {
   if (!has_records)
-    return "unknown: there is no earlier record";
+    return "unknown: nothing is on record before";
   return running ? compliance : "not running";
 }
 
@@ -186,8 +186,9 @@
   if (query_.as_json)
     return;
   if (logs_without_clock_ > 0)
-    std::cout << logs_without_clock_
-              << " of the audit logs have no store time: they are ordered by their own clocks\n";
+    std::cout
+        << logs_without_clock_
+        << " of the trails have no time of the store: their place in the order is by their own clocks\n";
   if (clocks_.width() > kStoreClockAccuracy)
     std::cout << "clocks of senders differ by up to " << clocks_.width() / 1000
               << " ms; the order is by the store's clock, which is known to within 2 s\n";
--- a/src/audit/report_query.cpp
+++ b/src/audit/report_query.cpp
@@ -23,7 +23,7 @@
 bool queryTime(const AuditQuery& query, const SenderSummary& report) {
   const ActionPeriod* period = periodAt(report, *query.at);
   const bool known = period && (report.live || *query.at <= report.at);
-  const std::string description = !period ? "unknown: there is no earlier record"
+  const std::string description = !period ? "unknown: nothing is on record before"
                                           : "plan " + std::to_string(period->plan) +
                                                 (period->allowed ? "" : ", might not act") + " since " +
                                                 utcText(period->from, true);
@@ -62,8 +62,7 @@
   if (query.plan)
     return queryPlan(query, report);
   if (query.gaps) {
-    printGap(query, report.sender,
-             {report.at, 0, "its folder is not given, and its last report at the store is from before"});
+    printGap(query, report.sender, {report.at, 0, "its folder is not here, and the store tells no more"});
     return false;
   }
   printResult(query,
--- a/src/core/json_fields.h
+++ b/src/core/json_fields.h
@@ -57,7 +57,7 @@
 inline std::string text(const json& parent, const char* name) {
   const json& value = field(parent, name);
   if (!value.is_string())
-    bad(std::string("not a string: ") + name);
+    bad(std::string("not a text: ") + name);
   return value.get<std::string>();
 }
 inline std::string text(const json& parent, const char* name, const char* fallback) {
@@ -66,7 +66,7 @@
 inline bool truth(const json& parent, const char* name) {
   const json& value = field(parent, name);
   if (!value.is_boolean())
-    bad(std::string("not a boolean: ") + name);
+    bad(std::string("not true or false: ") + name);
   return value.get<bool>();
 }
 inline bool truth(const json& parent, const char* name, bool fallback) {
--- a/src/daemon/config_reloader.cpp
+++ b/src/daemon/config_reloader.cpp
@@ -140,7 +140,7 @@
   if (fresh.standalone.has_value() == standalone)
     return;
   if (standalone)
-    throw std::runtime_error("the daemon file has no [[class]] and [[partner]]");
+    throw std::runtime_error("it has no [[class]] and [[partner]] any more");
   throw std::runtime_error(
       "[[class]], [[partner]], [[source]], [dns], [limits] and [journal] are given by GW_CONFIG");
 }
--- a/src/daemon/outgoing_handover.cpp
+++ b/src/daemon/outgoing_handover.cpp
@@ -41,8 +41,7 @@
 std::string OutgoingHandover::rejectionReason() const {
   if (shutdown_.hasBegun())
     return "stopping";
-  return components_.attempts->inherited().empty() ? ""
-                                                   : "attempts of an earlier process are still in flight";
+  return components_.attempts->inherited().empty() ? "" : "calls of an earlier process are out still";
 }
 
 void OutgoingHandover::stopAccepting() {
--- a/src/decision/settings_check.h
+++ b/src/decision/settings_check.h
@@ -19,7 +19,7 @@
   require(!settings.classes.empty(), "classes");
   std::set<std::string> names;
   for (const auto& message_class : settings.classes) {
-    require(names.insert(message_class.name).second, "classes.name: duplicate class name");
+    require(names.insert(message_class.name).second, "classes.name: a class stands there twice");
     require(message_class.latency_objective > 0, "classes.aim");
     require(message_class.deadline >= message_class.latency_objective, "classes.deadline");
     require(message_class.idempotency_window >= 0, "classes.memory");
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -329,7 +329,7 @@
 void FleetMember::onPlanStored(const Plan& plan, const std::string& error) {
   storing_plan_ = 0;
   if (!error.empty()) {
-    config_error_ = "the plan can't be stored: " + error;
+    config_error_ = "the plan can't be kept: " + error;
     return;  // The next updateCompliance() stores the plan again.
   }
   if (plan.number != compliance_.newest().number &&
--- a/src/fleet/fleet_snapshot.cpp
+++ b/src/fleet/fleet_snapshot.cpp
@@ -181,11 +181,11 @@
                      describeRequirements(plan.requirements) + "\n  by " + plan.author + " at " +
                      utcText(plan.changed_at, false) + ": " + plan.reason + "\n";
   for (const std::string& name : plan.fenced)
-    text += "  shut out by an operator: " + name + "\n";
+    text += "  shut out by word: " + name + "\n";
   for (const auto& [zone, state] : plan.zones)
     text += "  zone " + zone + " " + grademux::zones::toString(state) + "\n";
   for (const std::string& field : plan.unknown_fields)
-    text += "  a field that this program does not know: " + field + "\n";
+    text += "  a field this program does not know: " + field + "\n";
   if (!plan.strict || fleet.store_time <= 0)
     return text;
   const Micros effective_at = plan.changed_at + plan.effective_after;
--- a/src/fleet/plan_compliance.cpp
+++ b/src/fleet/plan_compliance.cpp
@@ -27,7 +27,7 @@
   if (conflictsWithNewest(plan)) {
     lost_data_reason_ = "the store has plan " + std::to_string(plan.number) + ", here " +
                         std::to_string(newest_.number) + " is known" +
-                        (plan.number == newest_.number ? ", with different content" : "");
+                        (plan.number == newest_.number ? ", and it is another" : "");
     return false;
   }
   last_read_at_ = std::max(last_read_at_, requested_at);
--- a/src/fleet/zone_command.cpp
+++ b/src/fleet/zone_command.cpp
@@ -178,7 +178,7 @@
   for (const auto& [zone, description] : overview.zones)
     printZone(fleet, zone, overview);
   if (overview.zones.empty())
-    std::cout << "no sender has reported a zone\n";
+    std::cout << "no sender has told of a zone\n";
   return 0;
 }
 
--- a/src/handover/handover_source.cpp
+++ b/src/handover/handover_source.cpp
@@ -47,7 +47,7 @@
   if (peer_) {
     LineSocket second_peer(
         std::move(socket), [](const Message&) {}, nullptr);
-    second_peer.send(HandoverRejected{"another process is already connected for a handover"});
+    second_peer.send(HandoverRejected{"another process takes over already"});
     return;
   }
   peer_ = std::make_unique<LineSocket>(
@@ -70,11 +70,11 @@
 void HandoverSource::onRequest(const HandoverRequest& request) {
   std::string reason = callbacks_.rejection_reason();
   if (request.version != kProtocolVersion)
-    reason = "protocol version " + std::to_string(kProtocolVersion) + " is expected";
+    reason = "version " + std::to_string(kProtocolVersion) + " of this channel is known";
   if (!reason.empty())
     return peer_->send(HandoverRejected{reason});
   if (!state_.onRequested())
-    return peer_->send(HandoverRejected{"a handover was already requested"});
+    return peer_->send(HandoverRejected{"asked already"});
   callbacks_.close();
   awaitQuiescence(monotonicNow());
 }
--- a/src/zones/zone_transitions.cpp
+++ b/src/zones/zone_transitions.cpp
@@ -38,7 +38,7 @@
 std::string failingReason(const VoteTotals& votes) {
   constexpr double kSmallestTotal = 1e-9;
   const int percent = static_cast<int>(100 * votes.failing / std::max(votes.total(), kSmallestTotal));
-  return std::to_string(percent) + "% of the traffic in the zone sees failures";
+  return std::to_string(percent) + "% of the traffic there sees it fail";
 }
 
 // ---- Evacuation
@@ -103,7 +103,7 @@
   next.stage = 0;
   next.traffic_fraction = 0;
   next.probers = probers;
-  next.reason = "evacuated for " + std::to_string(zone.since / 1'000'000) + " s";
+  next.reason = "out for " + std::to_string(zone.since / 1'000'000) + " s";
   return next;
 }
 
@@ -135,7 +135,7 @@
   next.probers = chooseProbers(zone.voters, policy, rank);
   if (next.probers.empty() || next.probers == zone.state.probers)
     return std::nullopt;
-  next.reason = "no healthy vote of the probers in time";
+  next.reason = "those who tried have told nothing";
   return next;
 }
 
@@ -143,14 +143,14 @@
   const int stage = zone.state.stage + 1;
   if (stage > policy.stage_count) {
     ZoneState active;
-    active.reason = "recovered";
+    active.reason = "back";
     return active;
   }
   ZoneState next = zone.state;
   next.probers.clear();
   next.stage = stage;
   next.traffic_fraction = trafficFraction(policy, stage);
-  next.reason = "the previous stage was healthy";
+  next.reason = "the stage before was clean";
   return next;
 }
 
--- a/tests/fleet/plan_compliance_test.cpp
+++ b/tests/fleet/plan_compliance_test.cpp
@@ -105,7 +105,7 @@
   EXPECT_FALSE(compliance.onPlanReceived(Plan(), 106 * kSecond));
   EXPECT_FALSE(
       compliance.onPlanReceived(plan(5, "bb"), 107 * kSecond));  // the same number with different content
-  EXPECT_NE(compliance.evaluate(108 * kSecond, running("aa")).reason.find("with different content"),
+  EXPECT_NE(compliance.evaluate(108 * kSecond, running("aa")).reason.find("it is another"),
             std::string::npos);
   EXPECT_EQ(compliance.evaluate(108 * kSecond, running("aa")).compliance, Compliance::unknown);
   EXPECT_FALSE(compliance.evaluate(110 * kSecond, running("aa")).allowed);
