--- a/src/listener/connection_close.cpp
+++ b/src/listener/connection_close.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Micros kCloseLimit = 500'000;  // from the sent end on
+constexpr Micros kCloseLimit = 500'000;  // from the shutdown of the sending side on
 constexpr std::size_t kMaxDiscardedBytes = 1u << 20;
 constexpr std::size_t kReadBytes = 16384;
 constexpr int kMaxReads = 64;  // of closeNow()
@@ -42,7 +42,7 @@
   error_code error;
   socket.shutdown(tcp::socket::shutdown_send, error);
   socket.non_blocking(true, error);
-  static char buffer[kReadBytes];  // shared: only the loop thread calls this function
+  static char buffer[kReadBytes];  // static, since only the loop thread calls this function
   for (int reads = 0; reads < kMaxReads && !error; ++reads)
     socket.read_some(boost::asio::buffer(buffer), error);
   socket.close(error);
--- a/src/listener/connection_close.h
+++ b/src/listener/connection_close.h
@@ -1,8 +1,8 @@
-// How both listeners end client connections. Loop thread only.
+// Closing of client connections, for both listeners. Loop thread only.
 //
-// A close over unread input resets the connection, and replies that the client has not read are lost with it.
-// So a connection is ended by sending the end and reading on, for a bounded time and amount, without
-// processing what is read (RFC 9112, section 9.6).
+// Closing a socket that has unread input resets the connection, and the client loses replies that it has not
+// read. A graceful close therefore shuts down the sending side first, then reads and discards input for a
+// bounded time and amount before the socket is closed (RFC 9112, section 9.6).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,16 +12,17 @@
 
 namespace grademux {
 
-// The state of one connection's graceful close. The owner goes on reading, reports the bytes, and closes the
-// socket when the client ends its side or a limit is reached.
+// The state of one connection's graceful close. The owner continues to read, reports the number of bytes
+// read, and closes the socket when the client closes its sending side or a limit is reached.
 class GracefulClose {
  public:
-  // Sends the end of the connection. `now`: monotonic, microseconds.
+  // Shuts down the sending side. `now`: monotonic, microseconds.
   void start(boost::asio::ip::tcp::socket& socket, Micros now);
   bool isStarted() const { return started_; }
-  // Counts bytes that were read after the end was sent. True: the limit is reached, close now.
+  // Counts bytes that were read after start(). Returns true when the limit is reached and the socket is to be
+  // closed.
   bool discard(std::size_t bytes);
-  // The time limit of the close is over.
+  // Whether the time limit of the close has passed.
   bool isExpired(Micros now) const;
 
  private:
@@ -30,10 +31,11 @@
   std::size_t discarded_ = 0;
 };
 
-// Whether the kernel holds no input of this connection. False also on an error.
+// Whether the kernel's receive buffer of the connection is empty. Also false on an error.
 bool isInputEmpty(const boost::asio::ip::tcp::socket& socket);
 
-// Closes a connection at once: sends the end, reads away what has arrived, up to a bound, then closes.
+// Closes a connection without waiting for the client: shuts down the sending side, discards the input that
+// has arrived, up to a bound, then closes the socket.
 void closeNow(boost::asio::ip::tcp::socket& socket);
 
 }  // namespace grademux
--- a/src/listener/connection_table.h
+++ b/src/listener/connection_table.h
@@ -1,6 +1,6 @@
-// The connections of one listener, in groups that the listener names: "idle", "writing" and the like. Within
-// a group, connections stand in the order in which they entered it, so that the one that has been idle
-// longest is found without a walk. All operations but forEach() take constant time. Loop thread only.
+// The connections of one listener, in groups that the listener defines, such as "idle" or "writing". Each
+// group is ordered by the time at which its connections entered it, so that the connection that has been idle
+// longest is found without a scan. All operations but forEach() take constant time. Loop thread only.
 #pragma once
 
 #include <array>
@@ -18,14 +18,15 @@
  public:
   using Pointer = std::shared_ptr<Connection>;
 
-  // Adds a connection that is not in the table yet, as the newest of `group`.
+  // Adds a connection that is not in the table yet, at the end of `group`.
   void add(const Pointer& connection, std::size_t group) {
     std::list<Pointer>& members = groups_[group];
     members.push_back(connection);
     places_[connection.get()] = {group, std::prev(members.end())};
   }
 
-  // Makes a connection the newest of `group`. Connections that are not in the table are ignored.
+  // Moves a connection to the end of `group`, also if it is in that group already. A connection that is not
+  // in the table is ignored.
   void move(const Connection& connection, std::size_t group) {
     const auto found = places_.find(&connection);
     if (found == places_.end())
@@ -35,7 +36,7 @@
     place.group = group;
   }
 
-  // Forgets a connection; nothing happens if it is not in the table.
+  // Removes a connection; does nothing if it is not in the table.
   void remove(const Connection& connection) {
     const auto found = places_.find(&connection);
     if (found == places_.end())
@@ -47,15 +48,16 @@
   std::size_t size() const { return places_.size(); }
   std::size_t count(std::size_t group) const { return groups_[group].size(); }
 
-  // The members of a group, the one that entered it first in front.
+  // The members of a group, in the order in which they entered it.
   const std::list<Pointer>& members(std::size_t group) const { return groups_[group]; }
 
-  // The connection that entered the group first; null if the group is empty.
+  // The member that entered the group first; null if the group is empty.
   Pointer oldest(std::size_t group) const {
     return groups_[group].empty() ? nullptr : groups_[group].front();
   }
 
-  // Calls `action` with each connection. It may move and remove connections: it is given those of the start.
+  // Calls `action` with each connection. `action` may move and remove connections, because the iteration runs
+  // over a copy of the list.
   template <class Action>
   void forEach(const Action& action) const {
     std::vector<Pointer> all;
--- a/src/listener/http/batch.cpp
+++ b/src/listener/http/batch.cpp
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-void Batch::take(std::string_view bytes, std::size_t max_line_bytes, Micros now, const OnLine& on_line,
-                 const std::function<bool()>& may_go_on) {
-  while (!bytes.empty() && may_go_on()) {
+void Batch::addInput(std::string_view bytes, std::size_t max_line_bytes, Micros now, const OnLine& on_line,
+                     const std::function<bool()>& may_continue) {
+  while (!bytes.empty() && may_continue()) {
     const std::size_t line_end = bytes.find('\n');
     const bool ends = line_end != std::string_view::npos;
     const std::string_view part = bytes.substr(0, line_end);
--- a/src/listener/http/batch.h
+++ b/src/listener/http/batch.h
@@ -1,5 +1,5 @@
-// One batch request: splits its body into lines as it arrives, and releases the results of lines in their
-// order. What a line means is up to the session. No I/O and no clock. Loop thread only.
+// One batch request: splits the body into lines as it arrives, and releases the results in the order of the
+// lines. The session interprets the lines. No I/O and no clock. Loop thread only.
 #pragma once
 
 #include <deque>
@@ -20,37 +20,37 @@
 
 class Batch {
  public:
-  // A line of the request, without its end. Too long ones come without their text.
+  // A line of the request, without its line end. The text of a line that is too long is empty.
   struct Line {
     std::string text;
     bool too_long = false;
   };
   using OnLine = std::function<void(const Line&)>;
 
-  // `response`: where results go, in chunks (RFC 9112, section 7.1). `now`: monotonic, microseconds.
+  // `response` receives the results, as chunks (RFC 9112, section 7.1). `now`: monotonic, microseconds.
   Batch(ResponseQueue::Pointer response, Micros now) : response_(std::move(response)), line_since_(now) {}
 
-  // Takes bytes of the body. `on_line` is called for each line that came to its end; lines without content
-  // are skipped. `may_go_on` is asked before each line.
-  void take(std::string_view bytes, std::size_t max_line_bytes, Micros now, const OnLine& on_line,
-            const std::function<bool()>& may_go_on);
-  // The body came to its end: what is left is the last line.
+  // Adds bytes of the body. Calls `on_line` for each complete line; blank lines are skipped. Before each line
+  // `may_continue` is called, and false ends the call.
+  void addInput(std::string_view bytes, std::size_t max_line_bytes, Micros now, const OnLine& on_line,
+                const std::function<bool()>& may_continue);
+  // Called at the end of the body: the remaining bytes are the last line.
   void finishInput(const OnLine& on_line);
-  // The body can't be read on: what has come of a line is dropped.
+  // Called when the rest of the body can't be read: an incomplete line is dropped.
   void abortInput();
   bool isInputComplete() const { return input_complete_; }
 
-  // The place of the next line's result.
+  // Adds a place for the result of the next line.
   std::shared_ptr<BatchResult> appendResult();
-  // Lines without a complete result.
+  // The number of lines whose results have not been released.
   std::size_t openLines() const { return results_.size(); }
-  // Moves complete results, in order, into the response; completes it after the last.
+  // Moves complete results, in order, into the response; completes the response after the last one.
   void releaseResults();
   const ResponseQueue::Pointer& response() const { return response_; }
 
-  // A line has begun and not ended.
+  // Whether a line has been read in part.
   bool isInLine() const { return !line_.empty() || too_long_; }
-  // When the current line began, or the last one ended.
+  // When the current line began or, between lines, when the last one began; restartLineTimer() replaces it.
   Micros lineSince() const { return line_since_; }
   void restartLineTimer(Micros now) { line_since_ = now; }
 
--- a/src/listener/http/http_listener.cpp
+++ b/src/listener/http/http_listener.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t kReadBufferBytes = 16384;
-constexpr int kSendBufferBytes = 32768;       // of the kernel, for each connection
-constexpr Micros kIdleCloseable = 2'000'000;  // idle for so long, a connection makes room for a new one
+constexpr int kSendBufferBytes = 32768;       // the kernel's send buffer of each connection
+constexpr Micros kIdleCloseable = 2'000'000;  // a connection idle for longer may be closed to make room
 
 }  // namespace
 
@@ -41,7 +41,7 @@
   session->start();  // its first request has usually arrived by now
 }
 
-// At the limit the connection that has been idle longest makes room, if for long enough.
+// At the limit, closes the connection that has been idle longest, if it has been idle for kIdleCloseable.
 bool HttpListener::makeRoom() {
   if (sessions_.size() < limits_.connections)
     return true;
--- a/src/listener/http/http_listener.h
+++ b/src/listener/http/http_listener.h
@@ -1,6 +1,6 @@
-// The HTTP/JSON listener (HTTP/1.1, RFC 9112): clients submit messages and ask for their state one by one, or
-// submit batches as lines. Accepts and bounds connections; what happens on one of them: http_session.h. Loop
-// thread only.
+// The HTTP/JSON listener (HTTP/1.1, RFC 9112): clients submit messages and query their state one by one, or
+// submit batches as lines. The listener accepts connections and bounds their number; http_session.h serves
+// each of them. Loop thread only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +20,7 @@
  public:
   using Limits = HttpLimits;
 
-  // Binds `listen`; throws std::runtime_error when it can't.
+  // Binds the address `listen`; throws std::runtime_error if it can't be bound.
   HttpListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Limits limits);
   ~HttpListener() override;
   HttpListener(const HttpListener&) = delete;
@@ -58,11 +58,11 @@
   Limits limits_;
   SubmissionHandler* handler_ = nullptr;
   const operate::ServiceState* state_ = nullptr;
-  Micros draining_since_ = 0;  // the last call of drain(), monotonic
+  Micros draining_since_ = 0;  // time of the last call of drain(), monotonic
   ConnectionTable<HttpSession, kGroupCount> sessions_;
   std::vector<char> read_buffer_;
   std::size_t open_requests_ = 0;
-  std::int64_t next_number_ = 0;  // of connections
+  std::int64_t next_number_ = 0;  // number of the newest connection
   bool removed_ = false;
 };
 
--- a/src/listener/http/http_session.cpp
+++ b/src/listener/http/http_session.cpp
@@ -1,4 +1,4 @@
-// Reading, writing, time limits and close of HTTP connections; see http_session.h.
+// HttpSession: reading, writing, time limits and close of connections; see http_session.h.
 #include "http_session.h"
 
 #include <algorithm>
@@ -18,13 +18,14 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdleOutputBytes = 16384;  // capacity kept between responses
-constexpr std::size_t kMaxHeldBytes = 65536;        // of responses, before reading stops
-// A client gets an error or the end of its connection within 3 s. Limits on a request (of a batch: a line)
-// from its first byte on, and on a write without progress.
+constexpr std::size_t kMaxIdleOutputBytes = 16384;  // output capacity that is kept between responses
+constexpr std::size_t kMaxHeldBytes = 65536;        // bytes of pending responses at which reading stops
+// A client receives an error or the close of its connection within 3 s. These are the limits on a request (of
+// a batch: a line) from its first byte on, and on a write without progress.
 constexpr Micros kRequestLimit = 2'000'000, kWriteLimit = 2'000'000;
-constexpr Micros kFirstByteLimit = 10'000'000;  // clients open connections ahead of need
-constexpr int kMaxClientErrors = 64;            // in a row
+constexpr Micros kFirstByteLimit =
+    10'000'000;                       // longer, since clients open connections before they need them
+constexpr int kMaxClientErrors = 64;  // in a row, then the connection is closed
 constexpr int kTooManyRequests = 429;
 
 }  // namespace
@@ -70,7 +71,7 @@
   processInput();
 }
 
-// A client may end its side and still read: its requests are answered.
+// A client may close its sending side and still read, so its requests are answered.
 void HttpSession::onEndOfInput() {
   input_ended_ = true;
   if (graceful_close_.isStarted() || (responses_.empty() && !writing_))
@@ -82,7 +83,7 @@
   flush();
 }
 
-// Parses what has come as far as the bounds allow, then waits for more.
+// Parses the received input as far as the bounds allow, then waits for more.
 void HttpSession::processInput() {
   while (open_ && !last_request_read_ && mayRead() && parsed_ < input_.size()) {
     if (!parseStep())
@@ -102,7 +103,7 @@
   reportIdle();
 }
 
-// The same from the loop, for callers that may be called by the parser.
+// Schedules processInput() on the loop, for callers that may run within processInput().
 void HttpSession::processInputLater() {
   if (process_scheduled_ || !open_)
     return;
@@ -114,7 +115,7 @@
   });
 }
 
-// False: more bytes are needed, or the request was rejected.
+// Returns false if more bytes are needed, or if the request was rejected.
 bool HttpSession::parseStep() {
   if (!parser_.isActive()) {
     if (input_[parsed_] == '\r' || input_[parsed_] == '\n') {  // RFC 9112, section 2.2
@@ -210,7 +211,7 @@
   processInput();
 }
 
-// ---- time limits and the end of the connection
+// ---- time limits and the close of the connection
 
 bool HttpSession::isIdle() const {
   return responses_.empty() && !writing_ && !parser_.isActive() && !graceful_close_.isStarted();
@@ -240,11 +241,11 @@
     return;
   if (!isIdle())
     return checkRequestLimit(now);
-  if (now - since_ >= (used_ ? owner_.limits().idle_timeout : kFirstByteLimit))
+  if (now - since_ >= (has_read_request_ ? owner_.limits().idle_timeout : kFirstByteLimit))
     closeIfIdle();
 }
 
-// Answers requests that have waited for an outcome long enough: the message is accepted and still open.
+// Answers requests whose wait for a final outcome is over: their message is accepted and still open.
 void HttpSession::checkOutcomeWaits(Micros now) {
   for (std::size_t i = 0; i < outcome_waits_.size();) {
     const auto response = outcome_waits_[i].lock();
@@ -258,13 +259,13 @@
   }
 }
 
-// True: the connection has been dealt with.
+// Returns true if no further limit is to be checked.
 bool HttpSession::checkDraining(Micros now) {
   if (isIdle() && now >= std::max(since_, owner_.drainingSince()) + drainDelay(number_)) {
     closeIfIdle();
     return true;
   }
-  // A batch without an end: the lines that were read keep their results.
+  // A batch that does not end is aborted; the lines that were read keep their results.
   const bool overdue = now - owner_.drainingSince() >= kDrainDeadline;
   if (!batch_ || batch_->isInputComplete() || !overdue)
     return false;
@@ -301,7 +302,7 @@
   outcome_waits_.clear();
 }
 
-// A request that has arrived meanwhile is served first.
+// Does not close while a request has arrived and is unread, so that the request is served first.
 void HttpSession::closeIfIdle() {
   if (isIdle() && input_.empty() && isInputEmpty(socket_))
     closeGracefully();
--- a/src/listener/http/http_session.h
+++ b/src/listener/http/http_session.h
@@ -1,7 +1,8 @@
 // One client connection of the HTTP listener (HTTP/1.1, RFC 9112): reads requests while earlier ones are
-// open, routes them, and writes the responses in order. Each step has a time limit, and what a connection may
-// hold is bounded. A session knows its listener by HttpSessionOwner alone. Loop thread only; sessions are
-// shared with their pending socket operations and submissions, and may outlive the listener, closed.
+// open, routes them, and writes the responses in order. Each step has a time limit, and the memory of a
+// connection is bounded. A session refers to its listener only through HttpSessionOwner. Loop thread only;
+// sessions are shared with their pending socket operations and submissions, and closed sessions may outlive
+// the listener.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -25,49 +26,51 @@
 
 struct HttpLimits {
   std::size_t connections = 256;
-  std::size_t pipeline = 16;           // requests of a connection read and not answered
-  std::size_t batch_window = 64;       // lines of a batch read and not answered
+  std::size_t pipeline = 16;           // requests of a connection that are read and not answered
+  std::size_t batch_window = 64;       // lines of a batch that are read and not answered
   std::size_t request_bytes = 131072;  // the body of a request, or one line of a batch
-  Micros max_wait = 30'000'000;        // a client's "Prefer: wait" is cut to it
-  Micros idle_timeout = 60'000'000;    // a connection without a request is closed after it
+  Micros max_wait = 30'000'000;        // upper bound of a client's "Prefer: wait"
+  Micros idle_timeout = 60'000'000;    // after this time a connection without a request is closed
 };
 
-// What the sessions of one listener ask it for. It is not called once a session is closed.
+// The interface of the listener to its sessions. A closed session makes no calls to the owner.
 class HttpSessionOwner {
  public:
   virtual ~HttpSessionOwner() = default;
   virtual SubmissionHandler& handler() = 0;
   virtual const HttpLimits& limits() const = 0;
-  // Clients are to go elsewhere: connections end between requests.
+  // Whether clients are to disconnect: connections are closed between requests.
   virtual bool isDraining() const = 0;
   virtual Micros drainingSince() const = 0;  // monotonic; meaningful while isDraining()
-  // New submissions are answered with 503.
+  // Whether new submissions are answered with 503.
   virtual bool rejectsNewRequests() const = 0;
-  // Where a read puts its bytes before a session keeps what it needs: an idle connection holds no buffer.
+  // The buffer that all sessions read into, before each keeps the bytes that it needs: an idle connection
+  // holds no buffer.
   virtual std::vector<char>& readBuffer() = 0;
   virtual void onRequestOpened() = 0;
   virtual void onRequestsClosed(std::size_t count) = 0;
-  // The session has become idle, or is no longer.
+  // Called when the session becomes idle (`idle`) or stops being idle.
   virtual void onIdleChanged(const HttpSession& session, bool idle) = 0;
-  // The session has closed its socket and is to be forgotten.
+  // Called when the session has closed its socket; the owner removes the session.
   virtual void onSessionClosed(const HttpSession& session) = 0;
 };
 
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
  public:
-  // `number`: among the connections of the listener; spreads the drain of idle ones.
+  // `number`: identifies the connection within the listener; spreads the closes of idle connections in a
+  // drain.
   HttpSession(HttpSessionOwner& owner, boost::asio::ip::tcp::socket socket, std::int64_t number);
 
-  // Begins to serve; called once, when the owner knows the session (as an idle one).
+  // Starts to serve. Called once, after the owner has added the session as an idle one.
   void start() { read(); }
-  // When the current request, or the time without one, began; monotonic, microseconds.
+  // When the current request or, without a request, the idle time began; monotonic, microseconds.
   Micros since() const { return since_; }
   // Applies the time limits.
   void checkLimits(Micros now);
-  // Clients are to leave: answers requests that wait for a final outcome. `close_idle`: closes the connection
-  // if there is no request.
+  // Called when clients are to disconnect: answers requests that wait for a final outcome. With `close_idle`,
+  // closes the connection if no request is open.
   void drain(bool close_idle);
-  // Closes at once, without the responses that are not written.
+  // Closes the connection without writing the pending responses.
   void close();
 
  private:
@@ -111,7 +114,7 @@
   void write(std::size_t from);
   void onWritten();
 
-  // Time limits and the end of the connection.
+  // Time limits and the close of the connection.
   bool isIdle() const;
   void reportIdle();
   void checkOutcomeWaits(Micros now);
@@ -126,25 +129,25 @@
   Micros since_;
 
   std::string input_;
-  std::size_t parsed_ = 0;  // bytes of `input_`
+  std::size_t parsed_ = 0;  // number of bytes of `input_` that are parsed
   http_listener::RequestParser parser_;
   std::variant<http_listener::Target, http_listener::Problem> target_;  // of the request that is being read
   std::string body_;                                                    // of that request
-  bool response_placed_ = false;                                        // it has its place in `responses_`
-  std::shared_ptr<http_listener::Batch> batch_;  // the request that is being read is one
+  bool response_placed_ = false;                 // that request has its place in `responses_`
+  std::shared_ptr<http_listener::Batch> batch_;  // set while a batch request is being read
 
   http_listener::ResponseQueue responses_;
   std::vector<std::weak_ptr<http_listener::PendingResponse>> outcome_waits_;
-  std::string output_;                // being written
-  std::size_t output_responses_ = 0;  // that end in `output_`
-  Micros write_since_ = 0;            // the last progress
+  std::string output_;                // the bytes that are being written
+  std::size_t output_responses_ = 0;  // responses whose last byte is in `output_`
+  Micros write_since_ = 0;            // time of the last progress of the write
   int consecutive_client_errors_ = 0;
 
   GracefulClose graceful_close_;
   bool open_ = true;
-  bool input_ended_ = false;        // the client has ended its side
-  bool last_request_read_ = false;  // what comes is not parsed
-  bool used_ = false;               // a request has been read
+  bool input_ended_ = false;        // the client has closed its sending side
+  bool last_request_read_ = false;  // further input is not parsed
+  bool has_read_request_ = false;
   bool waiting_to_read_ = false, writing_ = false, close_after_write_ = false;
   bool process_scheduled_ = false;
   bool reported_idle_ = true;
--- a/src/listener/http/http_session_requests.cpp
+++ b/src/listener/http/http_session_requests.cpp
@@ -1,4 +1,4 @@
-// Requests of HTTP connections: checks, routing, submissions and batches; see http_session.h.
+// HttpSession: checks and routing of requests, submissions and batches; see http_session.h.
 #include <algorithm>
 #include <utility>
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// What the head alone decides. False: the request was rejected.
+// Makes the checks that need only the head. Returns false if the request was rejected.
 bool HttpSession::onHead() {
   body_.clear();
   if (const auto problem = parser_.checkHead()) {
@@ -50,7 +50,7 @@
 bool HttpSession::onBody(std::string_view bytes) {
   if (batch_) {
     const auto batch = batch_;
-    batch->take(
+    batch->addInput(
         bytes, owner_.limits().request_bytes, monotonicNow(),
         [this, &batch](const Batch::Line& line) { onBatchLine(batch, line); }, [this] { return open_; });
     if (open_)
@@ -65,7 +65,8 @@
   return true;
 }
 
-// The place of the request that is being read. Made before its end where bytes are due earlier.
+// The pending response to the request that is being read. Created before the request is complete if response
+// bytes are needed earlier.
 HttpSession::ResponsePointer HttpSession::currentResponse() {
   if (!response_placed_) {
     responses_.append();
@@ -78,7 +79,7 @@
 void HttpSession::onRequestRead() {
   const ResponsePointer response = currentResponse();
   response_placed_ = false;
-  used_ = true;
+  has_read_request_ = true;
   const bool keeps_alive = parser_.keepsAlive() && !owner_.isDraining();
   last_request_read_ = last_request_read_ || !keeps_alive;
   response->closes_connection = !keeps_alive;
@@ -112,7 +113,7 @@
   answer(response, content);
 }
 
-// The last preference counts, cut to the listener's limit; 0: the client does not wait.
+// The wait of the last preference, at most the listener's limit; 0 if the client does not wait.
 Micros HttpSession::preferredWait(const Fields& fields) const {
   Micros wait = 0;
   for (const auto& [name, value] : fields) {
@@ -164,7 +165,7 @@
   answer(response, submissionResponse(response->message_id, SubmissionResult::accepted()));
 }
 
-// A request that can't be read: its response, then the end of the connection.
+// Answers a request that can't be read; the connection is closed after the response.
 void HttpSession::rejectRequest(const Problem& problem) {
   if (batch_)
     return abortBatch(problem);
@@ -226,7 +227,8 @@
   processInputLater();
 }
 
-// The rest of a batch can't be read: the lines that were read keep their results, then one line says why.
+// Ends a batch whose rest can't be read: the lines that were read keep their results, and one more line
+// reports the problem.
 void HttpSession::abortBatch(const Problem& problem) {
   const auto batch = std::exchange(batch_, nullptr);
   parser_.reset();
--- a/src/listener/http/problem.h
+++ b/src/listener/http/problem.h
@@ -1,4 +1,4 @@
-// What is wrong with a request of the HTTP listener, as a problem document (RFC 9457) names it. Plain data.
+// An error in a request of the HTTP listener, in the terms of a problem document (RFC 9457). Plain data.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 struct Problem {
   int status = 400;
-  std::string code;    // the end of the document's type, urn:grademux:problem:CODE
-  std::string detail;  // for people
+  std::string code;    // last part of the document's type, urn:grademux:problem:CODE
+  std::string detail;  // human-readable explanation
 };
 
 }  // namespace grademux::http_listener
--- a/src/listener/http/request_messages.cpp
+++ b/src/listener/http/request_messages.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxBodyBytes = 65536;  // as of requests to endpoints
+constexpr std::size_t kMaxBodyBytes = 65536;  // the limit of requests to endpoints, too
 constexpr double kMaxInteger = 1e15;
 constexpr std::size_t kMaxIntegerDigits = 15;
 
-// The value of a hexadecimal digit; -1: it is none.
+// The value of a hexadecimal digit; -1 for any other character.
 int hexDigit(char digit) {
   if (digit >= '0' && digit <= '9')
     return digit - '0';
@@ -40,7 +40,7 @@
   return out;
 }
 
-// Strict RFC 4648, section 4: only the alphabet, full groups, padding only at the end.
+// Decodes strictly as of RFC 4648, section 4: only the alphabet, full groups, padding only at the end.
 std::optional<std::string> base64Decoded(const std::string& text) {
   namespace base64 = boost::beast::detail::base64;
   static const std::string alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
@@ -53,7 +53,7 @@
   return out;
 }
 
-// The value of the first field of that name; null: there is none.
+// The value of the first field of that name; null if there is none.
 const std::string* headerField(const Fields& fields, const char* name) {
   for (const auto& [known, value] : fields)
     if (known == name)
@@ -101,7 +101,7 @@
   return milliseconds > 0 && milliseconds <= kMaxTimeToLive / 1000 ? milliseconds * 1000 : 0;
 }
 
-// The name of a field that documents don't have; none: all are known.
+// The name of the first field that a message document doesn't define; none if all are defined.
 std::optional<std::string> unknownField(const json& document) {
   static const std::set<std::string> known = {wire::kId,          wire::kMessageClass,   wire::kDestination,
                                               wire::kDeadlineMs,  wire::kIdempotencyKey, wire::kOrderingKey,
--- a/src/listener/http/request_parser.cpp
+++ b/src/listener/http/request_parser.cpp
@@ -26,7 +26,7 @@
   parser_.emplace();
   parser_->eager(false);
   parser_->header_limit(kMaxHeaderBytes);
-  // The session applies limits of its own to bodies. Boost 1.74 takes 0 for no body at all.
+  // The session applies its own limits to bodies. Boost 1.74 treats a limit of 0 as "no body allowed".
   parser_->body_limit(UINT64_MAX / 2);
   head_complete_ = false;
 }
@@ -64,13 +64,13 @@
   const Head& request = head();
   if (request.version() != 11 && request.version() != 10)
     return Problem{505, "malformed-request", "HTTP/1.1 is expected"};
-  const bool coded = request.count(http::field::transfer_encoding) > 0;
-  // RFC 9112, section 6.3: another reader of such a request could find a second request in its body.
+  const bool has_transfer_coding = request.count(http::field::transfer_encoding) > 0;
+  // RFC 9112, section 6.3: another recipient could read the body of such a request as a second request.
   const std::size_t lengths =
       request.count(http::field::content_length) + request.count(http::field::transfer_encoding);
-  if (lengths > 1 || (coded && request.version() == 10))
+  if (lengths > 1 || (has_transfer_coding && request.version() == 10))
     return Problem{400, "malformed-request", "more than one length of the body is told"};
-  if (coded && toLower(request[http::field::transfer_encoding]) != "chunked")
+  if (has_transfer_coding && toLower(request[http::field::transfer_encoding]) != "chunked")
     return Problem{501, "unsupported-encoding", "chunked is known"};
   if (request.version() == 11 && request.count(http::field::host) != 1)
     return Problem{400, "malformed-request", "one field Host is expected"};
--- a/src/listener/http/request_parser.h
+++ b/src/listener/http/request_parser.h
@@ -1,5 +1,5 @@
-// Parses HTTP/1.1 requests (RFC 9112) from bytes as they arrive, one request at a time, on Boost.Beast.
-// Checks how requests are framed; what they ask for is none of its business. No I/O. Loop thread only.
+// Parses HTTP/1.1 requests (RFC 9112) from bytes as they arrive, one request at a time, with Boost.Beast.
+// Checks the framing of requests only; the session interprets them. No I/O. Loop thread only.
 #pragma once
 
 #include <array>
@@ -18,39 +18,39 @@
  public:
   using Head = boost::beast::http::request_header<>;
 
-  // What one step has found.
+  // The result of one parse step.
   struct Step {
-    std::size_t consumed = 0;        // bytes of the input
-    std::optional<Problem> problem;  // the request can't be read; nothing else is set
-    bool head_complete = false;      // the head came to its end in this step
+    std::size_t consumed = 0;        // number of bytes of the input
+    std::optional<Problem> problem;  // the request is invalid; apart from `consumed`, nothing else is set
+    bool head_complete = false;      // the head became complete in this step
     std::string_view body;           // bytes of the body, valid until the next step
-    bool complete = false;           // the request came to its end
+    bool complete = false;           // the request is complete
   };
 
-  // Starts a request.
+  // Starts to parse a request.
   void start();
-  // Ends it, whether complete or not.
+  // Drops the request, whether complete or not.
   void reset() { parser_.reset(); }
-  // A request is being read.
+  // Whether a request is being read.
   bool isActive() const { return parser_.has_value(); }
-  // Its head has been read. Meaningless when no request has been started.
+  // Whether the head of the request has been read. Meaningless before the first start().
   bool isHeadComplete() const { return head_complete_; }
 
-  // Reads on. Requires isActive().
+  // Parses the next bytes of the request. Requires isActive().
   Step parse(std::string_view input);
 
   // The functions below require isActive(), and a complete head.
 
-  // What is wrong with version and framing; none: nothing.
+  // Checks the version and the framing; none if both are valid.
   std::optional<Problem> checkHead() const;
   const Head& head() const { return parser_->get(); }
   // Header fields, names in lower case.
   Fields fields() const;
   std::string_view target() const;
   bool isHttp11() const { return head().version() == 11; }
-  // The client waits for an interim response before it sends the body (RFC 9110, section 10.1.1).
+  // Whether the client waits for an interim response before it sends the body (RFC 9110, section 10.1.1).
   bool expectsContinue() const;
-  // The client keeps the connection open after this request.
+  // Whether the client keeps the connection open after this request.
   bool keepsAlive() const { return parser_->keep_alive(); }
   // The announced length of the body in bytes; 0 if there is none.
   std::uint64_t contentLength() const;
--- a/src/listener/http/response_messages.cpp
+++ b/src/listener/http/response_messages.cpp
@@ -41,7 +41,7 @@
   return document.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Adds the time to wait to head and document, rounded up; 0: nothing is added.
+// Adds the time to wait to the header fields and to the document, rounded up; adds nothing if it is 0.
 void addRetryAfter(Response& response, json& document, Micros retry_after) {
   if (retry_after <= 0)
     return;
--- a/src/listener/http/response_queue.h
+++ b/src/listener/http/response_queue.h
@@ -1,5 +1,5 @@
-// The responses of one HTTP connection, in the order of its requests: a later one that is ready waits for the
-// earlier ones. No I/O. Loop thread only.
+// The responses of one HTTP connection, in the order of its requests: a response that is ready waits until
+// the earlier ones are complete. No I/O. Loop thread only.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,13 @@
 
 // The response to one request.
 struct PendingResponse {
-  std::string bytes;                   // may be written once this response is the first
-  std::function<Response()> deferred;  // makes the response when it is the first: it sees what came before
-  bool complete = false;               // nothing follows `bytes`
-  bool closes_connection = false;      // the connection ends after it
-  // A request that waits for the final outcome of a message: until when (monotonic, microseconds), and which.
+  std::string bytes;  // to be written once this response is first in the queue
+  std::function<Response()>
+      deferred;           // makes the response once it is first, so that earlier requests are applied
+  bool complete = false;  // no more bytes follow
+  bool closes_connection = false;  // the connection is closed after this response
+  // Of a request that waits for a final outcome: the end of the wait (monotonic, microseconds) and the id of
+  // the message.
   Micros wait_until = 0;
   std::string message_id;
 };
@@ -27,27 +29,27 @@
 class ResponseQueue {
  public:
   using Pointer = std::shared_ptr<PendingResponse>;
-  // Completes a response that was deferred.
+  // Completes a deferred response.
   using Render = std::function<void(const Pointer&, const Response&)>;
 
-  // What may be written now.
+  // The bytes that can be written now.
   struct Ready {
     std::string bytes;
-    std::size_t completed = 0;       // responses of which the last byte is in `bytes`
-    bool closes_connection = false;  // the last of them ends the connection
+    std::size_t completed = 0;       // number of responses whose last byte is in `bytes`
+    bool closes_connection = false;  // the connection is closed after the last of them
   };
 
-  // The response to a request that was read just now.
+  // Adds the pending response to the newest request.
   Pointer append();
   bool empty() const { return responses_.empty(); }
   std::size_t size() const { return responses_.size(); }
-  // Bytes that are held back.
+  // Number of bytes that wait in the queue.
   std::size_t heldBytes() const;
   bool isLast(const Pointer& response) const { return response == responses_.back(); }
   const Pointer& last() const { return responses_.back(); }
-  // No request follows: the connection ends after the response that is the last now.
+  // Called when no request follows: the connection is closed after the last response in the queue.
   void closeAfterLast();
-  // Takes what may be written now.
+  // Removes and returns the bytes that can be written now; `render` completes deferred responses.
   Ready takeReady(const Render& render);
   void clear() { responses_.clear(); }
 
--- a/src/listener/http/wire_names.h
+++ b/src/listener/http/wire_names.h
@@ -1,5 +1,5 @@
-// The names that the HTTP listener's protocol uses on the wire: JSON fields, header fields (in lower case)
-// and resources. The only place that knows them; docs/openapi.yaml is the published description.
+// The names of the HTTP listener's protocol on the wire: JSON fields, header fields (in lower case) and
+// resources. They are defined only here; docs/openapi.yaml is the published description.
 #pragma once
 
 namespace grademux::http_listener::wire {
@@ -8,7 +8,7 @@
 constexpr char kMessagePrefix[] = "/v1/messages/";
 constexpr char kBatchTarget[] = "/v1/messages:batch";
 
-// JSON fields of a message that is submitted; the comment names the member that it becomes.
+// JSON fields of a submitted message; the comment names the member that receives the value.
 constexpr char kId[] = "id";                    // Message::id
 constexpr char kMessageClass[] = "class";       // Message::message_class
 constexpr char kDestination[] = "destination";  // Message::destination, or Submission::destination_name
@@ -33,6 +33,6 @@
 constexpr char kStateOpen[] = "open";
 constexpr char kEndedMs[] = "ended_ms";             // FinalOutcome::at
 constexpr char kRetryAfterMs[] = "retry_after_ms";  // FinalOutcome::retry_after
-constexpr char kStatus[] = "status";                // HTTP status of a problem or of a batch's line
+constexpr char kStatus[] = "status";                // HTTP status of a problem or of a batch line
 
 }  // namespace grademux::http_listener::wire
--- a/src/listener/listening_socket.cpp
+++ b/src/listener/listening_socket.cpp
@@ -17,9 +17,9 @@
 namespace {
 
 constexpr int kReceiveBufferBytes = 32768;
-constexpr int kFirstDuplicate = 16;  // lowest number of a duplicated descriptor
+constexpr int kFirstDuplicate = 16;  // the lowest number that a duplicated descriptor may have
 
-// A descriptor that the process was started with, for the address that it should listen at.
+// A descriptor that the process inherited, and the address that it is expected to listen on.
 struct PassedSocket {
   int descriptor;
   const tcp::endpoint& address;
@@ -30,7 +30,7 @@
     throw std::runtime_error(what.str());
   }
 
-  int option(int name) const {
+  int socketOption(int name) const {
     int value = 0;
     socklen_t size = sizeof value;
     if (::getsockopt(descriptor, SOL_SOCKET, name, &value, &size) != 0)
@@ -66,9 +66,9 @@
 
 void adoptListeningSocket(tcp::acceptor& acceptor, int descriptor, const tcp::endpoint& address) {
   const PassedSocket passed{descriptor, address};
-  if (passed.option(SO_TYPE) != SOCK_STREAM || passed.option(SO_PROTOCOL) != IPPROTO_TCP)
+  if (passed.socketOption(SO_TYPE) != SOCK_STREAM || passed.socketOption(SO_PROTOCOL) != IPPROTO_TCP)
     passed.fail("is no TCP socket");
-  if (passed.option(SO_ACCEPTCONN) == 0)
+  if (passed.socketOption(SO_ACCEPTCONN) == 0)
     passed.fail("does not listen");
   const tcp::endpoint bound = passed.boundAddress();
   const bool same_host = bound.address() == address.address() || bound.address().is_unspecified();
--- a/src/listener/resp/commands.cpp
+++ b/src/listener/resp/commands.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxNameBytes = 64;  // of a client
+constexpr std::size_t kMaxNameBytes = 64;  // of a client's name
 constexpr std::size_t kMaxWaitDigits = 12;
 
 // RESP2 replies, and RESP3 ones where they differ.
@@ -25,7 +25,7 @@
 std::string bulkString(const std::string& text) {
   return "$" + std::to_string(text.size()) + "\r\n" + text + "\r\n";
 }
-// `items` are replies themselves.
+// `items` are encoded replies.
 std::string array(const std::vector<std::string>& items) {
   std::string reply = "*" + std::to_string(items.size()) + "\r\n";
   for (const std::string& item : items)
@@ -54,14 +54,15 @@
   return reply(errorReply("ERR " + reason));
 }
 
-// Names are printed in lists, where a space or line end would start the next field.
+// Sets the client's name; returns false if the name is not allowed. Names are printed in lists, where a space
+// or line end would start the next field.
 bool setName(RespClient& client, const std::string& name) {
-  const bool good = name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char letter) {
-                      return letter > ' ' && letter < 127;
-                    });
-  if (good)
+  const bool valid = name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char letter) {
+                       return letter > ' ' && letter < 127;
+                     });
+  if (valid)
     client.name = name;
-  return good;
+  return valid;
 }
 constexpr const char* kBadName = "a client's name has 64 printable characters without spaces at most";
 constexpr const char* kNoPassword = "no password is set at this door";
@@ -90,18 +91,18 @@
     i += 2;
   }
   client.protocol = protocol;
-  const std::vector<std::string> facts{bulkString("server"),  bulkString("grademux"),
-                                       bulkString("version"), bulkString(GRADEMUX_VERSION),
-                                       bulkString("proto"),   integer(protocol),
-                                       bulkString("id"),      integer(client.id),
-                                       bulkString("mode"),    bulkString("standalone"),
-                                       bulkString("role"),    bulkString("master"),
-                                       bulkString("modules"), array({})};
+  const std::vector<std::string> fields{bulkString("server"),  bulkString("grademux"),
+                                        bulkString("version"), bulkString(GRADEMUX_VERSION),
+                                        bulkString("proto"),   integer(protocol),
+                                        bulkString("id"),      integer(client.id),
+                                        bulkString("mode"),    bulkString("standalone"),
+                                        bulkString("role"),    bulkString("master"),
+                                        bulkString("modules"), array({})};
   if (protocol == 2)
-    return reply(array(facts));
-  std::string map = "%" + std::to_string(facts.size() / 2) + "\r\n";
-  for (const std::string& fact : facts)
-    map += fact;
+    return reply(array(fields));
+  std::string map = "%" + std::to_string(fields.size() / 2) + "\r\n";
+  for (const std::string& field : fields)
+    map += field;
   return reply(map);
 }
 
@@ -157,7 +158,7 @@
 
 struct CommandEntry {
   const char* name;
-  std::size_t min_words, max_words;  // with the command's name
+  std::size_t min_words, max_words;  // including the command's name
   Handler handler;
   const char* summary;
 };
@@ -193,7 +194,8 @@
   return text;
 }
 
-// Name, arity (negative: at least so many), flags, and the places of keys, of which there are none.
+// The entry of COMMAND's reply: name, arity (negative: the minimum), flags, and the positions of keys, which
+// no command has.
 std::string describe(const CommandEntry& entry) {
   const auto min_words = static_cast<std::int64_t>(entry.min_words);
   return array({bulkString(toLower(entry.name)),
--- a/src/listener/resp/parser.cpp
+++ b/src/listener/resp/parser.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxCountDigits = 8;
 
-// "<sign><digits>\r\n" at `at`; moves past it.
+// Reads "<sign><digits>\r\n" at position `at` and advances `at` past the line.
 ParseStatus readCount(std::string_view in, std::size_t& at, char sign, std::size_t max, std::size_t& count,
                       std::string& error) {
   if (at >= in.size())
@@ -46,7 +46,7 @@
   return letter == ' ' || letter == '\t';
 }
 
-// The value of a hexadecimal digit; -1: it is none.
+// The value of a hexadecimal digit; -1 for any other character.
 int hexDigit(char digit) {
   if (digit >= '0' && digit <= '9')
     return digit - '0';
@@ -55,7 +55,7 @@
   return digit >= 'A' && digit <= 'F' ? digit - 'A' + 10 : -1;
 }
 
-// One word of an inline command from `at` on; false if its quotes are not balanced.
+// Reads one word of an inline command at position `at`. Returns false if the quotes are not balanced.
 bool readWord(std::string_view line, std::size_t& at, std::string& word) {
   const char quote = line[at] == '"' || line[at] == '\'' ? line[at] : '\0';
   if (!quote) {
--- a/src/listener/resp/parser.h
+++ b/src/listener/resp/parser.h
@@ -8,21 +8,21 @@
 
 namespace grademux {
 
-constexpr std::size_t kMaxInlineBytes = 8192;  // of an inline command
+constexpr std::size_t kMaxInlineBytes = 8192;  // length of an inline command
 constexpr std::size_t kMaxWords = 16, kMaxWordBytes = 65536;
-// The length of the longest well-formed request, bytes.
+// The length in bytes of the longest well-formed request.
 constexpr std::size_t kMaxRequestBytes = 64 + kMaxWords * 16 + 2 * kMaxWordBytes;
 
 enum class ParseStatus { complete, partial, malformed };
 
-// Whether a word or, if it is not complete, the beginning of one is a command's name. Other lines are not
-// taken for inline commands.
+// Whether `word` is the name of a command or, if the word is not complete, a prefix of one. A line that
+// begins with another word is not an inline command.
 using IsCommandName = bool (*)(std::string_view word, bool complete);
 
-// Reads one request off the front of `in` into `words`; `used` is set to its length in bytes. `error` is set
-// for a malformed one. A request is an array of bulk strings or, if `is_command` is given, an inline command:
-// one line of words, with "..." (\n \r \t \b \a \\ \" \xHH in it) or '...' (\' in it) around words with
-// blanks.
+// Reads one request from the beginning of `in` into `words` and sets `used` to the request's length in bytes.
+// Sets `error` for a malformed request. A request is an array of bulk strings or, if `is_command` is given,
+// an inline command: one line of words. Words that contain blanks are enclosed in "..." (with the escapes \n
+// \r \t \b \a \\ \" \xHH) or in '...' (with the escape \').
 ParseStatus parseRequest(std::string_view in, std::vector<std::string>& words, std::size_t& used,
                          std::string& error, IsCommandName is_command = nullptr);
 
--- a/src/listener/resp/put_request.cpp
+++ b/src/listener/resp/put_request.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxDigits = 18;
 constexpr Micros kMicrosPerMilli = 1000;
 
-// Names of the values in a MSG.PUT's list.
+// The names of the values in the list of a MSG.PUT.
 constexpr char kMessageClass[] = "c";         // Message::message_class
 constexpr char kDeadlineMs[] = "d";           // Submission::time_to_live, milliseconds
 constexpr char kDestination[] = "dest";       // Message::destination, or Submission::destination_name
@@ -35,10 +35,10 @@
   return ok();
 }
 
-// A value that begins like a number must be one: names of partners don't.
+// A value that consists of digits, signs and dots must be a number; any other is the name of a partner.
 Result<void, PutError> readDestination(const std::string& value, Submission& submission) {
-  const bool named = !value.empty() && value.find_first_not_of("+-0123456789.") != std::string::npos;
-  if (named) {
+  const bool is_name = !value.empty() && value.find_first_not_of("+-0123456789.") != std::string::npos;
+  if (is_name) {
     submission.destination_name = value;
     return ok();
   }
@@ -49,7 +49,7 @@
   return ok();
 }
 
-// Reads one value; unknown names are ignored.
+// Reads one value of the list; unknown names are ignored.
 Result<void, PutError> readValue(const std::string& name, const std::string& value, Submission& submission) {
   AcceptedMessage& message = submission.message;
   if (name == kDeadlineMs)
@@ -65,7 +65,7 @@
   return ok();
 }
 
-// Reads "c=notice,d=8000,...".
+// Reads the list of values, such as "c=notice,d=8000,dest=7".
 Result<void, PutError> readValues(const std::string& list, Submission& submission) {
   bool has_deadline = false, has_destination = false;
   for (std::size_t at = 0; at < list.size();) {
--- a/src/listener/resp/put_request.h
+++ b/src/listener/resp/put_request.h
@@ -1,5 +1,5 @@
-// The request MSG.PUT: its words to a Submission, and the result to a reply. The only place that knows the
-// field letters of the protocol. No I/O.
+// Converts the words of a MSG.PUT request to a Submission, and the submission's result to a reply. The names
+// of the protocol's values are defined only in this module. No I/O.
 #pragma once
 
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace grademux {
 
-// Why a MSG.PUT can't be used, for people.
+// The reason for which a MSG.PUT is invalid; human-readable.
 struct PutError {
   std::string reason;
 };
 
-// Reads the words of a MSG.PUT: command, ordering key, id, list of values, body. Takes the body out of
+// Reads the words of a MSG.PUT: command, ordering key, id, list of values, body. Moves the body out of
 // `words`.
 Result<Submission, PutError> readPut(std::vector<std::string>& words);
 
-// The reply to a MSG.PUT, with its line end.
+// The reply to a MSG.PUT, including the line end.
 std::string putReply(const SubmissionResult& result);
 
 }  // namespace grademux
--- a/src/listener/resp/resp_listener.cpp
+++ b/src/listener/resp/resp_listener.cpp
@@ -15,16 +15,17 @@
 namespace {
 
 constexpr std::size_t kReadBufferBytes = 16384;
-constexpr std::size_t kCrowdedDivisor = 8;  // crowded: more than this part of the table is taken
-// Places of the table that are for closing connections: so many, and at most this part of the table.
+constexpr std::size_t kCrowdedDivisor = 8;  // the table is crowded when more than 1/8 of it is in use
+// Places of the table that are reserved for closing connections: 16, and at most 1/16 of the table.
 constexpr std::size_t kClosingReserve = 16, kClosingReserveDivisor = 16;
-// A new client that wants something has sent it by then (microseconds).
+// Time in microseconds after which a new client that has a request has sent it.
 constexpr Micros kNewClientGrace = 200'000;
 
 constexpr std::size_t groupOf(Phase phase, bool has_submitted) {
   return 2 * static_cast<std::size_t>(phase) + (has_submitted ? 1 : 0);
 }
 
+// The session that has been in its phase for the longest time; null if all are null.
 std::shared_ptr<RespSession> longestInPhase(std::initializer_list<std::shared_ptr<RespSession>> sessions) {
   std::shared_ptr<RespSession> longest;
   for (const auto& session : sessions)
@@ -95,38 +96,39 @@
 
 // ---- bounds on the table
 
-// While the table is crowded, idle connections are closed sooner: clients that keep a connection for each
-// request would run out of descriptors of their own, too.
+// While the table is crowded, idle connections are closed sooner: otherwise, clients that open a connection
+// for each request and keep it open would run out of their own descriptors, too.
 bool RespListener::isCrowded() const {
   return kCrowdedDivisor * sessions_.size() > limits_.all;
 }
 
-// The session whose client loses least by its close, null if each is in use. In this order, and within each
-// by the time in the phase: rejected or closing ones, clients that have never submitted, idle ones, new
-// clients, and those that wait for a final outcome (which can be asked for again).
+// The session whose close costs its client least; null if each session is in use. The order, and within each
+// kind the order of the time in the phase: throttled or closing sessions, clients that have never submitted,
+// idle sessions, new clients, and sessions that wait for a final outcome (which clients can query again).
 RespListener::SessionPtr RespListener::leastUsed(bool include_closing) const {
   const auto oldest = [this](Phase phase, bool has_submitted) {
     return sessions_.oldest(groupOf(phase, has_submitted));
   };
-  SessionPtr useless = longestInPhase({oldest(Phase::throttled, false), oldest(Phase::throttled, true)});
+  SessionPtr unproductive = longestInPhase({oldest(Phase::throttled, false), oldest(Phase::throttled, true)});
   if (include_closing)
-    useless = longestInPhase({useless, oldest(Phase::closing, false), oldest(Phase::closing, true)});
+    unproductive =
+        longestInPhase({unproductive, oldest(Phase::closing, false), oldest(Phase::closing, true)});
   const SessionPtr non_submitter =
       longestInPhase({oldest(Phase::idle, false), oldest(Phase::partial, false)});
   const Micros now = monotonicNow();
-  for (const SessionPtr& candidate : {useless, non_submitter})
+  for (const SessionPtr& candidate : {unproductive, non_submitter})
     if (candidate && now - candidate->since() >= kNewClientGrace)
       return candidate;
   if (SessionPtr idle = oldest(Phase::idle, true))
     return idle;
-  if (SessionPtr newest = longestInPhase({useless, non_submitter}))
-    return newest;
+  if (SessionPtr new_client = longestInPhase({unproductive, non_submitter}))
+    return new_client;
   return longestInPhase({oldest(Phase::waiting, false), oldest(Phase::waiting, true)});
 }
 
-// Near the limit the session least in use makes room: gracefully while there is a reserve, at once when the
-// table is full. Keeps idle, silent and useless connections from blocking the backlog, and leaves descriptors
-// for the connections to endpoints.
+// Near the limit, closes the least used session: gracefully while there is a reserve, without waiting for the
+// client when the table is full. This keeps idle, silent and failing clients from blocking the backlog, and
+// leaves descriptors for the connections to endpoints.
 bool RespListener::makeRoom() {
   const std::size_t reserve = std::min(kClosingReserve, limits_.all / kClosingReserveDivisor);
   const std::size_t serving = sessions_.size() - countIn(Phase::closing);
@@ -142,8 +144,8 @@
   return true;
 }
 
-// Of the sessions that have submitted, closes the one that has been idle longest while there is still room
-// for the next, so that clients that submit never reach their limit.
+// Of the sessions that have submitted, closes the one that has been idle longest before the limit is
+// exceeded, so that the next client that submits has a place.
 void RespListener::limitSubmitters() {
   if (countSubmitters() < limits_.submitters)
     return;
--- a/src/listener/resp/resp_listener.h
+++ b/src/listener/resp/resp_listener.h
@@ -1,6 +1,6 @@
-// The RESP2 listener: bounds how many client connections there are, and closes those least in use when a new
-// one needs their place. What happens on one connection: session.h. Loop thread only; sessions are shared
-// with their pending socket operations and may outlive the listener, closed.
+// The RESP2 listener: bounds the number of client connections, and closes the least used ones to make room
+// for new ones. session.h serves each connection. Loop thread only; sessions are shared with their pending
+// socket operations, and closed sessions may outlive the listener.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,13 +17,13 @@
 
 class RespListener : public Listener, private SessionOwner, private ConnectionHandler {
  public:
-  // Connections altogether, and those among them that have submitted a message.
+  // Upper bounds: all connections, and the connections that have submitted a message.
   struct Limits {
     std::size_t all = 1, submitters = 1;
   };
 
-  // Binds `listen`; throws std::runtime_error when it can't.
-  // `passed`: a listening socket at that address which the process was started with; -1: there is none.
+  // Binds the address `listen`; throws std::runtime_error if it can't be bound. `passed`: the descriptor of
+  // an inherited socket that listens on this address and is adopted instead; -1 for none.
   RespListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Limits limits,
                int passed = -1);
   ~RespListener() override;
@@ -34,22 +34,23 @@
   void drain(DrainReason reason) override;
   std::size_t openRequests() const override;
   std::size_t connectionCount() const override { return sessions_.size(); }
-  // Another process takes the address over: new clients wait for it, connections end between requests.
+  // Called when another process takes over the address: new clients wait for that process, and connections
+  // are closed between requests.
   void pause();
-  // The other process did not take over: new clients are served again.
+  // Called when the other process has not taken over: new clients are served again.
   void resume();
-  // The process is about to end: nothing more is accepted, and each connection is closed gracefully, which
-  // takes a moment; see connectionCount().
+  // Called when the process is about to end: accepts no more connections and closes each connection
+  // gracefully. The closes take some time; they are complete when connectionCount() is 0.
   void finish();
-  // Requests of which a part has been read.
+  // The number of requests that have been read in part.
   std::size_t partialRequests() const;
   boost::asio::ip::tcp::endpoint address() const override { return acceptor_.address(); }
-  // Connections over the new limits are closed as others are accepted.
+  // Connections in excess of the new limits are closed when other connections are accepted.
   void setLimits(Limits limits) { limits_ = limits; }
 
  private:
   using SessionPtr = std::shared_ptr<RespSession>;
-  // One group for each phase of a session, apart for those that have submitted and others.
+  // Two groups for each phase: sessions that have submitted a message, and all others.
   using Sessions = ConnectionTable<RespSession, 2 * RespSession::kPhaseCount>;
 
   SubmissionHandler& handler() override { return *handler_; }
@@ -78,10 +79,11 @@
   const operate::ServiceState* state_ = nullptr;
   Sessions sessions_;
   std::vector<char> read_buffer_;
-  std::int64_t next_number_ = 0;  // of connections
+  std::int64_t next_number_ = 0;  // number of the newest connection
   Micros started_at_ = 0, draining_since_ = 0;
   bool removed_ = false;
-  bool paused_ = false;  // nothing is accepted: another process takes the address over, or this one ends
+  bool paused_ =
+      false;  // no connection is accepted: another process takes over the address, or this one ends
 };
 
 }  // namespace grademux
--- a/src/listener/resp/session.cpp
+++ b/src/listener/resp/session.cpp
@@ -19,12 +19,12 @@
 
 namespace {
 
-// A client gets an error or the end of its connection within 3 s. Limits on the first byte, on a request from
-// its first byte on, and on the write of a reply.
+// A client receives an error or the close of its connection within 3 s. These are the limits on the first
+// byte, on a request from its first byte on, and on the write of a reply.
 constexpr Micros kFirstByteLimit = 2'000'000, kRequestLimit = 2'000'000, kWriteLimit = 2'000'000;
-constexpr Micros kLastRequestLimit = 3'500'000;  // for a request that has begun, from the start of a drain on
+constexpr Micros kLastRequestLimit = 3'500'000;  // for a request read in part, from the start of a drain on
 constexpr Micros kIdleLimit = 300'000'000;       // while the table is not crowded
-constexpr int kMaxErrors = 12;  // requests in a row that are answered with an error, then the connection ends
+constexpr int kMaxErrors = 12;                   // errors in a row after which the connection is closed
 constexpr Micros kThrottle = 10'000, kMaxThrottle = 320'000;
 
 }  // namespace
@@ -36,21 +36,21 @@
 
 void RespSession::enter(Phase phase) {
   if (phase == Phase::partial && phase_ == phase)
-    return;  // the time limit runs from the first byte of the request on
+    return;  // the time limit counts from the first byte of the request
   since_ = monotonicNow();
   phase_ = phase;
   owner_.onPhaseEntered(*this);
 }
 
 void RespSession::waitToRead() {
-  if (waits_to_read_)
+  if (waiting_to_read_)
     return;
-  waits_to_read_ = true;
+  waiting_to_read_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-    self->waits_to_read_ = false;
-    const bool reads =
+    self->waiting_to_read_ = false;
+    const bool may_read =
         self->phase_ == Phase::idle || self->phase_ == Phase::partial || self->phase_ == Phase::closing;
-    if (!self->open_ || !reads)
+    if (!self->open_ || !may_read)
       return;
     if (error == asio::error::operation_aborted)
       return self->waitToRead();
@@ -73,7 +73,7 @@
   parse();
 }
 
-// One request at a time; the next is read once this one is answered.
+// Parses one request; the next is read once this one is answered.
 void RespSession::parse() {
   std::vector<std::string> words;
   std::size_t used = 0;
@@ -119,7 +119,7 @@
   enter(Phase::submitted);
   owner_.handler().submit(std::move(submission.value()),
                           [self = shared_from_this()](const SubmissionResult& result) {
-                            // The connection, and the listener with it, may be gone by now.
+                            // The connection may be closed, and the listener destroyed, by now.
                             if (self->open_ && self->phase_ == Phase::submitted)
                               self->reply(putReply(result));
                           });
@@ -145,7 +145,8 @@
   reply(statusReply(status, client_.protocol));
 }
 
-// A client whose requests keep failing is answered after growing delays, and disconnected after kMaxErrors.
+// From the second error in a row on, the client's next request is read after a growing delay; after kMaxErrors
+// errors in a row, the connection is closed.
 void RespSession::reply(const std::string& bytes) {
   const bool is_error = bytes.rfind("-ERR", 0) == 0;
   consecutive_errors_ = is_error ? consecutive_errors_ + 1 : 0;
@@ -167,7 +168,7 @@
   if (owner_.isDraining()) {
     if (in_.empty() && isInputEmpty())
       return closeGracefully();
-    // A client that never pauses is disconnected between requests; it sends those that were not read again.
+    // A client that never pauses is disconnected between requests; the client sends the unread ones again.
     if (monotonicNow() - owner_.drainingSince() >= kDrainDeadline)
       return closeGracefully();
   }
--- a/src/listener/resp/session.h
+++ b/src/listener/resp/session.h
@@ -1,7 +1,7 @@
-// One client connection of the RESP2 listener: reads one request at a time, hands it to the engine, writes
-// the reply. Each step has a time limit. A session knows its listener by SessionOwner alone. Loop thread
-// only; sessions are shared with their pending socket operations and submissions, and may outlive the
-// listener, closed.
+// One client connection of the RESP2 listener: reads one request at a time, passes it to the engine, and
+// writes the reply. Each step has a time limit. A session refers to its listener only through SessionOwner.
+// Loop thread only; sessions are shared with their pending socket operations and submissions, and closed
+// sessions may outlive the listener.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,22 +18,24 @@
 
 class RespSession;
 
-// What the sessions of one listener ask it for. It is not called once a session is closed.
+// The interface of the listener to its sessions. A closed session makes no calls to the owner.
 class SessionOwner {
  public:
   virtual ~SessionOwner() = default;
   virtual SubmissionHandler& handler() = 0;
   virtual ListenerStatus status() const = 0;
-  // Clients are to go elsewhere: connections end between requests.
+  // Whether clients are to disconnect: connections are closed between requests.
   virtual bool isDraining() const = 0;
   virtual Micros drainingSince() const = 0;  // monotonic; meaningful while isDraining()
-  // Many connections are open: idle ones are closed sooner.
+  // Whether so many connections are open that idle ones are closed sooner.
   virtual bool isCrowded() const = 0;
-  // Where a read puts its bytes before a session keeps what it needs: an idle connection holds no buffer.
+  // The buffer that all sessions read into, before each keeps the bytes that it needs: an idle connection
+  // holds no buffer.
   virtual std::vector<char>& readBuffer() = 0;
-  // The session has entered a phase, the one it was in included; its time in the phase starts anew.
+  // Called when the session enters a phase, also the phase that it was in; the time in the phase starts
+  // again.
   virtual void onPhaseEntered(const RespSession& session) = 0;
-  // The session has closed its socket and is to be forgotten.
+  // Called when the session has closed its socket; the owner removes the session.
   virtual void onSessionClosed(const RespSession& session) = 0;
 };
 
@@ -42,43 +44,44 @@
   enum class Phase {
     idle,       // between requests
     partial,    // a part of the next request has been read
-    submitted,  // the engine has the request and has not answered
-    waiting,    // for a message's final outcome
-    writing,    // the reply
+    submitted,  // the engine has not answered the request
+    waiting,    // the request waits for a message's final outcome
+    writing,    // the reply is being written
     throttled,  // the last request failed; the next is read after a delay
-    closing     // the end was sent; input is discarded until the client ends its side
+    closing     // the sending side is shut down; input is discarded until the client closes its side
   };
   static constexpr std::size_t kPhaseCount = 7;
-  // Without a request for so long (microseconds), a client expects the end of its connection.
+  // Time in microseconds without a request after which a client must expect that its connection is closed.
   static constexpr Micros kIdleCloseable = 2'000'000;
 
   RespSession(boost::asio::io_context& io, SessionOwner& owner, boost::asio::ip::tcp::socket socket,
               std::int64_t number);
 
-  // Begins to serve; called once, when the owner knows the session.
+  // Starts to serve. Called once, after the owner has added the session.
   void start() { read(); }
   Phase phase() const { return phase_; }
-  // When the session entered its phase; monotonic, microseconds.
+  // The time at which the session entered its phase; monotonic, microseconds.
   Micros since() const { return since_; }
-  // The client has submitted a message that was not answered with an error.
+  // Whether the client has submitted a message that was not answered with an error.
   bool hasSubmitted() const { return has_submitted_; }
-  // The client has sent nothing that has not been read.
+  // Whether the kernel holds no unread input of the client.
   bool isInputEmpty() const;
 
-  // Ends the connection without losing replies; see connection_close.h. A request that arrives from now on is
-  // the client's to send again.
+  // Closes the connection without losing replies; see connection_close.h. A request that arrives from now on
+  // is discarded, and the client has to send it again.
   void closeGracefully();
-  // Closes gracefully between requests; a request that has arrived meanwhile is served first.
+  // Closes gracefully if the session is between requests. A request that has arrived is served first.
   void closeIfIdle();
-  // The reply that is being written is the last; any other session is closed gracefully now.
+  // Closes gracefully: after the reply, if one is being written, else now.
   void finish();
-  // Closes at once: the client has ended its side, broke off or does not read, or its descriptor is needed.
+  // Closes without waiting for the client: it has closed its side, has reset the connection or does not read,
+  // or the descriptor is needed.
   void close();
-  // The same without a call to the owner, which is being destroyed.
+  // Like close(), but without a call to the owner, which is being destroyed.
   void abandon();
 
-  // Replies to a client that waits for a final outcome once there is one, its wait is over or clients are to
-  // leave.
+  // Replies to a client that waits for a final outcome, if the outcome is known, the wait is over or clients
+  // are to disconnect.
   void checkOutcome(Micros now);
   // Applies the time limit of the phase.
   void checkLimit(Micros now);
@@ -103,15 +106,15 @@
   boost::asio::steady_timer throttle_timer_;
   std::string in_, out_;
   RespClient client_;
-  std::string awaited_id_;   // waiting: for the outcome of this message
-  Micros outcome_wait_ = 0;  // waiting: for so long
+  std::string awaited_id_;   // phase `waiting`: the message whose outcome is awaited
+  Micros outcome_wait_ = 0;  // phase `waiting`: the longest wait, microseconds
 
   Phase phase_ = Phase::idle;
   Micros since_ = 0;
   GracefulClose graceful_close_;
   int consecutive_errors_ = 0;
-  bool last_reply_ = false, open_ = true, waits_to_read_ = false;
-  bool has_succeeded_ = false;  // has had a reply that was no error
+  bool last_reply_ = false, open_ = true, waiting_to_read_ = false;
+  bool has_succeeded_ = false;  // a request was answered without an error
   bool has_submitted_ = false;
 };
 
--- a/tests/listener/http_response_order_test.cpp
+++ b/tests/listener/http_response_order_test.cpp
@@ -68,7 +68,7 @@
 
 struct BatchTest : ::testing::Test {
   void take(const std::string& bytes) {
-    batch.take(
+    batch.addInput(
         bytes, 8, 0, [this](const Batch::Line& line) { lines.push_back(line.too_long ? "!" : line.text); },
         [] { return true; });
   }
