--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -1,4 +1,4 @@
-// grademux: the admission chain; see admission.h.
+// See admission.h.
 #include "admission.h"
 
 #include "../core/clock.h"
@@ -6,90 +6,92 @@
 
 namespace grademux {
 
-Admission::Admission(boost::asio::io_context& io, SubmissionHandler& core, Micros patience, Micros pause)
-    : core_(core), patience_(patience), pause_(pause), timer_(io) {}
+Admission::Admission(boost::asio::io_context& io, SubmissionHandler& core, Micros chain_timeout,
+                     Micros retry_after)
+    : core_(core), chain_timeout_(chain_timeout), retry_after_(retry_after), timer_(io) {}
 
 void Admission::add(std::unique_ptr<AdmissionStep> step) {
   steps_.push_back(std::move(step));
 }
 
-void Admission::submit(Submission s, SubmissionCallback reply) {
+void Admission::submit(Submission submission, SubmissionCallback reply) {
   if (steps_.empty())
-    return core_.submit(std::move(s), std::move(reply));
+    return core_.submit(std::move(submission), std::move(reply));
   const std::uint64_t ticket = ++next_ticket_;
-  waiting_[ticket] = {std::make_shared<Submission>(std::move(s)), std::move(reply), 0,
-                      monotonicNow() + patience_};
-  go(ticket);
+  pending_[ticket] = {std::make_shared<Submission>(std::move(submission)), std::move(reply), 0,
+                      monotonicNow() + chain_timeout_};
+  runNextStep(ticket);
   if (draining_)
     drain();
-  arm();
+  scheduleTimeout();
 }
 
-void Admission::go(std::uint64_t ticket) {
-  auto it = waiting_.find(ticket);
-  if (it == waiting_.end())
+void Admission::runNextStep(std::uint64_t ticket) {
+  auto found = pending_.find(ticket);
+  if (found == pending_.end())
     return;
-  Pending& p = it->second;
-  if (p.step == steps_.size()) {
-    Pending done = std::move(p);
-    waiting_.erase(it);
-    const Micros waited = monotonicNow() - (done.until - patience_);
-    done.submission->time_to_live = std::max<Micros>(0, done.submission->time_to_live - waited);
-    return core_.submit(std::move(*done.submission), std::move(done.reply));
+  Pending& pending = found->second;
+  if (pending.step == steps_.size()) {
+    Pending admitted = std::move(pending);
+    pending_.erase(found);
+    const Micros waited = monotonicNow() - (admitted.deadline - chain_timeout_);
+    admitted.submission->time_to_live = std::max<Micros>(0, admitted.submission->time_to_live - waited);
+    return core_.submit(std::move(*admitted.submission), std::move(admitted.reply));
   }
-  const std::size_t step = p.step;
-  const std::shared_ptr<Submission> submission = p.submission;
+  const std::size_t step = pending.step;
+  const std::shared_ptr<Submission> submission = pending.submission;
   try {
-    steps_[step]->take(submission, [this, ticket, step](const Verdict& v) { judged(ticket, step, v); });
-  } catch (const std::exception& e) {
-    // Guards the process, and the client's one answer, against a step that fails.
-    log::write(log::Event::admission_step_failed, {{"step", steps_[step]->name()}, {"cause", e.what()}});
-    judged(ticket, step, Verdict::refuse(pause_));
+    steps_[step]->take(submission,
+                       [this, ticket, step](const Verdict& verdict) { onVerdict(ticket, step, verdict); });
+  } catch (const std::exception& error) {
+    // A step that throws must not end the process or leave the client without its answer.
+    log::write(log::Event::admission_step_failed, {{"step", steps_[step]->name()}, {"cause", error.what()}});
+    onVerdict(ticket, step, Verdict::refuse(retry_after_));
   }
 }
 
-void Admission::judged(std::uint64_t ticket, std::size_t step, const Verdict& v) {
-  auto it = waiting_.find(ticket);
-  if (it == waiting_.end() || it->second.step != step)
-    return;  // answered already
-  if (v.kind == Verdict::Kind::pass) {
-    ++it->second.step;
-    return go(ticket);
+void Admission::onVerdict(std::uint64_t ticket, std::size_t step, const Verdict& verdict) {
+  auto found = pending_.find(ticket);
+  if (found == pending_.end() || found->second.step != step)
+    return;  // the submission has been answered, or the step has given its verdict already
+  if (verdict.kind == Verdict::Kind::pass) {
+    ++found->second.step;
+    return runNextStep(ticket);
   }
-  const SubmissionCallback reply = std::move(it->second.reply);
-  waiting_.erase(it);
-  reply(v.kind == Verdict::Kind::refuse ? SubmissionResult::rejected(v.pause)
-                                        : SubmissionResult::invalid(v.code, v.why));
+  const SubmissionCallback reply = std::move(found->second.reply);
+  pending_.erase(found);
+  reply(verdict.kind == Verdict::Kind::refuse ? SubmissionResult::rejected(verdict.retry_after)
+                                              : SubmissionResult::invalid(verdict.code, verdict.reason));
 }
 
-void Admission::refuse(std::uint64_t ticket) {
-  auto it = waiting_.find(ticket);
-  if (it == waiting_.end())
+void Admission::refuseOverdue(std::uint64_t ticket) {
+  auto found = pending_.find(ticket);
+  if (found == pending_.end())
     return;
-  log::write(log::Event::admission_step_late, {{"step", steps_[it->second.step]->name()}});
-  judged(ticket, it->second.step, Verdict::refuse(pause_));
+  log::write(log::Event::admission_step_late, {{"step", steps_[found->second.step]->name()}});
+  onVerdict(ticket, found->second.step, Verdict::refuse(retry_after_));
 }
 
 void Admission::drain() {
   draining_ = true;
-  while (!waiting_.empty())
-    judged(waiting_.begin()->first, waiting_.begin()->second.step, Verdict::refuse(pause_));
+  while (!pending_.empty())
+    onVerdict(pending_.begin()->first, pending_.begin()->second.step, Verdict::refuse(retry_after_));
 }
 
-void Admission::arm() {
-  if (armed_ || waiting_.empty())
+void Admission::scheduleTimeout() {
+  if (timeout_scheduled_ || pending_.empty())
     return;
-  armed_ = true;
+  timeout_scheduled_ = true;
   timer_.expires_after(
-      std::chrono::microseconds(std::max<Micros>(0, waiting_.begin()->second.until - monotonicNow())));
-  timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e)
+      std::chrono::microseconds(std::max<Micros>(0, pending_.begin()->second.deadline - monotonicNow())));
+  timer_.async_wait([this](const boost::system::error_code& error) {
+    if (error)
       return;
-    armed_ = false;
+    timeout_scheduled_ = false;
     const Micros now = monotonicNow();
-    while (!waiting_.empty() && waiting_.begin()->second.until <= now)
-      refuse(waiting_.begin()->first);
-    arm();
+    while (!pending_.empty() && pending_.begin()->second.deadline <= now)
+      refuseOverdue(pending_.begin()->first);
+    scheduleTimeout();
   });
 }
 
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -1,5 +1,6 @@
-// grademux: the chain of steps between the doors and the core. Identity, contracts, hooks and queues are
-// steps; each decides in a module of its own that does no I/O. An empty chain hands everything straight on.
+// The admission chain: the steps that each submission passes between the listeners and the engine. Identity,
+// contracts, hooks and queues are steps; each makes its decisions in its own module that does no I/O. An
+// empty chain passes each submission directly to the engine. Loop thread only.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -12,71 +13,76 @@
 
 namespace grademux {
 
+// The decision of a step on one submission.
 struct Verdict {
   enum class Kind {
-    pass,    // on to the next step, as the submission now is
-    refuse,  // nothing ran; the client may come again after `pause`
-    reject   // it can't be used; `code` and `why` tell
+    pass,    // the submission, as the step has altered it, continues to the next step
+    refuse,  // the submission is rejected; the client may submit again after `retry_after`
+    reject   // the submission is invalid; `code` and `reason` say why
   };
   Kind kind = Kind::pass;
-  Micros pause = 0;
-  std::string code, why;
+  Micros retry_after = 0;
+  std::string code, reason;
 
   static Verdict pass() { return {}; }
-  static Verdict refuse(Micros pause) { return {Kind::refuse, pause, {}, {}}; }
-  static Verdict reject(std::string code, std::string why) {
-    return {Kind::reject, 0, std::move(code), std::move(why)};
+  static Verdict refuse(Micros retry_after) { return {Kind::refuse, retry_after, {}, {}}; }
+  static Verdict reject(std::string code, std::string reason) {
+    return {Kind::reject, 0, std::move(code), std::move(reason)};
   }
 };
 
-// One step. Called on the loop thread alone.
+// One step of the chain. Called on the loop thread.
 class AdmissionStep {
  public:
   using Next = std::function<void(Verdict)>;
   virtual ~AdmissionStep() = default;
-  // For the log: who is meant when a submission ends here.
+  // The step's name in log events.
   virtual const char* name() const = 0;
-  // Called once for each submission. The step may alter `*s` until it calls `next`, which it does once, at
-  // once or later; a second call, and one after the chain's patience, does nothing. One that throws has the
-  // submission refused.
-  virtual void take(const std::shared_ptr<Submission>& s, Next next) = 0;
+  // Called once for each submission. The step calls `next` exactly once, immediately or later, and may alter
+  // `*submission` until then. A second call, or a call after the chain's timeout, has no effect. If
+  // take() throws, the submission is refused.
+  virtual void take(const std::shared_ptr<Submission>& submission, Next next) = 0;
 };
 
 class Admission : public SubmissionHandler {
  public:
-  // What a step has not answered after `patience` is refused: a client waits no longer for its answer.
-  Admission(boost::asio::io_context& io, SubmissionHandler& core, Micros patience, Micros pause);
+  // A submission that has not passed the chain after `chain_timeout` is refused, because its client does not
+  // wait longer for an answer. `retry_after` is sent to clients whose submission the chain refuses by itself.
+  Admission(boost::asio::io_context& io, SubmissionHandler& core, Micros chain_timeout, Micros retry_after);
   void add(std::unique_ptr<AdmissionStep> step);
 
-  void submit(Submission s, SubmissionCallback reply) override;
+  void submit(Submission submission, SubmissionCallback reply) override;
   MessageStatus status(const std::string& id) const override { return core_.status(id); }
-  void notifyWhenFinished(const std::string& id, std::function<void(const FinalOutcome&)> then) override {
-    core_.notifyWhenFinished(id, std::move(then));
+  void notifyWhenFinished(const std::string& id, std::function<void(const FinalOutcome&)> callback) override {
+    core_.notifyWhenFinished(id, std::move(callback));
   }
-  // The process ends: what waits in a step is refused, and so is what would have to wait from now on.
+  // Called when the process ends: refuses the submissions that wait in a step, and from now on each
+  // submission that would have to wait.
   void drain();
-  void setPause(Micros pause) { pause_ = pause; }  // told to clients that a step refuses
-  std::size_t waiting() const { return waiting_.size(); }
+  // Changes `retry_after` of the constructor.
+  void setPause(Micros retry_after) { retry_after_ = retry_after; }
+  // The number of submissions that wait in a step.
+  std::size_t pendingCount() const { return pending_.size(); }
 
  private:
   struct Pending {
-    std::shared_ptr<Submission> submission;  // shared: a step may hold it past the chain's patience
+    std::shared_ptr<Submission> submission;  // shared: a step may hold it beyond the timeout
     SubmissionCallback reply;
     std::size_t step = 0;
-    Micros until = 0;
+    Micros deadline = 0;  // of the chain; monotonic
   };
-  void go(std::uint64_t ticket);
-  void judged(std::uint64_t ticket, std::size_t step, const Verdict& v);
-  void refuse(std::uint64_t ticket);
-  void arm();
+  void runNextStep(std::uint64_t ticket);
+  void onVerdict(std::uint64_t ticket, std::size_t step, const Verdict& verdict);
+  void refuseOverdue(std::uint64_t ticket);
+  void scheduleTimeout();
 
   SubmissionHandler& core_;
-  Micros patience_, pause_;
+  Micros chain_timeout_, retry_after_;
   std::vector<std::unique_ptr<AdmissionStep>> steps_;
-  std::map<std::uint64_t, Pending> waiting_;  // by ticket: the oldest first
+  std::map<std::uint64_t, Pending> pending_;  // by ticket, so that the oldest is first
   std::uint64_t next_ticket_ = 0;
   boost::asio::steady_timer timer_;
-  bool armed_ = false, draining_ = false;
+  bool timeout_scheduled_ = false, draining_ = false;
 };
 
 }  // namespace grademux
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -127,7 +127,7 @@
   kept(Verdict::pass());
   EXPECT_EQ(1u, c.answers.size());
   EXPECT_TRUE(c.core.taken.empty());
-  EXPECT_EQ(0u, c.admission.waiting());
+  EXPECT_EQ(0u, c.admission.pendingCount());
 }
 
 TEST(Admission, AVerdictGivenTwiceCountsOnce) {
