--- a/src/daemon/commands/check_command.cpp
+++ b/src/daemon/commands/check_command.cpp
@@ -21,7 +21,7 @@
     table_.declare("daemon file", sources_.partners);
     for (const FolderSpec& folder : sources_.folders)
       checkFolder(folder);
-    for (const PartnerTable::Conflict& conflict : table_.take().conflicts)
+    for (const PartnerTable::Conflict& conflict : table_.takeChanges().conflicts)
       report(describe(conflict));
     return succeeded_;
   }
--- a/src/membership/folder.h
+++ b/src/membership/folder.h
@@ -1,9 +1,9 @@
-// grademux: partners in files that are watched: one file, or each *.toml of a folder. What changes is read
-// anew on the worker, file by file, by inotify where it tells and by a look at all files at times; a burst of
-// changes is one reading. A file that is half written or can't be used leaves what it said last in force.
+// Partner files that are watched for changes: one file, or each *.toml of a folder. The worker reads changed
+// files again, file by file, after inotify events and in periodic scans of all files; a burst of changes
+// causes one scan. While a file is incomplete or invalid, the partners of its last valid version stay in use.
 //
-// Files are meant to be replaced by renaming, a folder as a whole by replacing a symbolic link. A folder is
-// read through one open descriptor; if the path leads elsewhere by then, the reading is done again.
+// Operators replace a file by renaming, a whole folder by replacing a symbolic link. A folder is read through
+// one open descriptor; if the path leads to another folder after the scan, the scan is repeated.
 #pragma once
 
 #include <boost/asio/posix/stream_descriptor.hpp>
@@ -21,34 +21,36 @@
 
 struct FolderSpec {
   std::string path;
-  bool folder = true;                // else one file
-  Micros rescan = 30 * 1'000'000LL;  // a look at all files at least so often
+  bool folder = true;                // false: `path` is one file
+  Micros rescan = 30 * 1'000'000LL;  // the longest time between two scans of all files
   bool operator==(const FolderSpec& o) const {
     return path == o.path && folder == o.folder && rescan == o.rescan;
   }
 };
 
-// What became of one file.
+// A change of one file.
 struct UnitChange {
-  std::string unit;  // its path
+  std::string unit;  // the file's path
   std::vector<Partner> partners;
-  std::vector<Mistake> mistakes;  // then the partners are not to be used
-  bool gone = false;
+  std::vector<Mistake> mistakes;  // if not empty, `partners` must not be used
+  bool gone = false;              // the file was removed
 };
 struct FolderChanges {
   std::vector<UnitChange> changes;
-  std::string unreadable;  // why nothing could be read
-  bool empty = false;      // had files and has none: not heeded
+  std::string unreadable;  // why the file or folder could not be read; empty: it was read
+  bool empty = false;      // a folder that had files has none; the last partners stay in use
 };
 
-// The reading of a folder or file, and what it saw last. On one thread at a time; no loop.
+// Reads a folder or file and remembers which version of each file it has read. Used by one thread at a time;
+// does not use the event loop.
 class FolderReader {
  public:
   FolderReader(FolderSpec spec, PartnerDefaults defaults);
-  // All files that have changed since the last look. `settled`: files written to a moment ago are left for
-  // later (`unsettled` is set), as their writer may not have done.
+  // Reads all files that have changed since the last scan. `settled`: files that were modified within the
+  // last 300 ms are left for a later scan (`unsettled` is set), as their writer may not have finished.
   FolderChanges scan(bool settled, bool& unsettled);
-  // These files alone, by their names in the folder; told by the system as replaced or written to the end.
+  // Reads only these files, named relative to the folder: inotify reported them as replaced, closed after
+  // writing, or removed.
   FolderChanges scan(const std::set<std::string>& names);
 
  private:
@@ -59,47 +61,47 @@
       return device == o.device && inode == o.inode && size == o.size && changed_ns == o.changed_ns;
     }
   };
-  enum class Read { same, fresh, gone, unsettled };
-  Read readFile(int folder, const std::string& name, bool settled, UnitChange& change);
+  enum class FileState { unchanged, changed, removed, unsettled };
+  FileState readFile(int folder, const std::string& name, bool settled, UnitChange& change);
   std::string unitOf(const std::string& name) const;
-  FolderChanges lookAtFile(bool settled, bool& unsettled);
-  bool lookAtFolder(bool settled, bool& unsettled, FolderChanges& news);
+  FolderChanges scanFile(bool settled, bool& unsettled);
+  bool scanFolder(bool settled, bool& unsettled, FolderChanges& result);
 
   FolderSpec spec_;
   PartnerDefaults defaults_;
-  std::map<std::string, Stamp> seen_;
-  std::pair<std::uint64_t, std::uint64_t> folder_{0, 0};  // device and inode of the one read last
+  std::map<std::string, Stamp> stamps_;
+  std::pair<std::uint64_t, std::uint64_t> folder_id_{0, 0};  // device and inode of the folder read last
 };
 
 class PartnerFolder {
  public:
   using OnChanges = std::function<void(FolderChanges)>;
   PartnerFolder(boost::asio::io_context& io, Worker& worker, FolderSpec spec, PartnerDefaults defaults,
-                OnChanges heard);
+                OnChanges on_changes);
   ~PartnerFolder();
-  // Reads all at once, in this call, and watches from then on.
+  // Reads all files before the call returns, and watches them from then on.
   void start();
-  void refresh();  // looks at all files, soon
+  void refresh();  // schedules a scan of all files on the worker
   const FolderSpec& spec() const { return spec_; }
 
  private:
   void watch();
   void readEvents();
-  void lookForTaken();
-  void soon(Micros pause);
-  void go();
+  void scheduleRemovalCheck();
+  void scheduleScan(Micros pause);
+  void startScan();
   void armRescan();
 
   Worker& worker_;
   FolderSpec spec_;
   std::shared_ptr<FolderReader> reader_;
-  OnChanges heard_;
+  OnChanges on_changes_;
   boost::asio::posix::stream_descriptor events_;
-  boost::asio::steady_timer timer_, rescan_, taken_timer_;
-  int of_folder_ = -1, of_parent_ = -1;  // inotify's watches
-  std::string base_;                     // the path's last part
-  std::set<std::string> names_, taken_;  // to be read, now or in a moment
-  bool all_ = false, waiting_ = false, reading_ = false, looking_ = false;
+  boost::asio::steady_timer scan_timer_, rescan_timer_, removal_timer_;
+  int folder_watch_ = -1, parent_watch_ = -1;            // inotify watch descriptors
+  std::string base_name_;                                // the last component of the path
+  std::set<std::string> changed_names_, removed_names_;  // to read in the next scan; after kRemovalDelay
+  bool scan_all_ = false, scan_scheduled_ = false, scan_running_ = false, removal_check_scheduled_ = false;
   std::vector<char> buffer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,6 @@
-// grademux: the seam of membership: who tells the core which endpoints there are. One stands behind a
-// program: the platform's watch (src/discovery), or a program's own sources (sources.h), which bring files,
-// folders and DNS together.
+// The interface through which the core receives its endpoint list. A program uses one implementation: the
+// watch of the platform's discovery (src/discovery), or the sources of a standalone program (sources.h),
+// which combine files, folders and DNS.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 
 class Membership {
  public:
-  // Takes an answer over; gives the version to go on from. Called on the loop.
+  // Applies an answer and returns the version from which the next delta starts. Called on the loop.
   using OnAnswer = std::function<std::int64_t(EndpointListAnswer)>;
 
   virtual ~Membership() = default;
-  // Once, on the loop, after the core has what the journal kept. `version`: of the list that the core knows,
-  // -1: none. May tell at once. Never throws: a source that is silent or broken says so in the log, and what
-  // is known serves on.
+  // Called once, on the loop, after the core has restored the list in the journal. `version`: the version of
+  // the core's list, -1 if it has none. May call OnAnswer before it returns. Never throws: a source that does
+  // not respond or is malformed is logged, and the known endpoints stay in use.
   virtual void start(std::int64_t version) = 0;
-  // SIGHUP: look again now, not when it is due.
+  // SIGHUP: checks all sources now instead of when the next check is due.
   virtual void refresh() = 0;
 };
 
--- a/src/membership/name_memory.cpp
+++ b/src/membership/name_memory.cpp
@@ -1,4 +1,4 @@
-// grademux: what is known of a name; see name_memory.h.
+// See name_memory.h.
 #include "name_memory.h"
 
 #include <algorithm>
@@ -29,8 +29,8 @@
     return false;
   if (v4_.empty() && v6_.empty())
     return true;
-  // An address is of a network if the network of its length around it is the same. (Boost's hosts() leaves
-  // the first and the last out.)
+  // An address belongs to a network if masking it with the prefix length gives the same network. (Boost's
+  // hosts() excludes the first and the last address.)
   if (a.is_v4())
     return std::any_of(v4_.begin(), v4_.end(), [&](const ip::network_v4& n) {
       return ip::network_v4(a.to_v4(), n.prefix_length()).canonical() == n.canonical();
@@ -46,30 +46,30 @@
 }
 
 NameMemory::NameMemory(NameSpec spec, DnsLimits limits)
-    : spec_(std::move(spec)), limits_(limits), networks_(spec_.allow), retry_(limits.least_retry) {}
+    : spec_(std::move(spec)), limits_(limits), networks_(spec_.allow), retry_delay_(limits.least_retry) {}
 
 void NameMemory::adopt(const std::vector<std::string>& endpoints) {
   if (!targets_.empty() || endpoints.empty())
     return;
   endpoints_ = endpoints;
   std::sort(endpoints_.begin(), endpoints_.end());
-  old_ = true;
+  stale_ = true;
 }
 
 namespace {
 
-void appendTrouble(std::string& trouble, const std::string& name, const DnsRecords& records) {
+void appendProblem(std::string& problem, const std::string& name, const DnsRecords& records) {
   if (records.kind == DnsRecords::Kind::records)
     return;
-  if (!trouble.empty())
-    trouble += "; ";
-  trouble += name + ": " + (records.kind == DnsRecords::Kind::no_name ? "no such name" : records.cause);
+  if (!problem.empty())
+    problem += "; ";
+  problem += name + ": " + (records.kind == DnsRecords::Kind::no_name ? "no such name" : records.cause);
 }
 
 }  // namespace
 
-// The addresses of one type of a target that are allowed; those known before where the query for them failed.
-// `ttl` becomes the shortest of the answers that count.
+// Returns the allowed addresses of one family of a target; the previous addresses if the query failed. Lowers
+// `ttl` to the TTL of the records if they contain addresses.
 NameMemory::Addresses NameMemory::usableAddresses(const DnsTarget& target, const DnsRecords& records,
                                                   const Addresses* known, Result& result, Micros& ttl) const {
   if (records.kind == DnsRecords::Kind::failed)
@@ -96,9 +96,9 @@
     const Target* known = before == targets_.end() ? nullptr : &before->second;
     Target fresh;
     fresh.priority = target.priority;
-    appendTrouble(result.trouble, target.host + " A", target.v4);
+    appendProblem(result.problem, target.host + " A", target.v4);
     fresh.v4 = usableAddresses(target, target.v4, known ? &known->v4 : nullptr, result, ttl);
-    appendTrouble(result.trouble, target.host + " AAAA", target.v6);
+    appendProblem(result.problem, target.host + " AAAA", target.v6);
     fresh.v6 = usableAddresses(target, target.v6, known ? &known->v6 : nullptr, result, ttl);
     targets[{target.host, target.port}] = std::move(fresh);
   }
@@ -106,8 +106,8 @@
 }
 
 void NameMemory::scheduleRetry(Micros now) {
-  query_ = now + retry_;
-  retry_ = std::min(2 * retry_, limits_.most_retry);
+  next_query_ = now + retry_delay_;
+  retry_delay_ = std::min(2 * retry_delay_, limits_.most_retry);
 }
 
 NameMemory::Result NameMemory::onAnswer(const DnsAnswer& answer, Micros now) {
@@ -120,34 +120,35 @@
     DnsRecords failed;
     failed.kind = answer.kind;
     failed.cause = answer.cause;
-    appendTrouble(result.trouble, spec_.srv, failed);
+    appendProblem(result.problem, spec_.srv, failed);
   }
   const bool any = std::any_of(fresh.begin(), fresh.end(),
                                [](const auto& t) { return !t.second.v4.empty() || !t.second.v6.empty(); });
   if (!any) {
-    if (result.trouble.empty())
-      result.trouble = result.forbidden.empty() ? "no address" : "no address that `allow` lets pass";
+    if (result.problem.empty())
+      result.problem = result.forbidden.empty() ? "no address" : "no address that `allow` permits";
     scheduleRetry(now);
-    next_ = query_;
+    next_due_ = next_query_;
     for (const auto& [endpoint, until] : kept_until_)
-      next_ = std::min(next_, until);
+      next_due_ = std::min(next_due_, until);
     return result;
   }
   targets_ = std::move(fresh);
-  // A part that failed is asked again soon, though the others would have time.
-  if (!result.trouble.empty()) {
+  // After a partial failure the whole name is queried again after the retry delay, not after the TTL.
+  if (!result.problem.empty()) {
     scheduleRetry(now);
   } else {
-    query_ = now + std::clamp(ttl, limits_.least_ttl, limits_.most_ttl);
-    retry_ = limits_.least_retry;
+    next_query_ = now + std::clamp(ttl, limits_.least_ttl, limits_.most_ttl);
+    retry_delay_ = limits_.least_retry;
   }
-  result.changed = list(now);
-  old_ = false;
+  result.changed = updateEndpoints(now);
+  stale_ = false;
   return result;
 }
 
-// Of the targets with the lowest priority that have an address (RFC 2782); the others stand by.
-bool NameMemory::list(Micros now) {
+// Lists the addresses of the targets with the lowest priority value that has an address (RFC 2782); the other
+// targets are standby. Returns whether the endpoints changed.
+bool NameMemory::updateEndpoints(Micros now) {
   int best = INT32_MAX;
   for (const auto& [key, t] : targets_)
     if (!t.v4.empty() || !t.v6.empty())
@@ -171,9 +172,9 @@
     else
       named.insert((it++)->first);
   }
-  next_ = query_;
+  next_due_ = next_query_;
   for (const auto& [endpoint, until] : kept_until_)
-    next_ = std::min(next_, until);
+    next_due_ = std::min(next_due_, until);
   std::vector<std::string> all(named.begin(), named.end());
   if (all == endpoints_)
     return false;
@@ -183,13 +184,13 @@
 
 void NameMemory::setLimits(const DnsLimits& limits, Micros now) {
   limits_ = limits;
-  retry_ = std::clamp(retry_, limits.least_retry, limits.most_retry);
-  query_ = std::min(query_, now + limits.most_ttl);
-  next_ = std::min(next_, query_);
+  retry_delay_ = std::clamp(retry_delay_, limits.least_retry, limits.most_retry);
+  next_query_ = std::min(next_query_, now + limits.most_ttl);
+  next_due_ = std::min(next_due_, next_query_);
 }
 
 bool NameMemory::expire(Micros now) {
-  return !targets_.empty() && !kept_until_.empty() && list(now);
+  return !targets_.empty() && !kept_until_.empty() && updateEndpoints(now);
 }
 
 }  // namespace grademux
--- a/src/membership/partner_file.cpp
+++ b/src/membership/partner_file.cpp
@@ -1,4 +1,4 @@
-// grademux: partners' files; see partner_file.h.
+// See partner_file.h.
 #include "partner_file.h"
 
 #include <algorithm>
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr Micros kHour = 3600 * 1'000'000LL;
-constexpr std::size_t kLongestName = 253;  // of a host (RFC 1035, 2.3.4)
+constexpr std::size_t kMaxHostNameLength = 253;  // of a host name, bytes (RFC 1035, 2.3.4)
 
 bool isHostName(const std::string& s) {
-  if (s.empty() || s.size() > kLongestName)
+  if (s.empty() || s.size() > kMaxHostNameLength)
     return false;
   std::size_t label = 0;
   for (const char c : s) {
@@ -27,15 +27,15 @@
       label = 0;
       continue;
     }
-    const bool good =
+    const bool valid =
         (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
-    if (!good || ++label > 63)
+    if (!valid || ++label > 63)
       return false;
   }
   return true;
 }
 
-bool isName(const std::string& s) {
+bool isPartnerName(const std::string& s) {
   const bool number = std::all_of(s.begin(), s.end(), [](char c) { return c >= '0' && c <= '9'; });
   return !number && isValidToken(s) && s.find_first_of("@,=") == std::string::npos;
 }
@@ -70,22 +70,22 @@
   p.dns = std::move(dns);
 }
 
-// `zone`, of all endpoints, and `zones`, a table of the endpoints in each.
+// Reads `zone`, for all endpoints, and `zones`, a table of the endpoints in each zone.
 void readZones(TomlTable& t, Partner& p, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
                std::vector<EffectiveValue>* effective) {
-  const auto known = [&](TomlTable& in, const char* key, const std::string& zone) {
+  const auto checkZone = [&](TomlTable& in, const char* key, const std::string& zone) {
     if (zone.empty() || defaults.regions.empty() || defaults.regions.contains(zone))
       return;
     std::vector<std::string> names;
     for (const auto& [name, region] : defaults.regions.region_by_zone)
       names.push_back(name);
-    const std::string meant = nearestName(zone, names);
+    const std::string suggestion = nearestName(zone, names);
     in.reportExpected(key, "a zone of a [[region]] is expected, not \"" + zone + "\"" +
-                               (meant.empty() ? "" : "; " + meant + "?"));
+                               (suggestion.empty() ? "" : "; " + suggestion + "?"));
   };
   if (t.node("zone"))
     p.zone = t.string("zone", "");
-  known(t, "zone", p.zone);
+  checkZone(t, "zone", p.zone);
   const toml::node* n = t.node("zones");
   if (!n)
     return;
@@ -94,7 +94,7 @@
   TomlTable z(*n->as_table(), "partner.zones", mistakes, effective);
   for (const auto& [key, list] : *n->as_table()) {
     const std::string zone(key.str());
-    known(z, zone.c_str(), zone);
+    checkZone(z, zone.c_str(), zone);
     for (const std::string& e : z.strings(zone.c_str())) {
       if (p.dns || std::find(p.endpoints.begin(), p.endpoints.end(), e) == p.endpoints.end())
         z.reportExpected(zone.c_str(), e + " is not one of the endpoints");
@@ -110,14 +110,14 @@
   p.name = t.string("name", "");
   constexpr const char* kNameExpected =
       "printable characters without space, @, comma and =, not digits alone, are expected";
-  if (!p.name.empty() && !isName(p.name))
+  if (!p.name.empty() && !isPartnerName(p.name))
     t.reportExpected("name", kNameExpected);
   if (t.node("formerly")) {
     p.formerly = t.string("formerly", "");
-    if (!p.formerly.empty() && !isName(p.formerly))
+    if (!p.formerly.empty() && !isPartnerName(p.formerly))
       t.reportExpected("formerly", kNameExpected);
     if (!p.name.empty() && p.formerly == p.name)
-      t.reportExpected("formerly", "another name than now is expected");
+      t.reportExpected("formerly", "a name other than the partner's current name is expected");
   }
   p.number = t.integer("number", numberOfName(p.base()), 0, 1LL << 53);
   p.rate = t.number("rate", 0, 0, 1e7);
@@ -132,19 +132,19 @@
     if (p.endpoints.empty())
       t.reportExpected("endpoints",
                        "one address and port at least is expected, as [\"127.0.0.1:9001\"], or dns, or srv");
-    std::set<std::string> once;
+    std::set<std::string> unique;
     for (const std::string& e : p.endpoints) {
       if (!isEndpointAddress(e))
         t.reportExpected("endpoints", "an address and a port are expected, not \"" + e + "\"");
-      if (!once.insert(e).second)
-        t.reportExpected("endpoints", e + " stands there twice");
+      if (!unique.insert(e).second)
+        t.reportExpected("endpoints", e + " is listed twice");
     }
     for (const std::string& e : p.draining)
-      if (!once.count(e))
+      if (!unique.count(e))
         t.reportExpected("draining", e + " is not one of the endpoints");
     for (const char* key : {"family", "allow", "keep"})
       if (t.node(key))
-        t.reportExpected(key, "this is for a partner with dns or srv");
+        t.reportExpected(key, "only a partner with dns or srv can have this key");
   }
   readZones(t, p, defaults, mistakes, effective);
   t.reportUnknownKeys(" in a partner");
@@ -172,16 +172,17 @@
   std::map<std::string, std::string> addresses;
   for (const toml::table* p : tables) {
     TomlTable t(*p, "partner", mistakes, effective);
-    Partner x = readPartner(t, defaults, mistakes, effective);
-    if (!names.insert(x.name).second)
+    Partner partner = readPartner(t, defaults, mistakes, effective);
+    if (!names.insert(partner.name).second)
       t.reportExpected("name", "another partner has this name");
-    else if (const auto other = numbers.emplace(x.number, x.name); !other.second)
+    else if (const auto other = numbers.emplace(partner.number, partner.name); !other.second)
       t.reportExpected("number", "a number of its own is expected, " + other.first->second + " has " +
-                                     std::to_string(x.number));
-    for (const std::string& e : x.endpoints)
-      if (const auto other = addresses.emplace(e, x.name); !other.second && other.first->second != x.name)
+                                     std::to_string(partner.number));
+    for (const std::string& e : partner.endpoints)
+      if (const auto other = addresses.emplace(e, partner.name);
+          !other.second && other.first->second != partner.name)
         t.reportExpected("endpoints", e + " is an endpoint of " + other.first->second);
-    all.push_back(std::move(x));
+    all.push_back(std::move(partner));
   }
   return all;
 }
--- a/src/membership/partner_names.h
+++ b/src/membership/partner_names.h
@@ -1,4 +1,4 @@
-// grademux: the admission step that puts a destination's number in place of a partner's name.
+// The admission step that replaces a partner's name in a submission by the number of its destination.
 #pragma once
 
 #include "../admission/admission.h"
@@ -8,7 +8,7 @@
 
 class PartnerNames : public AdmissionStep {
  public:
-  // `pause`: a client is told to come back after it while a partner has no endpoint yet.
+  // `pause`: the Retry-After that a client receives while the partner has no endpoint yet.
   PartnerNames(const PartnerTable& table, Micros pause) : table_(table), pause_(pause) {}
   const char* name() const override { return "partners"; }
   void take(const std::shared_ptr<Submission>& s, Next next) override {
--- a/src/membership/partners.cpp
+++ b/src/membership/partners.cpp
@@ -1,4 +1,4 @@
-// grademux: partners; see partners.h.
+// See partners.h.
 #include "partners.h"
 
 #include <stdexcept>
--- a/src/membership/partners.h
+++ b/src/membership/partners.h
@@ -1,5 +1,5 @@
-// grademux: what a partner is: one destination that messages name, with its endpoints as a file gives them or
-// as names in DNS. Plain data; no I/O, no clock.
+// A partner: a destination that messages name, with its endpoints listed in a file or resolved from a DNS
+// name. Plain data; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 
 namespace grademux {
 
-// Where a partner's endpoints come from, if not from a list: A and AAAA records of `host`, with `port`, or
+// The DNS name that a partner's endpoints are resolved from: A and AAAA records of `host`, with `port`, or
 // the SRV records (RFC 2782) of `srv`.
 struct NameSpec {
   enum class Family : std::uint8_t { any, ipv4, ipv6 };
   std::string host, srv;
   int port = 0;
   Family family = Family::any;
-  std::vector<std::string> allow;  // networks, as "10.0.0.0/8"; empty: any address of one host
-  Micros keep = 0;                 // an address is listed for so long after the last answer that named it
+  std::vector<std::string> allow;  // networks such as "10.0.0.0/8"; empty: any address of one host
+  Micros keep = 0;                 // how long an address stays listed after the last answer that contained it
 
   const std::string& name() const { return srv.empty() ? host : srv; }
   bool operator==(const NameSpec& o) const;
@@ -29,14 +29,14 @@
 
 struct Partner {
   std::string name;
-  std::string formerly;                      // the name that its number and its endpoints' ids go on from
-  std::int64_t number = 0;                   // of its destination
+  std::string formerly;                      // former name, from which the number and endpoint ids derive
+  std::int64_t number = 0;                   // destination number
   std::vector<std::string> endpoints;        // HOST:PORT
-  std::vector<std::string> draining;         // of those: listed, and sent nothing new
-  double rate = 0;                           // calls a second that it takes, of all senders; 0: not known
-  std::optional<NameSpec> dns;               // then `endpoints` are what it was resolved to
-  std::string zone;                          // where its endpoints stand, but for those of
-  std::map<std::string, std::string> zones;  // which it is said one by one
+  std::vector<std::string> draining;         // the endpoints that receive no new messages
+  double rate = 0;                           // calls per second it accepts from all senders; 0: unknown
+  std::optional<NameSpec> dns;               // if set, `endpoints` are the resolved addresses
+  std::string zone;                          // the zone of the endpoints that `zones` omits
+  std::map<std::string, std::string> zones;  // zones of single endpoints, by HOST:PORT
 
   const std::string& zoneOf(const std::string& endpoint) const {
     const auto at = zones.find(endpoint);
@@ -46,12 +46,12 @@
   bool operator==(const Partner& o) const;
 };
 
-// The number of a partner that was given none: of its name alone, so that it stays the same over restarts,
-// moves between files and machines (FNV-1a, 31 bits of it). Two names may share one: the file then has to
-// give a number.
+// The number of a partner whose file gives none. It depends on the name alone (31 bits of its FNV-1a hash),
+// so that it stays the same over restarts, moves between files and on other machines. Two names may have the
+// same number: the file must then give a number.
 std::int64_t numberOfName(const std::string& name);
 
-// "HOST:PORT", with an address, not a name; the port not 0.
+// True for "HOST:PORT" where HOST is an IP address, not a name, and the port is not 0.
 bool isEndpointAddress(const std::string& s);
 
 }  // namespace grademux
--- a/src/membership/sources.cpp
+++ b/src/membership/sources.cpp
@@ -1,4 +1,4 @@
-// grademux: membership of a program that stands alone; see sources.h.
+// See sources.h.
 #include "sources.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kMostAsking = 64;  // names that are asked for at once
+constexpr std::size_t kMaxPendingQueries = 64;  // DNS names queried at the same time
 
 std::string joined(const std::vector<std::string>& all) {
   std::string s;
@@ -22,19 +22,19 @@
 }  // namespace
 
 PartnerSources::PartnerSources(boost::asio::io_context& io, Worker& worker, SourcesSpec spec,
-                               const std::vector<std::string>& kept, OnAnswer hear)
+                               const std::vector<std::string>& stored, OnAnswer on_answer)
     : io_(io),
       worker_(worker),
       spec_(std::move(spec)),
-      hear_(std::move(hear)),
+      on_answer_(std::move(on_answer)),
       dns_(std::make_unique<DnsClient>(io, spec_.dns)),
       timer_(io) {
-  for (const std::string& text : kept) {
-    KeptEntry k;
-    if (!readKept(text, k))
+  for (const std::string& text : stored) {
+    StoredEntry entry;
+    if (!parseStoredEntry(text, entry))
       continue;
-    kept_addresses_[k.partner].push_back(k.address);
-    kept_[k.unit].push_back(std::move(k));
+    stored_addresses_[entry.partner].push_back(entry.address);
+    stored_entries_[entry.unit].push_back(std::move(entry));
   }
 }
 
@@ -45,18 +45,19 @@
   table_.declare(kDaemonFile, spec_.partners);
   openFolders();
   started_ = true;
-  tell(kDaemonFile, true);
-  kept_.clear();
-  kept_addresses_.clear();
+  publishChanges(kDaemonFile, true);
+  stored_entries_.clear();
+  stored_addresses_.clear();
 }
 
 void PartnerSources::openFolders() {
-  for (const FolderSpec& f : spec_.folders) {
-    const auto same = [&](const auto& open) { return open->spec() == f; };
+  for (const FolderSpec& folder : spec_.folders) {
+    const auto same = [&](const auto& open) { return open->spec() == folder; };
     if (std::any_of(folders_.begin(), folders_.end(), same))
       continue;
     folders_.push_back(std::make_unique<PartnerFolder>(
-        io_, worker_, f, spec_.defaults, [this, f](FolderChanges news) { heard(f, std::move(news)); }));
+        io_, worker_, folder, spec_.defaults,
+        [this, folder](FolderChanges result) { onFolderChanges(folder, std::move(result)); }));
     folders_.back()->start();
   }
 }
@@ -65,31 +66,32 @@
   for (const auto& f : folders_)
     f->refresh();
   for (auto& [partner, name] : names_)
-    if (!name.asking) {
+    if (!name.query_pending) {
       due_.erase({due_at_[partner], partner});
       due_at_[partner] = 0;
       due_.emplace(0, partner);
     }
-  lookUp();
+  startDueQueries();
 }
 
 void PartnerSources::change(SourcesSpec spec) {
   if (spec.dns != spec_.dns) {
     auto fresh = std::make_unique<DnsClient>(io_, spec.dns);
-    dns_ = std::move(fresh);  // what was under way is asked anew
+    dns_ = std::move(fresh);  // pending queries are cancelled and sent again
     for (auto& [partner, name] : names_) {
-      name.asking = false;
-      name.turn = ++turn_;
+      name.query_pending = false;
+      name.generation = ++last_generation_;
     }
-    asking_ = 0;
+    pending_queries_ = 0;
   }
-  const bool anew = !(spec.defaults == spec_.defaults);
+  const bool defaults_changed = !(spec.defaults == spec_.defaults);
   for (auto& [partner, name] : names_)
     name.memory.setLimits(spec.dns_limits, monotonicNow());
   spec_ = std::move(spec);
-  // A folder that is named no more takes its partners with it, in the change that brings the others.
+  // A folder that is no longer configured loses its partners in the same change that adds those of the
+  // others.
   const auto named = [&](const auto& open) {
-    return !anew &&
+    return !defaults_changed &&
            std::find(spec_.folders.begin(), spec_.folders.end(), open->spec()) != spec_.folders.end();
   };
   folders_.erase(std::remove_if(folders_.begin(), folders_.end(), [&](const auto& f) { return !named(f); }),
@@ -105,27 +107,27 @@
   started_ = false;
   openFolders();
   started_ = true;
-  tell(kDaemonFile);
+  publishChanges(kDaemonFile);
   refresh();
 }
 
-// What an earlier process had of a unit that can't be read now.
+// Declares the partners that an earlier process stored for a unit that cannot be read now.
 void PartnerSources::adoptUnit(const std::string& unit) {
-  const auto at = kept_.find(unit);
-  if (at == kept_.end() || table_.declares(unit))
+  const auto at = stored_entries_.find(unit);
+  if (at == stored_entries_.end() || table_.declares(unit))
     return;
   std::map<std::string, Partner> partners;
-  for (const KeptEntry& k : at->second) {
-    Partner& p = partners[k.partner];
-    p.name = k.partner;
-    p.formerly = k.formerly;
-    p.number = k.number;
-    p.rate = k.rate;
-    p.endpoints.push_back(k.address);
-    if (!k.zone.empty())
-      p.zones[k.address] = k.zone;
-    if (k.draining)
-      p.draining.push_back(k.address);
+  for (const StoredEntry& entry : at->second) {
+    Partner& restored = partners[entry.partner];
+    restored.name = entry.partner;
+    restored.formerly = entry.formerly;
+    restored.number = entry.number;
+    restored.rate = entry.rate;
+    restored.endpoints.push_back(entry.address);
+    if (!entry.zone.empty())
+      restored.zones[entry.address] = entry.zone;
+    if (entry.draining)
+      restored.draining.push_back(entry.address);
   }
   std::vector<Partner> all;
   for (auto& [name, p] : partners) {
@@ -135,48 +137,50 @@
   table_.declare(unit, std::move(all));
 }
 
-void PartnerSources::heard(const FolderSpec& source, FolderChanges news) {
-  const bool broken = !news.unreadable.empty() || news.empty;
+void PartnerSources::onFolderChanges(const FolderSpec& source, FolderChanges result) {
+  const bool broken = !result.unreadable.empty() || result.empty;
   if (broken) {
     if (unreadable_.insert(source.path).second) {
-      if (news.empty)
+      if (result.empty)
         log::write(log::Event::membership_empty_rejected, {{"source", source.path}});
       else
-        log::write(log::Event::membership_unreadable, {{"source", source.path}, {"cause", news.unreadable}});
+        log::write(log::Event::membership_unreadable,
+                   {{"source", source.path}, {"cause", result.unreadable}});
     }
     if (!started_)
-      for (const auto& [unit, entries] : kept_)
+      for (const auto& [unit, entries] : stored_entries_)
         if (source.folder ? unit.rfind(source.path + "/", 0) == 0 : unit == source.path)
           adoptUnit(unit);
   } else if (unreadable_.erase(source.path) > 0) {
     log::write(log::Event::membership_readable, {{"source", source.path}});
   }
   bool changed = false;
-  for (UnitChange& c : news.changes) {
-    if (!c.mistakes.empty()) {
-      log::write(
-          log::Event::membership_file_rejected,
-          {{"source", c.unit}, {"cause", c.mistakes[0].format(c.unit)}, {"mistakes", c.mistakes.size()}});
+  for (UnitChange& change : result.changes) {
+    if (!change.mistakes.empty()) {
+      log::write(log::Event::membership_file_rejected, {{"source", change.unit},
+                                                        {"cause", change.mistakes[0].format(change.unit)},
+                                                        {"mistakes", change.mistakes.size()}});
       if (!started_)
-        adoptUnit(c.unit);
+        adoptUnit(change.unit);
       continue;
     }
-    table_.declare(c.unit, std::move(c.partners));
+    table_.declare(change.unit, std::move(change.partners));
     changed = true;
   }
   if (started_ && changed)
-    tell(source.path);
+    publishChanges(source.path);
 }
 
-void PartnerSources::tell(const std::string& source, bool whole) {
-  PartnerTable::Change change = table_.take();
+void PartnerSources::publishChanges(const std::string& source, bool is_snapshot) {
+  PartnerTable::Change change = table_.takeChanges();
   for (const std::string& p : change.partners)
-    follow(p);
-  // Names that an earlier process had resolved are known before the core hears the first list.
-  PartnerTable::Change more = table_.take();
-  change.entries.insert(change.entries.end(), std::make_move_iterator(more.entries.begin()),
-                        std::make_move_iterator(more.entries.end()));
-  change.conflicts.insert(change.conflicts.end(), more.conflicts.begin(), more.conflicts.end());
+    updateDnsName(p);
+  // updateDnsName() may have restored addresses that an earlier process resolved; the first list contains
+  // them.
+  PartnerTable::Change dns_changes = table_.takeChanges();
+  change.entries.insert(change.entries.end(), std::make_move_iterator(dns_changes.entries.begin()),
+                        std::make_move_iterator(dns_changes.entries.end()));
+  change.conflicts.insert(change.conflicts.end(), dns_changes.conflicts.begin(), dns_changes.conflicts.end());
   for (const PartnerTable::Conflict& c : change.conflicts) {
     if (c.endpoint.empty())
       log::write(log::Event::membership_partner_conflict,
@@ -185,112 +189,114 @@
       log::write(log::Event::membership_endpoint_conflict,
                  {{"partner", c.partner}, {"endpoint", c.endpoint}, {"owner", c.owner}});
   }
-  if (change.entries.empty() && !whole)
+  if (change.entries.empty() && !is_snapshot)
     return;
   EndpointListAnswer answer;
   answer.index = version_ + 1;
-  answer.is_snapshot = whole;
+  answer.is_snapshot = is_snapshot;
   answer.changes = std::move(change.entries);
-  version_ = hear_(std::move(answer));
+  version_ = on_answer_(std::move(answer));
   log::write(log::Event::membership_changed,
              {{"source", source}, {"partners", table_.partners()}, {"endpoints", table_.endpoints()}});
-  lookUp();
+  startDueQueries();
 }
 
-// A partner whose name in DNS is new, another, or not asked for any more.
-void PartnerSources::follow(const std::string& partner) {
+// Starts, replaces or ends the resolution of a partner's DNS name after the partner changed.
+void PartnerSources::updateDnsName(const std::string& partner) {
   const Partner* p = table_.find(partner);
   const bool wanted = p && p->name == partner && p->dns;
   const auto known = names_.find(partner);
   if (known != names_.end() && wanted && known->second.memory.spec() == *p->dns)
     return;
   if (known != names_.end()) {
-    if (known->second.asking)
-      --asking_;
+    if (known->second.query_pending)
+      --pending_queries_;
     due_.erase({due_at_[partner], partner});
     due_at_.erase(partner);
     names_.erase(known);
   }
   if (!wanted)
     return;
-  Name& name = names_.emplace(partner, Name(*p->dns, spec_.dns_limits)).first->second;
-  name.turn = ++turn_;
-  const auto kept = kept_addresses_.find(partner);
-  if (!started_ || kept == kept_addresses_.end()) {
+  DnsName& name = names_.emplace(partner, DnsName(*p->dns, spec_.dns_limits)).first->second;
+  name.generation = ++last_generation_;
+  const auto stored = stored_addresses_.find(partner);
+  if (!started_ || stored == stored_addresses_.end()) {
     if (!p->endpoints.empty())
       name.memory.adopt(p->endpoints);
   } else {
-    name.memory.adopt(kept->second);
-    table_.resolved(partner, name.memory.endpoints());
-    log::write(log::Event::membership_stale, {{"partner", partner}, {"endpoints", joined(kept->second)}});
+    name.memory.adopt(stored->second);
+    table_.setResolved(partner, name.memory.endpoints());
+    log::write(log::Event::membership_stale, {{"partner", partner}, {"endpoints", joined(stored->second)}});
   }
-  schedule(partner);
+  scheduleQuery(partner);
 }
 
-void PartnerSources::schedule(const std::string& partner) {
-  const Micros at = names_.at(partner).memory.nextLook();
+void PartnerSources::scheduleQuery(const std::string& partner) {
+  const Micros at = names_.at(partner).memory.nextDue();
   due_at_[partner] = at;
   due_.emplace(at, partner);
 }
 
-void PartnerSources::lookUp() {
+void PartnerSources::startDueQueries() {
   const Micros now = monotonicNow();
   bool changed = false;
   std::string last;
-  while (!due_.empty() && due_.begin()->first <= now && asking_ < kMostAsking) {
+  while (!due_.empty() && due_.begin()->first <= now && pending_queries_ < kMaxPendingQueries) {
     const std::string partner = due_.begin()->second;
     due_.erase(due_.begin());
-    Name& name = names_.at(partner);
+    DnsName& name = names_.at(partner);
     if (name.memory.expire(now)) {
-      table_.resolved(partner, name.memory.endpoints());
+      table_.setResolved(partner, name.memory.endpoints());
       changed = true;
       last = name.memory.spec().name();
     }
     if (due_at_[partner] != 0 && name.memory.nextQuery() > now) {
-      schedule(partner);
+      scheduleQuery(partner);
       continue;
     }
-    name.asking = true;
-    ++asking_;
-    dns_->look(name.memory.spec(),
-               [this, partner, turn = name.turn](const DnsAnswer& a) { answered(partner, turn, a); });
+    name.query_pending = true;
+    ++pending_queries_;
+    dns_->look(name.memory.spec(), [this, partner, generation = name.generation](const DnsAnswer& a) {
+      onDnsAnswer(partner, generation, a);
+    });
   }
   if (changed)
-    return tell(last);  // comes back here
-  if (due_.empty() || asking_ >= kMostAsking)
+    return publishChanges(last);  // calls startDueQueries() again
+  if (due_.empty() || pending_queries_ >= kMaxPendingQueries)
     return;
   timer_.expires_after(std::chrono::microseconds(std::max<Micros>(1000, due_.begin()->first - now)));
   timer_.async_wait([this](const boost::system::error_code& e) {
     if (!e)
-      lookUp();
+      startDueQueries();
   });
 }
 
-void PartnerSources::answered(const std::string& partner, std::uint64_t turn, const DnsAnswer& answer) {
+void PartnerSources::onDnsAnswer(const std::string& partner, std::uint64_t generation,
+                                 const DnsAnswer& answer) {
   const auto at = names_.find(partner);
-  if (at == names_.end() || at->second.turn != turn)
-    return lookUp();
-  Name& name = at->second;
-  name.asking = false;
-  --asking_;
-  const NameMemory::Result h = name.memory.onAnswer(answer, monotonicNow());
-  const std::string& asked = name.memory.spec().name();
-  for (const std::string& f : h.forbidden)
+  if (at == names_.end() || at->second.generation != generation)
+    return startDueQueries();
+  DnsName& name = at->second;
+  name.query_pending = false;
+  --pending_queries_;
+  const NameMemory::Result result = name.memory.onAnswer(answer, monotonicNow());
+  const std::string& dns_name = name.memory.spec().name();
+  for (const std::string& endpoint : result.forbidden)
     log::write(log::Event::membership_dns_forbidden,
-               {{"partner", partner}, {"name", asked}, {"endpoint", f}});
-  if (!h.trouble.empty() && !name.failing)  // once for each time that it begins
+               {{"partner", partner}, {"name", dns_name}, {"endpoint", endpoint}});
+  if (!result.problem.empty() && !name.failing)  // logged once per series of failures
     log::write(log::Event::membership_dns_failed, {{"partner", partner},
-                                                   {"name", asked},
-                                                   {"cause", h.trouble},
+                                                   {"name", dns_name},
+                                                   {"cause", result.problem},
                                                    {"endpoints", joined(name.memory.endpoints())}});
-  name.failing = !h.trouble.empty();
-  if (h.changed) {
+  name.failing = !result.problem.empty();
+  if (result.changed) {
     log::write(log::Event::membership_dns_changed,
-               {{"partner", partner}, {"name", asked}, {"endpoints", joined(name.memory.endpoints())}});
-    table_.resolved(partner, name.memory.endpoints());
+               {{"partner", partner}, {"name", dns_name}, {"endpoints", joined(name.memory.endpoints())}});
+    table_.setResolved(partner, name.memory.endpoints());
   }
-  schedule(partner);
-  h.changed ? tell(asked) : lookUp();
+  scheduleQuery(partner);
+  result.changed ? publishChanges(dns_name) : startDueQueries();
 }
 
 }  // namespace grademux
--- a/src/membership/table.cpp
+++ b/src/membership/table.cpp
@@ -1,30 +1,30 @@
-// grademux: partners of several sources; see table.h.
+// See table.h.
 #include "table.h"
 
 #include <algorithm>
 
 namespace grademux {
 
-bool readKept(const std::string& text, KeptEntry& k) {
-  const json e = json::parse(text, nullptr, false);
-  if (!e.is_object() || !e.contains("partner"))
-    return false;  // the platform's, or an older version's
+bool parseStoredEntry(const std::string& text, StoredEntry& entry) {
+  const json stored = json::parse(text, nullptr, false);
+  if (!stored.is_object() || !stored.contains("partner"))
+    return false;  // an entry of the platform, or of an older version
   try {
-    k.unit = e.value("unit", "");
-    k.partner = e.value("partner", "");
-    k.formerly = e.value("formerly", "");
-    k.address = e.value("address", "");
-    k.zone = e.value("zone", "");
-    k.number = e.value("group", std::int64_t{0});
-    k.rate = e.value("weight", 0.0);
-    k.draining = e.value("status", "") == "Terminating";
+    entry.unit = stored.value("unit", "");
+    entry.partner = stored.value("partner", "");
+    entry.formerly = stored.value("formerly", "");
+    entry.address = stored.value("address", "");
+    entry.zone = stored.value("zone", "");
+    entry.number = stored.value("group", std::int64_t{0});
+    entry.rate = stored.value("weight", 0.0);
+    entry.draining = stored.value("status", "") == "Terminating";
   } catch (const json::exception&) {
     return false;
   }
-  return !k.partner.empty() && isEndpointAddress(k.address);
+  return !entry.partner.empty() && isEndpointAddress(entry.address);
 }
 
-const Partner* PartnerTable::declared(const std::string& unit, const std::string& name) const {
+const Partner* PartnerTable::findDeclared(const std::string& unit, const std::string& name) const {
   const auto u = units_.find(unit);
   if (u == units_.end())
     return nullptr;
@@ -35,8 +35,8 @@
 const Partner* PartnerTable::find(const std::string& name) const {
   auto at = in_force_.find(name);
   if (at == in_force_.end()) {
-    const auto former = former_.find(name);
-    if (former != former_.end())
+    const auto former = by_former_name_.find(name);
+    if (former != by_former_name_.end())
       at = in_force_.find(former->second);
   }
   return at == in_force_.end() ? nullptr : &at->second.partner;
@@ -63,7 +63,7 @@
     claims.erase(std::remove(claims.begin(), claims.end(), unit), claims.end());
     if (claims.empty())
       by_name_.erase(name);
-    unsettled_.insert(name);
+    undecided_.insert(name);
   }
   for (const auto& [name, p] : fresh) {
     const auto before = old.find(name);
@@ -71,7 +71,7 @@
       by_name_[name].push_back(unit);
     else if (before->second == p)
       continue;
-    unsettled_.insert(name);
+    undecided_.insert(name);
   }
   if (fresh.empty())
     units_.erase(unit);
@@ -79,7 +79,7 @@
     old = std::move(fresh);
 }
 
-void PartnerTable::resolved(const std::string& partner, std::vector<std::string> addresses) {
+void PartnerTable::setResolved(const std::string& partner, std::vector<std::string> addresses) {
   const auto at = in_force_.find(partner);
   if (at == in_force_.end() || !at->second.partner.dns)
     return;
@@ -87,33 +87,34 @@
   if (resolved_[partner] == addresses)
     return;
   resolved_[partner] = std::move(addresses);
-  unsettled_.insert(partner);
+  undecided_.insert(partner);
 }
 
-// Takes a partner out of force: its number, its former name and its addresses are free for others.
-void PartnerTable::drop(const std::string& name) {
+// Removes a partner from force, which releases its number and former name; releaseAddresses() releases its
+// addresses later.
+void PartnerTable::removeFromForce(const std::string& name) {
   const auto at = in_force_.find(name);
   if (at == in_force_.end())
     return;
   const Partner& p = at->second.partner;
   by_number_.erase(p.number);
   if (!p.formerly.empty())
-    former_.erase(p.formerly);
+    by_former_name_.erase(p.formerly);
   in_force_.erase(at);
   dirty_.insert(name);
 }
 
-// Whose it is, and whether it can be in force.
-void PartnerTable::settle(const std::string& name) {
-  drop(name);
+// Puts the first declaration of a partner in force, unless another partner has its number.
+void PartnerTable::putInForce(const std::string& name) {
+  removeFromForce(name);
   const auto claims = by_name_.find(name);
   if (claims == by_name_.end())
     return;
   const std::string& unit = claims->second.front();
-  Partner p = *declared(unit, name);
+  Partner p = *findDeclared(unit, name);
   const auto number = by_number_.find(p.number);
   if (number != by_number_.end())
-    return;  // told with the conflicts; tried again when that one is gone
+    return;  // reported as a conflict; tried again when the number is released
   if (p.dns) {
     const auto known = resolved_.find(name);
     if (known != resolved_.end())
@@ -121,24 +122,24 @@
   }
   by_number_[p.number] = name;
   if (!p.formerly.empty())
-    former_[p.formerly] = name;
+    by_former_name_[p.formerly] = name;
   in_force_[name] = {unit, std::move(p)};
   dirty_.insert(name);
 }
 
-std::set<std::string> PartnerTable::wanted(const std::string& name) const {
+std::set<std::string> PartnerTable::wantedAddresses(const std::string& name) const {
   const auto at = in_force_.find(name);
   if (at == in_force_.end())
     return {};
   return {at->second.partner.endpoints.begin(), at->second.partner.endpoints.end()};
 }
 
-// Gives up the addresses that a partner names no more; who is next in line for one has to be listed anew.
+// Releases the addresses that a partner no longer lists; the other claimants are marked to be listed again.
 void PartnerTable::releaseAddresses(const std::string& name) {
   const auto claimed = claimed_.find(name);
   if (claimed == claimed_.end())
     return;
-  const std::set<std::string> wants = wanted(name);
+  const std::set<std::string> wants = wantedAddresses(name);
   std::set<std::string>& had = claimed->second;
   for (auto it = had.begin(); it != had.end();) {
     if (wants.count(*it)) {
@@ -146,11 +147,11 @@
       continue;
     }
     const std::string& a = *it;
-    auto& line = by_address_[a];
-    line.erase(std::remove(line.begin(), line.end(), name), line.end());
-    for (const std::string& next : line)
+    auto& claimants = by_address_[a];
+    claimants.erase(std::remove(claimants.begin(), claimants.end(), name), claimants.end());
+    for (const std::string& next : claimants)
       dirty_.insert(next);
-    if (line.empty())
+    if (claimants.empty())
       by_address_.erase(a);
     it = had.erase(it);
   }
@@ -159,7 +160,7 @@
 }
 
 void PartnerTable::claimAddresses(const std::string& name) {
-  for (const std::string& a : wanted(name))
+  for (const std::string& a : wantedAddresses(name))
     if (claimed_[name].insert(a).second)
       by_address_[a].push_back(name);
 }
@@ -193,8 +194,8 @@
   return wanted;
 }
 
-// An entry that is new, changed or (null) gone. `base`: the first part of its id; `name`: of the partner in
-// force.
+// Returns the change for an entry that is new or changed, or removed (`entry` is null). `base`: the first
+// part of the endpoint id; `name`: the partner in force.
 EndpointChange PartnerTable::endpointChange(const std::string& base, const std::string& name,
                                             const std::string& address, const Entry* entry) {
   EndpointChange change;
@@ -222,14 +223,14 @@
   return change;
 }
 
-// Adds to `change` what of one partner's endpoints is other than the core knows it.
+// Adds to `change` the endpoints of one partner that differ from the entries that the core has.
 void PartnerTable::appendEndpointChanges(const std::string& name, Change& change) {
   change.partners.push_back(name);
   const auto in_force = in_force_.find(name);
   const bool exists = in_force != in_force_.end();
   const std::string base = exists ? in_force->second.partner.base() : base_[name];
-  const Partner* heir = exists ? nullptr : find(base);
-  if (heir && heir->base() == base) {  // renamed: what the core knows is its heir's
+  const Partner* successor = exists ? nullptr : find(base);
+  if (successor && successor->base() == base) {  // renamed: the core's entries belong to the successor
     base_.erase(name);
     return;
   }
@@ -260,38 +261,39 @@
     listed = std::move(wanted);
 }
 
-// Takes the unsettled partners out of force, so that others can take over their names, numbers and addresses
-// in the same change. Gives the partners to settle: those that were in force first, to keep their numbers if
-// they still want them, then the new ones, then those that waited for a number that is free now.
-std::vector<std::string> PartnerTable::releaseUnsettled() {
-  const std::set<std::string> unsettled = std::move(unsettled_);
-  unsettled_.clear();
+// Removes the undecided partners from force, so that others can claim their names, numbers and addresses in
+// the same change. Returns the partners to decide: first those that were in force, so that they keep their
+// numbers if they still declare them, then the new ones, then those that waited for a number that is now
+// free.
+std::vector<std::string> PartnerTable::releaseUndecided() {
+  const std::set<std::string> undecided = std::move(undecided_);
+  undecided_.clear();
   std::set<std::int64_t> freed_numbers;
   std::set<std::string> were_in_force;
-  std::vector<std::string> to_settle;
-  for (const std::string& name : unsettled) {
+  std::vector<std::string> to_decide;
+  for (const std::string& name : undecided) {
     const auto in_force = in_force_.find(name);
     if (in_force == in_force_.end())
       continue;
     freed_numbers.insert(in_force->second.partner.number);
-    to_settle.push_back(name);
+    to_decide.push_back(name);
     were_in_force.insert(name);
-    drop(name);
+    removeFromForce(name);
   }
-  for (const std::string& name : unsettled)
+  for (const std::string& name : undecided)
     if (!were_in_force.count(name))
-      to_settle.push_back(name);
+      to_decide.push_back(name);
   for (const std::int64_t number : freed_numbers)
-    if (const auto waiting = waiting_.find(number); waiting != waiting_.end()) {
-      to_settle.insert(to_settle.end(), waiting->second.begin(), waiting->second.end());
-      waiting_.erase(waiting);
+    if (const auto waiting = waiting_by_number_.find(number); waiting != waiting_by_number_.end()) {
+      to_decide.insert(to_decide.end(), waiting->second.begin(), waiting->second.end());
+      waiting_by_number_.erase(waiting);
     }
-  return to_settle;
+  return to_decide;
 }
 
-// Puts the partner in force, or reports whose its name or number is.
-void PartnerTable::settleOrReport(const std::string& name, Change& change) {
-  settle(name);
+// Puts the partner in force, or reports the owner of its name or number.
+void PartnerTable::putInForceOrReport(const std::string& name, Change& change) {
+  putInForce(name);
   const auto claims = by_name_.find(name);
   if (claims == by_name_.end()) {
     resolved_.erase(name);
@@ -303,23 +305,23 @@
     reportConflict({name, claims->second[i], "", owner}, change);
   if (in_force_.count(name))
     return;
-  const std::int64_t number = declared(owner, name)->number;
-  waiting_[number].insert(name);
+  const std::int64_t number = findDeclared(owner, name)->number;
+  waiting_by_number_[number].insert(name);
   reportConflict({name, owner, "", by_number_.at(number)}, change);
 }
 
-PartnerTable::Change PartnerTable::take() {
+PartnerTable::Change PartnerTable::takeChanges() {
   Change change;
-  for (const std::string& name : releaseUnsettled())
-    settleOrReport(name, change);
+  for (const std::string& name : releaseUndecided())
+    putInForceOrReport(name, change);
   const std::set<std::string> touched = dirty_;
   for (const std::string& name : touched)
-    releaseAddresses(name);  // all before any is claimed: a partner that is split in two is no conflict
+    releaseAddresses(name);  // before any claim: a partner split in two is no conflict
   for (const std::string& name : touched)
     claimAddresses(name);
   const std::set<std::string> dirty = std::move(dirty_);
   dirty_.clear();
-  // Where one partner goes and another takes its base name over, the core is to see the one that goes first.
+  // If a partner is removed and another inherits its base name, the core must receive the removal first.
   for (const bool in_force : {false, true})
     for (const std::string& name : dirty)
       if ((in_force_.count(name) > 0) == in_force)
--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -1,10 +1,11 @@
-// grademux: the partners of a program that has several sources: whose each is, what is in force, and what the
-// core has to hear of a change. No I/O, no clock; one thread.
+// The partners of a program with several sources: which source owns each partner, which partners are in
+// force, and which changes the core must receive. No I/O, no clock; one thread.
 //
-// A unit is what is replaced as a whole: the daemon file, or one file of a folder. A partner belongs to the
-// unit that named it first, an address to the partner that did. Another claim is told as a conflict and
-// waits; when the owner gives up, the next takes over in the same change, so a partner that moves from file
-// to file is never gone in between. The cost of a change follows what the unit says, not what there is.
+// A unit is replaced as a whole: the daemon file, or one file of a folder. A partner belongs to the unit that
+// declared it first, an address to the partner that claimed it first. Another claim is reported as a conflict
+// and waits; when the owner releases the name or address, the next claimant becomes the owner in the same
+// change, so a partner that moves from file to file is never absent in between. The cost of a change depends
+// on the size of the unit, not of the table.
 #pragma once
 
 #include <map>
@@ -21,24 +22,24 @@
 class PartnerTable {
  public:
   struct Conflict {
-    std::string partner, unit, endpoint, owner;  // owner: a unit, or with an endpoint a partner
+    std::string partner, unit, endpoint, owner;  // owner: a unit, or a partner for an endpoint or number
   };
-  // What the core is told, and what a look-up of names has to follow.
+  // A change for the core, the log and the resolution of DNS names.
   struct Change {
     std::vector<EndpointChange> entries;
-    std::vector<Conflict> conflicts;    // new ones
-    std::vector<std::string> partners;  // whose entry in force is another now, or gone
+    std::vector<Conflict> conflicts;    // conflicts not reported before
+    std::vector<std::string> partners;  // partners in force that were added, changed or removed
   };
 
-  // All partners of a unit, in place of what it had; none: the unit is gone. What a name was resolved to is
-  // kept, if the unit still asks for the same name.
+  // Replaces all partners of a unit; without partners the unit is removed. The resolved addresses of a
+  // partner are kept while any unit declares it.
   void declare(const std::string& unit, std::vector<Partner> partners);
-  // What a partner's name in DNS stands for now. Ignored if it isn't in force, or has no such name.
-  void resolved(const std::string& partner, std::vector<std::string> addresses);
-  // What has changed since this was asked last.
-  Change take();
+  // Sets the addresses of a partner's DNS name. Ignored if the partner is not in force or has no DNS name.
+  void setResolved(const std::string& partner, std::vector<std::string> addresses);
+  // Returns the changes since the last call.
+  Change takeChanges();
 
-  // The partner in force by this name or the one that it had; null: none.
+  // The partner in force with this name or former name; null if none.
   const Partner* find(const std::string& name) const;
   std::vector<std::string> units() const;
   bool declares(const std::string& unit) const { return units_.count(unit) > 0; }
@@ -62,45 +63,48 @@
   };
   using Claims = std::unordered_map<std::string, std::vector<std::string>>;
 
-  const Partner* declared(const std::string& unit, const std::string& name) const;
-  void settle(const std::string& name);
-  void drop(const std::string& name);
+  const Partner* findDeclared(const std::string& unit, const std::string& name) const;
+  void putInForce(const std::string& name);
+  void removeFromForce(const std::string& name);
   void releaseAddresses(const std::string& name);
   void claimAddresses(const std::string& name);
   std::map<std::string, Entry> wantedEntries(const InForce& in_force, Change& change);
   static EndpointChange endpointChange(const std::string& base, const std::string& name,
                                        const std::string& address, const Entry* entry);
   void appendEndpointChanges(const std::string& name, Change& change);
-  std::vector<std::string> releaseUnsettled();
-  void settleOrReport(const std::string& name, Change& change);
-  std::set<std::string> wanted(const std::string& name) const;
+  std::vector<std::string> releaseUndecided();
+  void putInForceOrReport(const std::string& name, Change& change);
+  std::set<std::string> wantedAddresses(const std::string& name) const;
   void reportConflict(const Conflict& conflict, Change& change);
   void forgetConflicts(const std::string& prefix);
 
   std::map<std::string, std::map<std::string, Partner>> units_;
-  Claims by_name_;     // partner's name -> units, the owner first
-  Claims by_address_;  // address -> partners in force that name it, the owner first
-  std::map<std::int64_t, std::string> by_number_;        // number -> partner in force
-  std::unordered_map<std::string, std::string> former_;  // former name -> partner in force
+  Claims by_name_;     // partner name -> units, the owner first
+  Claims by_address_;  // address -> partners in force that list it, the owner first
+  std::map<std::int64_t, std::string> by_number_;                // number -> partner in force
+  std::unordered_map<std::string, std::string> by_former_name_;  // former name -> partner in force
   std::unordered_map<std::string, InForce> in_force_;
   std::unordered_map<std::string, std::vector<std::string>> resolved_;  // by partner
   std::unordered_map<std::string, std::set<std::string>> claimed_;      // by partner: addresses
-  // What the core was told: by partner's base name, then by address.
+  // The entries that the core has: by base name of the partner, then by address.
   std::unordered_map<std::string, std::map<std::string, Entry>> listed_;
-  std::unordered_map<std::string, std::string> base_;  // of a partner that is listed
-  std::set<std::string> unsettled_, dirty_;
-  std::map<std::int64_t, std::set<std::string>> waiting_;  // for a number that is another's
-  std::set<std::string> conflicts_;                        // that were told and last
+  std::unordered_map<std::string, std::string> base_;  // base name by listed partner
+  // Partners whose declarations or addresses changed, and partners whose entries must be compared with the
+  // core's.
+  std::set<std::string> undecided_, dirty_;
+  std::map<std::int64_t, std::set<std::string>> waiting_by_number_;  // partners whose number another has
+  std::set<std::string> conflicts_;                                  // reported, still present
   std::size_t endpoints_ = 0;
 };
 
-// What an earlier process kept of an entry: so much of a partner as one entry tells.
-struct KeptEntry {
+// An entry of the endpoint list that an earlier process stored in the journal, with its part of the partner.
+struct StoredEntry {
   std::string unit, partner, formerly, address, zone;
   std::int64_t number = 0;
   double rate = 0;
   bool draining = false;
 };
-bool readKept(const std::string& text, KeptEntry& entry);
+// Returns false if the text is not an entry of a partner: the platform's, an older version's or malformed.
+bool parseStoredEntry(const std::string& text, StoredEntry& entry);
 
 }  // namespace grademux
--- a/tests/membership/name_memory_test.cpp
+++ b/tests/membership/name_memory_test.cpp
@@ -37,7 +37,7 @@
 
 TEST(NameMemory, FollowsItsAnswersAndTheirTtl) {
   NameMemory m(host(), {});
-  EXPECT_EQ(m.nextLook(), 0);
+  EXPECT_EQ(m.nextDue(), 0);
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2", "10.0.0.1"})), 5 * kS).changed);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
   EXPECT_EQ(m.nextQuery(), 15 * kS);
@@ -60,7 +60,7 @@
         DestinationKind::failed, DestinationKind::failed, DestinationKind::failed}) {
     const auto h = m.onAnswer(answer(none(k), none(k)), now);
     EXPECT_FALSE(h.changed);
-    EXPECT_NE(h.trouble, "");
+    EXPECT_NE(h.problem, "");
     EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
     EXPECT_GE(m.nextQuery() - now, pause);  // ever more slowly, up to 30 s
     pause = m.nextQuery() - now;
@@ -78,7 +78,7 @@
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "[2001:db8::1]:80"}));
   const auto h = m.onAnswer(answer(records({"10.0.0.2"}), none(DestinationKind::failed)), kS);
   EXPECT_TRUE(h.changed);
-  EXPECT_NE(h.trouble.find("AAAA: timed out"), std::string::npos) << h.trouble;
+  EXPECT_NE(h.problem.find("AAAA: timed out"), std::string::npos) << h.problem;
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.2:80", "[2001:db8::1]:80"}));
   EXPECT_EQ(m.nextQuery(), 2 * kS);  // the part that failed is not left for its TTL
   m.onAnswer(answer(records({"10.0.0.2"}), records({})),
@@ -97,7 +97,7 @@
   EXPECT_EQ(h.forbidden, (All{"11.0.0.1:80", "192.168.1.1:80", "[2001:db9::1]:80"}));
   h = m.onAnswer(answer(records({"11.0.0.1"})), kS);
   EXPECT_FALSE(h.changed);
-  EXPECT_NE(h.trouble.find("allow"), std::string::npos);
+  EXPECT_NE(h.problem.find("allow"), std::string::npos);
   EXPECT_EQ(m.endpoints().size(), 3u);
   NameMemory any(host(), {});  // what no host can have is never listed
   EXPECT_EQ(
@@ -147,25 +147,25 @@
   m.onAnswer(answer(records({"10.0.0.1"})), 20 * kS);
   m.onAnswer(answer(records({"10.0.0.1"}, 600 * kS)), 30 * kS);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
-  EXPECT_EQ(m.nextLook(), 50 * kS);
+  EXPECT_EQ(m.nextDue(), 50 * kS);
   EXPECT_FALSE(m.expire(49 * kS));
   EXPECT_TRUE(m.expire(50 * kS));
   EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
-  EXPECT_EQ(m.nextLook(), 630 * kS);
+  EXPECT_EQ(m.nextDue(), 630 * kS);
 }
 
 TEST(NameMemory, WhatAnEarlierProcessKnewServesAsOldUntilAnAnswer) {
   NameMemory m(host(), {});
   m.adopt({"10.0.0.7:80"});
-  EXPECT_TRUE(m.old());
+  EXPECT_TRUE(m.isStale());
   for (Micros now = 0; now < 3600 * kS; now = m.nextQuery()) {  // silent for an hour
     m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
     ASSERT_EQ(m.endpoints(), All{"10.0.0.7:80"});
-    ASSERT_TRUE(m.old());
+    ASSERT_TRUE(m.isStale());
   }
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.1"})), 3600 * kS).changed);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
-  EXPECT_FALSE(m.old());
+  EXPECT_FALSE(m.isStale());
 }
 
 TEST(NameMemory, ManyAddressesAreBounded) {
@@ -187,7 +187,7 @@
   less.most_retry = 2 * kS;
   m.setLimits(less, kS);
   EXPECT_EQ(m.nextQuery(), 6 * kS);
-  EXPECT_EQ(m.nextLook(), 6 * kS);
+  EXPECT_EQ(m.nextDue(), 6 * kS);
   EXPECT_EQ(m.endpoints().size(), 1u);
   m.onAnswer(answer(records({"127.0.0.1"}, 3000 * kS)), 6 * kS);
   EXPECT_EQ(m.nextQuery(), 11 * kS);
--- a/tests/membership/table_test.cpp
+++ b/tests/membership/table_test.cpp
@@ -45,14 +45,14 @@
 TEST(PartnerTable, TellsWhatAUnitChanges) {
   PartnerTable t;
   t.declare("a", {partner("shop", {at(1), at(2)}), partner("bank", {at(3)})});
-  EXPECT_EQ(heard(t.take()), "+bank@127.0.0.1:3 +shop@127.0.0.1:1 +shop@127.0.0.1:2");
-  EXPECT_EQ(heard(t.take()), "");
+  EXPECT_EQ(heard(t.takeChanges()), "+bank@127.0.0.1:3 +shop@127.0.0.1:1 +shop@127.0.0.1:2");
+  EXPECT_EQ(heard(t.takeChanges()), "");
   Partner drains = partner("shop", {at(1), at(2)});
   drains.draining = {at(2)};
   t.declare("a", {drains, partner("bank", {at(3)})});
-  EXPECT_EQ(heard(t.take()), "~shop@127.0.0.1:2");
+  EXPECT_EQ(heard(t.takeChanges()), "~shop@127.0.0.1:2");
   t.declare("a", {partner("bank", {at(3)})});
-  EXPECT_EQ(heard(t.take()), "-shop@127.0.0.1:1 -shop@127.0.0.1:2");
+  EXPECT_EQ(heard(t.takeChanges()), "-shop@127.0.0.1:1 -shop@127.0.0.1:2");
   EXPECT_EQ(t.find("shop"), nullptr);
   EXPECT_EQ(t.partners(), 1u);
   EXPECT_EQ(t.endpoints(), 1u);
@@ -65,16 +65,16 @@
   shop.zone = "a";
   shop.zones[at(2)] = "b";
   t.declare("u", {shop});
-  const auto first = t.take();
+  const auto first = t.takeChanges();
   ASSERT_EQ(2u, first.entries.size());
   EXPECT_EQ("a", first.entries[0].entry.endpoint.zone);
   EXPECT_EQ("b", first.entries[1].entry.endpoint.zone);
-  KeptEntry kept;
-  ASSERT_TRUE(readKept(first.entries[1].text, kept));
+  StoredEntry kept;
+  ASSERT_TRUE(parseStoredEntry(first.entries[1].text, kept));
   EXPECT_EQ("b", kept.zone);
   shop.zones[at(1)] = "c";
   t.declare("u", {shop});
-  const auto moved = t.take();
+  const auto moved = t.takeChanges();
   ASSERT_EQ(1u, moved.entries.size());
   EXPECT_EQ("c", moved.entries[0].entry.endpoint.zone);
 }
@@ -84,19 +84,19 @@
   for (const bool new_first : {true, false}) {
     PartnerTable t;
     t.declare("a", {partner("shop", {at(1)})});
-    t.take();
+    t.takeChanges();
     if (new_first) {
       t.declare("b", {partner("shop", {at(1)})});
-      const auto c = t.take();
+      const auto c = t.takeChanges();
       EXPECT_EQ(heard(c), "");
       EXPECT_EQ(conflicts(c), "shop/b//a");
-      EXPECT_EQ(conflicts(t.take()), "");  // told once
+      EXPECT_EQ(conflicts(t.takeChanges()), "");  // told once
       t.declare("a", {});
     } else {
       t.declare("a", {});
       t.declare("b", {partner("shop", {at(1)})});
     }
-    for (const EndpointChange& e : t.take().entries)
+    for (const EndpointChange& e : t.takeChanges().entries)
       EXPECT_EQ(e.entry.endpoint.state, EndpointState::ready) << e.entry.endpoint.id;
     EXPECT_TRUE(t.find("shop"));
   }
@@ -105,24 +105,24 @@
 TEST(PartnerTable, ARenamedPartnerKeepsItsNumberAndItsEndpoints) {
   PartnerTable t;
   t.declare("a", {partner("shop", {at(1)})});
-  t.take();
+  t.takeChanges();
   const std::int64_t number = t.find("shop")->number;
   t.declare("a", {partner("print-shop", {at(1)}, "shop")});
-  const auto c = t.take();
+  const auto c = t.takeChanges();
   EXPECT_EQ(heard(c), "");
   ASSERT_TRUE(t.find("print-shop"));
   EXPECT_EQ(t.find("print-shop")->number, number);
   EXPECT_EQ(t.find("shop"), t.find("print-shop"));  // clients that know the old name
   t.declare("a", {partner("print-shop", {at(1), at(2)}, "shop")});
-  EXPECT_EQ(heard(t.take()), "+shop@127.0.0.1:2");
+  EXPECT_EQ(heard(t.takeChanges()), "+shop@127.0.0.1:2");
 }
 
 TEST(PartnerTable, APartnerSplitInTwoIsNoConflict) {
   PartnerTable t;
   t.declare("a", {partner("z", {at(1), at(2)})});
-  t.take();
+  t.takeChanges();
   t.declare("a", {partner("z", {at(1)}), partner("b", {at(2)})});
-  const auto c = t.take();
+  const auto c = t.takeChanges();
   EXPECT_EQ(conflicts(c), "");
   EXPECT_EQ(heard(c), "+b@127.0.0.1:2 -z@127.0.0.1:2");
 }
@@ -130,15 +130,15 @@
 TEST(PartnerTable, AnEndpointOfTwoPartnersIsTheFirstOnesUntilItLetsGo) {
   PartnerTable t;
   t.declare("a", {partner("shop", {at(1)})});
-  t.take();
+  t.takeChanges();
   t.declare("b", {partner("bank", {at(1), at(2)})});
-  const auto c = t.take();
+  const auto c = t.takeChanges();
   EXPECT_EQ(heard(c), "+bank@127.0.0.1:2");
   EXPECT_EQ(conflicts(c), "bank/b/127.0.0.1:1/shop");
   t.declare("a", {partner("shop", {at(5)})});
-  EXPECT_EQ(heard(t.take()), "+bank@127.0.0.1:1 -shop@127.0.0.1:1 +shop@127.0.0.1:5");
+  EXPECT_EQ(heard(t.takeChanges()), "+bank@127.0.0.1:1 -shop@127.0.0.1:1 +shop@127.0.0.1:5");
   t.declare("a", {partner("shop", {at(1), at(5)})});  // now it is the other way round, and told again
-  EXPECT_EQ(conflicts(t.take()), "shop/a/127.0.0.1:1/bank");
+  EXPECT_EQ(conflicts(t.takeChanges()), "shop/a/127.0.0.1:1/bank");
 }
 
 TEST(PartnerTable, ANumberIsOnePartnersAndTheNextInLineTakesItOver) {
@@ -146,16 +146,16 @@
   Partner one = partner("z", {at(1)}), other = partner("a", {at(2)});
   one.number = other.number = 7;
   t.declare("a", {one});
-  t.take();
+  t.takeChanges();
   t.declare("b", {other});
-  const auto c = t.take();
+  const auto c = t.takeChanges();
   EXPECT_EQ(heard(c), "");
   EXPECT_EQ(conflicts(c), "a/b//z");
   one.rate = 5;  // what changes in the owner doesn't make it lose its number
   t.declare("a", {one});
-  EXPECT_EQ(heard(t.take()), "+z@127.0.0.1:1");
+  EXPECT_EQ(heard(t.takeChanges()), "+z@127.0.0.1:1");
   t.declare("a", {});
-  EXPECT_EQ(heard(t.take()), "-z@127.0.0.1:1 +a@127.0.0.1:2");
+  EXPECT_EQ(heard(t.takeChanges()), "-z@127.0.0.1:1 +a@127.0.0.1:2");
 }
 
 TEST(PartnerTable, WhatTheJournalKeptIsReadBack) {
@@ -164,8 +164,8 @@
   p.rate = 4.5;
   p.draining = {at(1)};
   t.declare("the file", {p});
-  KeptEntry k;
-  ASSERT_TRUE(readKept(t.take().entries.at(0).text, k));
+  StoredEntry k;
+  ASSERT_TRUE(parseStoredEntry(t.takeChanges().entries.at(0).text, k));
   EXPECT_EQ(k.unit, "the file");
   EXPECT_EQ(k.partner, "print-shop");
   EXPECT_EQ(k.formerly, "shop");
@@ -173,9 +173,9 @@
   EXPECT_EQ(k.number, p.number);
   EXPECT_EQ(k.rate, 4.5);
   EXPECT_TRUE(k.draining);
-  EXPECT_FALSE(readKept("{\"name\":\"x\"}", k));
-  EXPECT_FALSE(readKept("[1", k));
-  EXPECT_FALSE(readKept("{\"partner\":5,\"address\":\"127.0.0.1:1\"}", k));
+  EXPECT_FALSE(parseStoredEntry("{\"name\":\"x\"}", k));
+  EXPECT_FALSE(parseStoredEntry("[1", k));
+  EXPECT_FALSE(parseStoredEntry("{\"partner\":5,\"address\":\"127.0.0.1:1\"}", k));
 }
 
 // The claims of units in a plain model beside the table; what the core heard must be what is in force.
@@ -205,7 +205,7 @@
     t.declare(unit, all);
     if (draw(3) == 0)
       continue;  // several in one change
-    for (const EndpointChange& e : t.take().entries) {
+    for (const EndpointChange& e : t.takeChanges().entries) {
       const std::string id = e.entry.endpoint.id;
       if (e.entry.endpoint.state == EndpointState::gone)
         ASSERT_EQ(core.erase(id), 1u) << step;
