--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -62,7 +62,7 @@
 
 void EndpointWatcher::moveTo(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
-  schedule_.onAnswered();  // the delays belong to the agent before
+  schedule_.onAnswered();  // the backoff belongs to the previous agent
   last_poll_failed_ = false;
   start(-1);
 }
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -22,14 +22,14 @@
  public:
   Agent(boost::asio::io_context& io, tcp::endpoint peer, std::string host);
   void request(HttpRequest request, Micros limit, HttpConnection::Done done);
-  void retryAfterDelay(Micros pause,
-                       std::function<void()> then);   // drops the connection, goes on after the pause
-  void moveTo(tcp::endpoint peer, std::string host);  // calls off what is under way
-  void stop();                                        // the same, and drops the connection
+  // Closes the connection and calls `then` after the pause.
+  void retryAfterDelay(Micros pause, std::function<void()> then);
+  void moveTo(tcp::endpoint peer, std::string host);  // stops, and connects to this agent from now on
+  void stop();  // cancels a pending request or retry and closes the connection
 
  private:
   boost::asio::io_context& io_;
-  std::uint64_t generation_ = 0;  // what belongs to an earlier one is ignored
+  std::uint64_t generation_ = 0;  // retries of an earlier generation are ignored
   tcp::endpoint peer_;
   std::string host_;
   std::unique_ptr<HttpConnection> connection_;
@@ -39,7 +39,7 @@
 // The platform's membership.
 class EndpointWatcher : public Membership {
  public:
-  // The loop must not run on once this is gone. `senders`: how many poll the same discovery.
+  // The loop must not run after the watcher is destroyed. `senders`: how many poll the same discovery.
   EndpointWatcher(Agent agent, Worker& worker, OnAnswer on_answer, int senders, std::uint64_t seed)
       : agent_(std::move(agent)),
         worker_(worker),
@@ -65,8 +65,8 @@
   OnAnswer on_answer_;
   PollSchedule schedule_;
   std::int64_t from_ = -1;
-  bool last_poll_failed_ = false;  // the last call broke off or was not answered
-  std::uint64_t generation_ = 0;   // counts starts: a list of before one that is read still is ignored
+  bool last_poll_failed_ = false;  // the last poll failed, other than by a 503 or a malformed list
+  std::uint64_t generation_ = 0;   // counts starts; a list that was requested before a start is ignored
 };
 
 // Sends notices, in batches, until each has been answered.
@@ -80,15 +80,15 @@
   std::size_t pendingNotices() const override { return pending_.size(); }
 
  private:
-  static constexpr std::size_t kMaxNotices = 64;  // in one batch
+  static constexpr std::size_t kMaxNotices = 64;  // per batch
 
   void send();
 
   Agent agent_;
   OnDelivered on_delivered_;
   std::deque<std::pair<std::string, Notice>> pending_;
-  std::size_t in_flight_ = 0;            // the first so many have been sent
-  std::size_t max_batch_ = kMaxNotices;  // 1 after a batch that could not be read
+  std::size_t in_flight_ = 0;            // how many of the first pending notices have been sent
+  std::size_t max_batch_ = kMaxNotices;  // 1 after the agent rejected a batch as malformed
   bool backing_off_ = false;
 };
 
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -3,8 +3,8 @@
 // Discovery serves the polls of all senders one after another, also those whose caller has timed out. Senders
 // that all retry soon keep it overloaded, with nobody answered in time. So retries after a 503 are spread
 // over the fleet: at most 2 x kFleetRetriesPerSecond polls a second while all are rejected, up to the fleet
-// size at which kMaxRetrySpread is reached (kFirstRetrySpread the first times). The first poll is made at
-// once: a sender must not send by an old list.
+// size at which kMaxRetrySpread is reached (kFirstRetrySpread for the first kFirstRejections). The first poll
+// is made at once: a sender must not send by an old list.
 #pragma once
 
 #include "../core/backoff.h"
@@ -13,16 +13,16 @@
 
 class PollSchedule {
  public:
-  // A long poll may wait so long for a change; a response that is late by kResponseGrace is taken as lost.
-  // Each order of failures must end within 6 s: docs/design/races.md adds them up. All constants in
+  // A long poll waits up to kLongPollTime for a change; a response that is kResponseGrace late counts as
+  // lost. Each order of failures must end within 6 s: docs/design/races.md adds them up. All constants in
   // microseconds.
   static constexpr Micros kLongPollTime = 2'500'000, kResponseGrace = 1'000'000;
   static constexpr Micros kConnectTimeout = 1'000'000;  // the agent is on this machine
   static constexpr double kFleetRetriesPerSecond = 10;
-  // Retries after rejections are spread over these times: two rejected polls and an answered one fit into 6
-  // s.
+  // Retries after rejections are spread over these times: two rejected polls and an answered one fit into
+  // 6 s.
   static constexpr Micros kFirstRetrySpread = 2'200'000, kMaxRetrySpread = 5'000'000;
-  static constexpr int kFirstRejections = 2;  // in a row, with kFirstRetrySpread
+  static constexpr int kFirstRejections = 2;  // consecutive rejections that use kFirstRetrySpread
   static constexpr Micros kInitialBackoff = 100'000, kMaxBackoff = 1'000'000;
 
   // `senders`: how many poll the same discovery; 1 or less: only this one.
@@ -30,7 +30,7 @@
 
   void setSenderCount(int senders) { senders_ = std::max(1, senders); }
 
-  // The delay after a poll that broke off or timed out, microseconds.
+  // The delay after a poll that failed or timed out, microseconds.
   Micros delayAfterFailure() { return backoff_.next(kInitialBackoff, kMaxBackoff); }
   // The delay after a 503: discovery is overloaded; microseconds.
   Micros delayAfterRejection() {
@@ -39,7 +39,7 @@
         ++consecutive_rejections_ > kFirstRejections ? kMaxRetrySpread : kFirstRetrySpread;
     return std::max(backoff, backoff_.randomWithin(spread(kFleetRetriesPerSecond, max_spread)));
   }
-  // A poll was answered: the delays start anew.
+  // Resets the delays after an answered poll.
   void onAnswered() {
     backoff_.reset();
     consecutive_rejections_ = 0;
