--- a/src/listener/connection_close.cpp
+++ b/src/listener/connection_close.cpp
@@ -42,7 +42,7 @@
   error_code error;
   socket.shutdown(tcp::socket::shutdown_send, error);
   socket.non_blocking(true, error);
-  static char buffer[kReadBytes];  // static, since only the loop thread calls this function
+  static char buffer[kReadBytes];  // safe to share: only the loop thread calls this function
   for (int reads = 0; reads < kMaxReads && !error; ++reads)
     socket.read_some(boost::asio::buffer(buffer), error);
   socket.close(error);
--- a/src/listener/http/http_session.cpp
+++ b/src/listener/http/http_session.cpp
@@ -23,8 +23,8 @@
 // A client receives an error or the close of its connection within 3 s. These are the limits on a request (of
 // a batch: a line) from its first byte on, and on a write without progress.
 constexpr Micros kRequestLimit = 2'000'000, kWriteLimit = 2'000'000;
-constexpr Micros kFirstByteLimit =
-    10'000'000;                       // longer, since clients open connections before they need them
+// Longer than kRequestLimit, since clients open connections before they need them.
+constexpr Micros kFirstByteLimit = 10'000'000;
 constexpr int kMaxClientErrors = 64;  // in a row, then the connection is closed
 constexpr int kTooManyRequests = 429;
 
--- a/src/listener/http/response_queue.h
+++ b/src/listener/http/response_queue.h
@@ -16,9 +16,9 @@
 // The response to one request.
 struct PendingResponse {
   std::string bytes;  // to be written once this response is first in the queue
-  std::function<Response()>
-      deferred;           // makes the response once it is first, so that earlier requests are applied
-  bool complete = false;  // no more bytes follow
+  // Makes the response once it is first in the queue, so that the response reflects the earlier requests.
+  std::function<Response()> deferred;
+  bool complete = false;           // no more bytes follow
   bool closes_connection = false;  // the connection is closed after this response
   // Of a request that waits for a final outcome: the end of the wait (monotonic, microseconds) and the id of
   // the message.
--- a/src/listener/resp/resp_listener.h
+++ b/src/listener/resp/resp_listener.h
@@ -82,8 +82,8 @@
   std::int64_t next_number_ = 0;  // number of the newest connection
   Micros started_at_ = 0, draining_since_ = 0;
   bool removed_ = false;
-  bool paused_ =
-      false;  // no connection is accepted: another process takes over the address, or this one ends
+  // No connection is accepted: another process takes over the address, or this process is about to end.
+  bool paused_ = false;
 };
 
 }  // namespace grademux
--- a/src/listener/resp/session.cpp
+++ b/src/listener/resp/session.cpp
@@ -69,7 +69,7 @@
   if (phase_ == Phase::closing) {
     return graceful_close_.discard(size) ? close() : waitToRead();
   }
-  in_.append(buffer.data(), size);
+  input_.append(buffer.data(), size);
   parse();
 }
 
@@ -78,9 +78,9 @@
   std::vector<std::string> words;
   std::size_t used = 0;
   std::string error;
-  switch (parseRequest(in_, words, used, error, isCommandName)) {
+  switch (parseRequest(input_, words, used, error, isCommandName)) {
     case ParseStatus::partial:
-      enter(in_.empty() ? Phase::idle : Phase::partial);
+      enter(input_.empty() ? Phase::idle : Phase::partial);
       return waitToRead();
     case ParseStatus::malformed:
       last_reply_ = true;
@@ -88,9 +88,9 @@
     case ParseStatus::complete:
       break;
   }
-  in_.erase(0, used);
-  if (in_.empty())
-    in_.shrink_to_fit();
+  input_.erase(0, used);
+  if (input_.empty())
+    input_.shrink_to_fit();
   execute(words);
 }
 
@@ -145,28 +145,29 @@
   reply(statusReply(status, client_.protocol));
 }
 
-// From the second error in a row on, the client's next request is read after a growing delay; after kMaxErrors
-// errors in a row, the connection is closed.
+// From the second error in a row on, the client's next request is read after a growing delay; after
+// kMaxErrors errors in a row, the connection is closed.
 void RespSession::reply(const std::string& bytes) {
   const bool is_error = bytes.rfind("-ERR", 0) == 0;
   consecutive_errors_ = is_error ? consecutive_errors_ + 1 : 0;
   has_succeeded_ = has_succeeded_ || !is_error;
   has_submitted_ = has_submitted_ || (!is_error && phase_ == Phase::submitted);
   last_reply_ = last_reply_ || consecutive_errors_ >= kMaxErrors;
-  out_ = bytes;
+  output_ = bytes;
   enter(Phase::writing);
-  asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](error_code error, std::size_t) {
-    if (!self->open_)
-      return;
-    error ? self->close() : self->onReplyWritten();
-  });
+  asio::async_write(socket_, asio::buffer(output_),
+                    [self = shared_from_this()](error_code error, std::size_t) {
+                      if (!self->open_)
+                        return;
+                      error ? self->close() : self->onReplyWritten();
+                    });
 }
 
 void RespSession::onReplyWritten() {
   if (last_reply_)
     return closeGracefully();
   if (owner_.isDraining()) {
-    if (in_.empty() && isInputEmpty())
+    if (input_.empty() && isInputEmpty())
       return closeGracefully();
     // A client that never pauses is disconnected between requests; the client sends the unread ones again.
     if (monotonicNow() - owner_.drainingSince() >= kDrainDeadline)
@@ -187,7 +188,7 @@
 
 void RespSession::readNext() {
   enter(Phase::idle);
-  in_.empty() ? waitToRead() : parse();
+  input_.empty() ? waitToRead() : parse();
 }
 
 bool RespSession::isInputEmpty() const {
@@ -199,7 +200,7 @@
     return;
   throttle_timer_.cancel();
   graceful_close_.start(socket_, monotonicNow());
-  in_.clear();
+  input_.clear();
   enter(Phase::closing);
   waitToRead();
 }
--- a/src/listener/resp/session.h
+++ b/src/listener/resp/session.h
@@ -104,7 +104,7 @@
   SessionOwner& owner_;
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer throttle_timer_;
-  std::string in_, out_;
+  std::string input_, output_;
   RespClient client_;
   std::string awaited_id_;   // phase `waiting`: the message whose outcome is awaited
   Micros outcome_wait_ = 0;  // phase `waiting`: the longest wait, microseconds
