--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -1,4 +1,4 @@
-// The admission chain: each verdict, steps that answer late, twice, never or by throwing.
+// The admission chain: each verdict, and steps that answer late, twice, never, or throw.
 #include "../../src/admission/admission.h"
 
 #include <gtest/gtest.h>
@@ -10,159 +10,165 @@
 namespace grademux {
 namespace {
 
-constexpr Micros kPatience = 50'000, kPause = 700'000;
+constexpr Micros kChainTimeout = 50'000, kRetryAfter = 700'000;
 
-struct Core : SubmissionHandler {
-  void submit(Submission s, SubmissionCallback reply) override {
-    taken.push_back(std::move(s));
+struct RecordingEngine : SubmissionHandler {
+  void submit(Submission submission, SubmissionCallback reply) override {
+    submissions.push_back(std::move(submission));
     reply(SubmissionResult::accepted());
   }
   MessageStatus status(const std::string&) const override { return {}; }
   void notifyWhenFinished(const std::string&, std::function<void(const FinalOutcome&)>) override {}
-  std::vector<Submission> taken;
+  std::vector<Submission> submissions;
 };
 
-struct Step : AdmissionStep {
-  using Take = std::function<void(const std::shared_ptr<Submission>&, Next)>;
-  explicit Step(Take t) : take_(std::move(t)) {}
+struct ScriptedStep : AdmissionStep {
+  using Script = std::function<void(const std::shared_ptr<Submission>&, Next)>;
+  explicit ScriptedStep(Script script) : script_(std::move(script)) {}
   const char* name() const override { return "scripted"; }
-  void take(const std::shared_ptr<Submission>& s, Next next) override { take_(s, std::move(next)); }
-  Take take_;
+  void take(const std::shared_ptr<Submission>& submission, Next next) override {
+    script_(submission, std::move(next));
+  }
+  Script script_;
 };
 
 struct Chain {
-  explicit Chain(const std::vector<Step::Take>& steps) : admission(io, core, kPatience, kPause) {
-    for (const auto& s : steps)
-      admission.add(std::make_unique<Step>(s));
+  explicit Chain(const std::vector<ScriptedStep::Script>& steps)
+      : admission(io, engine, kChainTimeout, kRetryAfter) {
+    for (const auto& script : steps)
+      admission.add(std::make_unique<ScriptedStep>(script));
   }
   void submit(const std::string& id = "m") {
-    Submission s;
-    s.message.id = id;
-    s.time_to_live = 1'000'000;
-    admission.submit(std::move(s), [this](const SubmissionResult& a) { answers.push_back(a); });
+    Submission submission;
+    submission.message.id = id;
+    submission.time_to_live = 1'000'000;
+    admission.submit(std::move(submission),
+                     [this](const SubmissionResult& result) { results.push_back(result); });
   }
-  // Runs until so many answers have come.
-  void answered(std::size_t count) {
+  // Runs the loop until `count` submissions have been answered.
+  void runUntilAnswered(std::size_t count) {
     io.restart();
-    while (answers.size() < count && io.run_one_for(std::chrono::seconds(60)) > 0) {
+    while (results.size() < count && io.run_one_for(std::chrono::seconds(60)) > 0) {
     }
-    ASSERT_EQ(count, answers.size());
+    ASSERT_EQ(count, results.size());
   }
   boost::asio::io_context io;
-  Core core;
+  RecordingEngine engine;
   Admission admission;
-  std::vector<SubmissionResult> answers;
+  std::vector<SubmissionResult> results;
 };
 
 void pass(const std::shared_ptr<Submission>&, const AdmissionStep::Next& next) {
   next(Verdict::pass());
 }
 
-TEST(Admission, AnEmptyChainHandsOnAtOnce) {
-  Chain c({});
-  c.submit();
-  ASSERT_EQ(1u, c.answers.size());
-  EXPECT_EQ(1u, c.core.taken.size());
-  EXPECT_EQ(1'000'000, c.core.taken[0].time_to_live);
+TEST(Admission, PassesSubmissionsDirectlyToTheEngineWhenEmpty) {
+  Chain chain({});
+  chain.submit();
+  ASSERT_EQ(1u, chain.results.size());
+  EXPECT_EQ(1u, chain.engine.submissions.size());
+  EXPECT_EQ(1'000'000, chain.engine.submissions[0].time_to_live);
 }
 
-TEST(Admission, StepsRunInOrderAndSeeWhatOthersAltered) {
-  std::string seen;
-  Chain c({[](auto& s, auto next) {
-             s->message.body = "altered";
-             next(Verdict::pass());
-           },
-           [&](auto& s, auto next) {
-             seen = s->message.body;
-             s->message.ordering_key = "k";
-             next(Verdict::pass());
-           }});
-  c.submit();
-  EXPECT_EQ("altered", seen);
-  ASSERT_EQ(1u, c.core.taken.size());
-  EXPECT_EQ("k", c.core.taken[0].message.ordering_key);
+TEST(Admission, RunsStepsInOrderOnTheAlteredSubmission) {
+  std::string body_at_second_step;
+  Chain chain({[](auto& submission, auto next) {
+                 submission->message.body = "altered";
+                 next(Verdict::pass());
+               },
+               [&](auto& submission, auto next) {
+                 body_at_second_step = submission->message.body;
+                 submission->message.ordering_key = "k";
+                 next(Verdict::pass());
+               }});
+  chain.submit();
+  EXPECT_EQ("altered", body_at_second_step);
+  ASSERT_EQ(1u, chain.engine.submissions.size());
+  EXPECT_EQ("k", chain.engine.submissions[0].message.ordering_key);
 }
 
-TEST(Admission, ARefusalOrRejectionEndsItThere) {
+TEST(Admission, EndsTheChainOnRefuseAndReject) {
   Chain refuses({[](auto&, auto next) { next(Verdict::refuse(5000)); }, pass});
   refuses.submit();
-  ASSERT_EQ(1u, refuses.answers.size());
-  EXPECT_EQ(SubmissionResult::Kind::rejected, refuses.answers[0].kind);
-  EXPECT_EQ(5000, refuses.answers[0].retry_after);
-  EXPECT_TRUE(refuses.core.taken.empty());
+  ASSERT_EQ(1u, refuses.results.size());
+  EXPECT_EQ(SubmissionResult::Kind::rejected, refuses.results[0].kind);
+  EXPECT_EQ(5000, refuses.results[0].retry_after);
+  EXPECT_TRUE(refuses.engine.submissions.empty());
   Chain rejects({pass, [](auto&, auto next) { next(Verdict::reject("no-right", "may not")); }});
   rejects.submit();
-  ASSERT_EQ(1u, rejects.answers.size());
-  EXPECT_EQ(SubmissionResult::Kind::invalid, rejects.answers[0].kind);
-  EXPECT_EQ("no-right", rejects.answers[0].code);
-  EXPECT_TRUE(rejects.core.taken.empty());
+  ASSERT_EQ(1u, rejects.results.size());
+  EXPECT_EQ(SubmissionResult::Kind::invalid, rejects.results[0].kind);
+  EXPECT_EQ("no-right", rejects.results[0].code);
+  EXPECT_TRUE(rejects.engine.submissions.empty());
 }
 
-TEST(Admission, AStepMayAnswerLaterAndOthersGoOnMeanwhile) {
-  AdmissionStep::Next kept;
-  Chain c(
-      {[&](auto& s, auto next) { s->message.id == "slow" ? (void)(kept = next) : next(Verdict::pass()); }});
-  c.submit("slow");
-  c.submit("quick");
-  ASSERT_EQ(1u, c.core.taken.size());
-  EXPECT_EQ("quick", c.core.taken[0].message.id);
-  kept(Verdict::pass());
-  ASSERT_EQ(2u, c.core.taken.size());
-  EXPECT_LT(c.core.taken[1].time_to_live, 1'000'000);  // its wait counts
+TEST(Admission, AdmitsOtherSubmissionsWhileAStepIsPending) {
+  AdmissionStep::Next held_next;
+  Chain chain({[&](auto& submission, auto next) {
+    submission->message.id == "slow" ? (void)(held_next = next) : next(Verdict::pass());
+  }});
+  chain.submit("slow");
+  chain.submit("quick");
+  ASSERT_EQ(1u, chain.engine.submissions.size());
+  EXPECT_EQ("quick", chain.engine.submissions[0].message.id);
+  held_next(Verdict::pass());
+  ASSERT_EQ(2u, chain.engine.submissions.size());
+  EXPECT_LT(chain.engine.submissions[1].time_to_live, 1'000'000);  // the wait in the step is subtracted
 }
 
-// Risk: a step that forgets a submission leaves its client without an answer, or answers it twice.
-TEST(Admission, AStepThatNeverAnswersIsARefusalAndItsLateVerdictNothing) {
-  AdmissionStep::Next kept;
-  std::shared_ptr<Submission> held;
-  Chain c({[&](auto& s, auto next) {
-    held = s;
-    kept = next;
+// Guards against a step that never gives its verdict, or gives it after the timeout: the client would get no
+// answer, or two.
+TEST(Admission, RefusesAfterTheTimeoutAndIgnoresTheLateVerdict) {
+  AdmissionStep::Next held_next;
+  std::shared_ptr<Submission> held_submission;
+  Chain chain({[&](auto& submission, auto next) {
+    held_submission = submission;
+    held_next = next;
   }});
-  c.submit();
-  c.answered(1);
-  EXPECT_EQ(SubmissionResult::Kind::rejected, c.answers[0].kind);
-  EXPECT_EQ(kPause, c.answers[0].retry_after);
-  held->message.body = "it is still there";
-  kept(Verdict::pass());
-  EXPECT_EQ(1u, c.answers.size());
-  EXPECT_TRUE(c.core.taken.empty());
-  EXPECT_EQ(0u, c.admission.pendingCount());
+  chain.submit();
+  chain.runUntilAnswered(1);
+  EXPECT_EQ(SubmissionResult::Kind::rejected, chain.results[0].kind);
+  EXPECT_EQ(kRetryAfter, chain.results[0].retry_after);
+  held_submission->message.body = "altered after the timeout";
+  held_next(Verdict::pass());
+  EXPECT_EQ(1u, chain.results.size());
+  EXPECT_TRUE(chain.engine.submissions.empty());
+  EXPECT_EQ(0u, chain.admission.pendingCount());
 }
 
-TEST(Admission, AVerdictGivenTwiceCountsOnce) {
-  Chain c({[](auto&, auto next) {
-             next(Verdict::pass());
-             next(Verdict::refuse(1));
-             next(Verdict::pass());
-           },
-           [](auto&, auto next) { next(Verdict::pass()); }});
-  c.submit();
-  EXPECT_EQ(1u, c.answers.size());
-  EXPECT_EQ(1u, c.core.taken.size());
+TEST(Admission, IgnoresASecondVerdictOfAStep) {
+  Chain chain({[](auto&, auto next) {
+                 next(Verdict::pass());
+                 next(Verdict::refuse(1));
+                 next(Verdict::pass());
+               },
+               [](auto&, auto next) { next(Verdict::pass()); }});
+  chain.submit();
+  EXPECT_EQ(1u, chain.results.size());
+  EXPECT_EQ(1u, chain.engine.submissions.size());
 }
 
-TEST(Admission, AStepThatThrowsIsARefusal) {
-  Chain c({[](auto&, auto) { throw std::runtime_error("broken"); }});
-  c.submit();
-  ASSERT_EQ(1u, c.answers.size());
-  EXPECT_EQ(SubmissionResult::Kind::rejected, c.answers[0].kind);
+TEST(Admission, RefusesWhenAStepThrows) {
+  Chain chain({[](auto&, auto) { throw std::runtime_error("broken"); }});
+  chain.submit();
+  ASSERT_EQ(1u, chain.results.size());
+  EXPECT_EQ(SubmissionResult::Kind::rejected, chain.results[0].kind);
 }
 
-TEST(Admission, ADrainRefusesWhatWaitsAndWhatWouldHaveTo) {
-  Chain c({[](auto& s, auto next) {
-    if (s->message.id == "quick")
+TEST(Admission, RefusesPendingAndLaterSubmissionsThatWouldWaitWhenDraining) {
+  Chain chain({[](auto& submission, auto next) {
+    if (submission->message.id == "quick")
       next(Verdict::pass());
   }});
-  c.submit("first");
-  c.admission.drain();
-  ASSERT_EQ(1u, c.answers.size());
-  c.submit("second");
-  c.submit("quick");
-  ASSERT_EQ(3u, c.answers.size());
-  EXPECT_EQ(SubmissionResult::Kind::rejected, c.answers[0].kind);
-  EXPECT_EQ(SubmissionResult::Kind::rejected, c.answers[1].kind);
-  EXPECT_EQ(SubmissionResult::Kind::accepted, c.answers[2].kind);
+  chain.submit("first");
+  chain.admission.drain();
+  ASSERT_EQ(1u, chain.results.size());
+  chain.submit("second");
+  chain.submit("quick");
+  ASSERT_EQ(3u, chain.results.size());
+  EXPECT_EQ(SubmissionResult::Kind::rejected, chain.results[0].kind);
+  EXPECT_EQ(SubmissionResult::Kind::rejected, chain.results[1].kind);
+  EXPECT_EQ(SubmissionResult::Kind::accepted, chain.results[2].kind);
 }
 
 }  // namespace
--- a/tests/listener/connection_table_test.cpp
+++ b/tests/listener/connection_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of a listener's connections: groups, their order, and changes during a walk.
+// ConnectionTable: the order within groups, removal, and changes during an iteration.
 #include "../../src/listener/connection_table.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   EXPECT_EQ(third, table.oldest(kBusy));
   table.move(*first, kIdle);
   EXPECT_EQ(second, table.oldest(kIdle));
-  table.move(*second, kIdle);  // enters its group anew
+  table.move(*second, kIdle);  // moves to the end of its own group
   EXPECT_EQ(first, table.oldest(kIdle));
 }
 
@@ -47,7 +47,7 @@
   EXPECT_EQ(1, first.use_count());
 }
 
-TEST_F(ConnectionTableTest, AllowsMovesAndRemovalsDuringAWalk) {
+TEST_F(ConnectionTableTest, AllowsMovesAndRemovalsDuringIteration) {
   for (int number = 1; number <= 4; ++number)
     add(number, kIdle);
   int sum = 0;
--- a/tests/listener/http_messages_test.cpp
+++ b/tests/listener/http_messages_test.cpp
@@ -1,4 +1,5 @@
-// What requests and answers of the HTTP listener mean: every field, every mistake, no sockets.
+// Conversion of requests and responses of the HTTP listener: each field and each kind of error, without
+// sockets.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -11,55 +12,58 @@
 
 using nlohmann::json;
 
-const Submission& good(const std::variant<Submission, Problem>& v) {
+// The submission; fails the test if the result is a problem.
+const Submission& submissionOf(const std::variant<Submission, Problem>& result) {
   static const Submission none;
-  if (const auto* p = std::get_if<Problem>(&v)) {
-    ADD_FAILURE() << p->detail;
+  if (const auto* problem = std::get_if<Problem>(&result)) {
+    ADD_FAILURE() << problem->detail;
     return none;
   }
-  return std::get<Submission>(v);
+  return std::get<Submission>(result);
 }
-int wrong(const std::variant<Submission, Problem>& v) {
-  const auto* p = std::get_if<Problem>(&v);
-  return p ? p->status : 0;
+// The HTTP status of the problem; 0 if the result is a submission.
+int problemStatus(const std::variant<Submission, Problem>& result) {
+  const auto* problem = std::get_if<Problem>(&result);
+  return problem ? problem->status : 0;
 }
 
 TEST(HttpMessages, ReadsAJsonDocument) {
-  const auto v = readMessage("m", {{"content-type", "application/json; charset=utf-8"}},
-                             R"({"id":"m","class":"payment","destination":7,"deadline_ms":1500,"key":"k",
+  const auto result = readMessage("m", {{"content-type", "application/json; charset=utf-8"}},
+                                  R"({"id":"m","class":"payment","destination":7,"deadline_ms":1500,"key":"k",
                                  "order_key":"o","repeat":true,"body":"h\u00e9"})");
-  const Submission& s = good(v);
-  EXPECT_EQ("m", s.message.id);
-  EXPECT_EQ("payment", s.message.message_class);
-  EXPECT_EQ(7, s.message.destination);
-  EXPECT_EQ(1'500'000, s.time_to_live);
-  EXPECT_EQ("k", s.message.idempotency_key);
-  EXPECT_EQ("o", s.message.ordering_key);
-  EXPECT_TRUE(s.message.resubmitted);
-  EXPECT_EQ("h\xc3\xa9", s.message.body);
+  const Submission& submission = submissionOf(result);
+  EXPECT_EQ("m", submission.message.id);
+  EXPECT_EQ("payment", submission.message.message_class);
+  EXPECT_EQ(7, submission.message.destination);
+  EXPECT_EQ(1'500'000, submission.time_to_live);
+  EXPECT_EQ("k", submission.message.idempotency_key);
+  EXPECT_EQ("o", submission.message.ordering_key);
+  EXPECT_TRUE(submission.message.resubmitted);
+  EXPECT_EQ("h\xc3\xa9", submission.message.body);
 }
 
 TEST(HttpMessages, ReadsBodiesAsBase64OrRaw) {
   const std::string bytes("\0\r\n\xff", 4);
   EXPECT_EQ(
       bytes,
-      good(readMessage("m", {}, R"({"class":"c","destination":7,"deadline_ms":1,"body_base64":"AA0K/w=="})"))
+      submissionOf(
+          readMessage("m", {}, R"({"class":"c","destination":7,"deadline_ms":1,"body_base64":"AA0K/w=="})"))
           .message.body);
   const Fields fields{{"grademux-class", "c"},  {"grademux-destination", "7"}, {"grademux-deadline-ms", "90"},
                       {"idempotency-key", "k"}, {"grademux-order-key", "o"},   {"grademux-repeat", "true"}};
   const auto raw = readMessage("m", fields, bytes);
-  EXPECT_EQ(bytes, good(raw).message.body);
-  EXPECT_EQ(90'000, good(raw).time_to_live);
-  EXPECT_EQ("k", good(raw).message.idempotency_key);
-  EXPECT_EQ("o", good(raw).message.ordering_key);
-  EXPECT_TRUE(good(raw).message.resubmitted);
+  EXPECT_EQ(bytes, submissionOf(raw).message.body);
+  EXPECT_EQ(90'000, submissionOf(raw).time_to_live);
+  EXPECT_EQ("k", submissionOf(raw).message.idempotency_key);
+  EXPECT_EQ("o", submissionOf(raw).message.ordering_key);
+  EXPECT_TRUE(submissionOf(raw).message.resubmitted);
 }
 
 TEST(HttpMessages, ReportsUnusableMessagesAsProblems) {
   auto document = [](const char* name, const json& value) {
-    json o{{"class", "c"}, {"destination", 7}, {"deadline_ms", 1}};
-    value.is_null() ? (void)o.erase(name) : (void)(o[name] = value);
-    return wrong(readMessage("m", {}, o.dump()));
+    json document_fields{{"class", "c"}, {"destination", 7}, {"deadline_ms", 1}};
+    value.is_null() ? (void)document_fields.erase(name) : (void)(document_fields[name] = value);
+    return problemStatus(readMessage("m", {}, document_fields.dump()));
   };
   EXPECT_EQ(0, document("body", ""));
   EXPECT_EQ(400, document("class", nullptr));
@@ -84,37 +88,39 @@
     EXPECT_EQ(400, document("body_base64", b64)) << b64;
   EXPECT_EQ(413, document("body", std::string(65537, 'x')));
   EXPECT_EQ(0, document("body", std::string(65536, 'x')));
-  EXPECT_EQ(
-      400, wrong(readMessage("m", {},
-                             R"({"class":"c","destination":7,"deadline_ms":1,"body":"","body_base64":""})")));
+  EXPECT_EQ(400,
+            problemStatus(readMessage(
+                "m", {}, R"({"class":"c","destination":7,"deadline_ms":1,"body":"","body_base64":""})")));
   for (const char* body : {"", "[]", "{", "null", "{\"class\":\"\xff\"}"})
-    EXPECT_EQ(400, wrong(readMessage("m", {}, body))) << body;
-  EXPECT_EQ(415, wrong(readMessage("m", {{"content-type", "text/plain"}}, "x")));
+    EXPECT_EQ(400, problemStatus(readMessage("m", {}, body))) << body;
+  EXPECT_EQ(415, problemStatus(readMessage("m", {{"content-type", "text/plain"}}, "x")));
   const Fields raw{{"grademux-class", "c"}, {"grademux-destination", "7"}, {"grademux-deadline-ms", "soon"}};
-  EXPECT_EQ(400, wrong(readMessage("m", raw, "x")));
+  EXPECT_EQ(400, problemStatus(readMessage("m", raw, "x")));
 }
 
 TEST(HttpMessages, ReadsTheIdOfABatchLine) {
   std::string id;
   EXPECT_EQ("b1",
-            good(readBatchLine(R"({"id":"b1","class":"c","destination":7,"deadline_ms":1})", id)).message.id);
+            submissionOf(readBatchLine(R"({"id":"b1","class":"c","destination":7,"deadline_ms":1})", id))
+                .message.id);
   EXPECT_EQ("b1", id);
-  EXPECT_EQ(400, wrong(readBatchLine(R"({"class":"c","destination":7,"deadline_ms":1})", id)));
-  EXPECT_EQ(400, wrong(readBatchLine(R"({"id":"","class":"c","destination":7,"deadline_ms":1})", id)));
-  EXPECT_EQ(400, wrong(readBatchLine("rubbish", id)));
+  EXPECT_EQ(400, problemStatus(readBatchLine(R"({"class":"c","destination":7,"deadline_ms":1})", id)));
+  EXPECT_EQ(400,
+            problemStatus(readBatchLine(R"({"id":"","class":"c","destination":7,"deadline_ms":1})", id)));
+  EXPECT_EQ(400, problemStatus(readBatchLine("rubbish", id)));
 }
 
 TEST(HttpMessages, ReadsTargetsStrictly) {
   auto id = [](const char* target) {
-    const auto t = readTarget(target);
-    return std::holds_alternative<Target>(t) ? std::get<Target>(t).id : "";
+    const auto result = readTarget(target);
+    return std::holds_alternative<Target>(result) ? std::get<Target>(result).id : "";
   };
   EXPECT_EQ("a1", id("/v1/messages/a1"));
   EXPECT_EQ("a/b%", id("/v1/messages/a%2Fb%25"));
-  for (const char* t :
+  for (const char* target :
        {"/v1/messages/", "/v1/messages", "/", "", "/v2/messages/a", "/v1/messages/a?x=1", "/v1/messages/a%2",
         "/v1/messages/a%zz", "/v1/messages/a%0d%0a", "/v1/messages/a%20b"})
-    EXPECT_TRUE(std::holds_alternative<Problem>(readTarget(t))) << t;
+    EXPECT_TRUE(std::holds_alternative<Problem>(readTarget(target))) << target;
   EXPECT_EQ(Resource::batch, std::get<Target>(readTarget("/v1/messages:batch")).resource);
 }
 
@@ -122,17 +128,18 @@
   EXPECT_EQ(10, preferredWaitSeconds("wait=10"));
   EXPECT_EQ(10, preferredWaitSeconds("respond-async, wait=10"));
   EXPECT_EQ(0, preferredWaitSeconds("wait=0"));
-  for (const char* p : {"", "wait", "wait=", "wait=-1", "wait=1.5", "waits=3", "wait=99999999999999999999"})
-    EXPECT_FALSE(preferredWaitSeconds(p)) << p;
+  for (const char* preference :
+       {"", "wait", "wait=", "wait=-1", "wait=1.5", "waits=3", "wait=99999999999999999999"})
+    EXPECT_FALSE(preferredWaitSeconds(preference)) << preference;
 }
 
 TEST(HttpMessages, RoundsRetryAfterUp) {
-  const Response r = submissionResponse("m", SubmissionResult::rejected(1'200'001));
-  EXPECT_EQ(429, r.status);
-  EXPECT_EQ("application/problem+json", r.type);
-  EXPECT_EQ(1201, json::parse(r.body)["retry_after_ms"]);
-  ASSERT_EQ(1u, r.fields.size());
-  EXPECT_EQ("2", r.fields[0].second);  // whole seconds, upwards
+  const Response response = submissionResponse("m", SubmissionResult::rejected(1'200'001));
+  EXPECT_EQ(429, response.status);
+  EXPECT_EQ("application/problem+json", response.type);
+  EXPECT_EQ(1201, json::parse(response.body)["retry_after_ms"]);
+  ASSERT_EQ(1u, response.fields.size());
+  EXPECT_EQ("2", response.fields[0].second);  // whole seconds, rounded up
   EXPECT_TRUE(submissionResponse("m", SubmissionResult::rejected(0)).fields.empty());
 }
 
@@ -147,10 +154,10 @@
   EXPECT_EQ(503, drainingResponse().status);
   EXPECT_EQ(404, statusResponse("m", {}).status);
   const MessageStatus ended{MessageStatus::State::finished, {FinalStatus::returned, 5'000'000, 250'000}};
-  const json o = json::parse(statusResponse("m", ended).body);
-  EXPECT_EQ("handed_back", o["state"]);
-  EXPECT_EQ(5000, o["ended_ms"]);
-  EXPECT_EQ(250, o["retry_after_ms"]);
+  const json document = json::parse(statusResponse("m", ended).body);
+  EXPECT_EQ("handed_back", document["state"]);
+  EXPECT_EQ(5000, document["ended_ms"]);
+  EXPECT_EQ(250, document["retry_after_ms"]);
   const std::string line = batchResponseLine("m", submissionResponse("m", SubmissionResult::accepted()));
   EXPECT_EQ('\n', line.back());
   EXPECT_EQ(202, json::parse(line)["status"]);
--- a/tests/listener/http_response_order_test.cpp
+++ b/tests/listener/http_response_order_test.cpp
@@ -1,4 +1,4 @@
-// The order of responses on one HTTP connection, and of the results of one batch.
+// The order of the responses on one HTTP connection, and of the results of one batch.
 #include <gtest/gtest.h>
 
 #include "../../src/listener/http/batch.h"
@@ -14,7 +14,7 @@
   response.complete = true;
 }
 
-TEST(ResponseQueue, HoldsALaterResponseUntilTheEarlierOnesAreComplete) {
+TEST(ResponseQueue, HoldsALaterResponseUntilEarlierOnesAreComplete) {
   ResponseQueue queue;
   const auto first = queue.append(), second = queue.append();
   finish(*second, "second");
@@ -48,7 +48,7 @@
   EXPECT_EQ(1u, queue.size());
 }
 
-TEST(ResponseQueue, MakesADeferredResponseWhenItIsTheFirst) {
+TEST(ResponseQueue, MakesADeferredResponseOnceItIsTheFirst) {
   ResponseQueue queue;
   const auto first = queue.append(), second = queue.append();
   int made = 0;
@@ -67,7 +67,7 @@
 }
 
 struct BatchTest : ::testing::Test {
-  void take(const std::string& bytes) {
+  void addInput(const std::string& bytes) {
     batch.addInput(
         bytes, 8, 0, [this](const Batch::Line& line) { lines.push_back(line.too_long ? "!" : line.text); },
         [] { return true; });
@@ -78,9 +78,9 @@
   std::vector<std::string> lines;
 };
 
-TEST_F(BatchTest, SplitsLinesWhereverTheBytesAreCut) {
+TEST_F(BatchTest, SplitsLinesWhereverTheInputIsCut) {
   for (const char letter : std::string("one\ntwo\r\n \r\n\nthree"))
-    take(std::string(1, letter));
+    addInput(std::string(1, letter));
   EXPECT_EQ((std::vector<std::string>{"one", "two\r"}), lines);
   EXPECT_TRUE(batch.isInLine());
   batch.finishInput([this](const Batch::Line& line) { lines.push_back(line.text); });
@@ -89,8 +89,8 @@
 }
 
 TEST_F(BatchTest, SkipsTheRestOfALineThatIsTooLong) {
-  take("12345678\n123456789 and more");
-  take(" and more\nnext\n");
+  addInput("12345678\n123456789 and more");
+  addInput(" and more\nnext\n");
   EXPECT_EQ((std::vector<std::string>{"12345678", "!", "next"}), lines);
 }
 
--- a/tests/listener/resp_listener_test.cpp
+++ b/tests/listener/resp_listener_test.cpp
@@ -1,5 +1,5 @@
-// Bad clients over loopback sockets: each is told of an error or closed, and takes nothing from the good
-// ones.
+// Faulty clients of the RESP2 listener over loopback sockets: each gets an error or is disconnected, and
+// other clients are not affected.
 #include "../support/loopback.h"
 
 namespace grademux {
@@ -11,9 +11,9 @@
   return {answer("200 OK")};
 }
 
-// A program with so few descriptors that a hundred connections fill its table.
-struct Small {
-  Small()
+// A sender with so few descriptors that about a hundred connections fill its connection table.
+struct SmallSender {
+  SmallSender()
       : endpoint(deliver),
         program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}), 3,
                 plainSettings(), 128) {}
@@ -23,59 +23,60 @@
   Program program;
 };
 
-// Risk: a connection that says nothing, or half a request, holds its place for good.
+// Guards against connections that occupy a place forever because they send nothing or half a request.
 TEST(RespListener, ClosesSilentConnectionsAndThoseWithAPartialRequest) {
-  Small f;
-  Client silent(f.program.port()), half(f.program.port()), head(f.program.port());
+  SmallSender sender;
+  Client silent(sender.program.port()), half(sender.program.port()), head(sender.program.port());
   half.send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000");
   head.send("*1");
   EXPECT_TRUE(silent.endedInOrder());
-  for (Client* c : {&half, &head}) {
-    EXPECT_EQ(0u, c->line().find("-ERR"));
-    EXPECT_TRUE(c->ended());
+  for (Client* client : {&half, &head}) {
+    EXPECT_EQ(0u, client->line().find("-ERR"));
+    EXPECT_TRUE(client->ended());
   }
 }
 
-// Risk: idle and silent connections fill the table, and good clients wait in the backlog for ever.
+// Guards against idle and silent connections that fill the table while working clients wait in the backlog.
 TEST(RespListener, MakesRoomInAFullTableForClientsWithRequests) {
-  Small f;
-  std::vector<std::unique_ptr<Client>> kept;
+  SmallSender sender;
+  std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 150; ++i) {
-    kept.push_back(std::make_unique<Client>(f.program.port()));
-    ASSERT_EQ("+PONG", kept.back()->ask({"PING"})) << i;  // asks once and keeps its connection
+    clients.push_back(std::make_unique<Client>(sender.program.port()));
+    ASSERT_EQ("+PONG", clients.back()->ask({"PING"})) << i;  // one request, then the connection stays open
   }
   for (int i = 0; i < 150; ++i)
-    kept.push_back(std::make_unique<Client>(f.program.port()));  // say nothing
-  Client good(f.program.port());
+    clients.push_back(std::make_unique<Client>(sender.program.port()));  // sends nothing
+  Client good(sender.program.port());
   EXPECT_EQ("+OK", good.put("good", "order", 7));
 }
 
-// Whether a connection that `fill` brings to its end is ended in order. The sender reads on for half a
-// second; a test that is stopped for longer comes too late to see it, so it looks more than once. One that is
-// closed at once never passes.
-bool endsInOrder(const std::function<void(Small&, std::vector<std::unique_ptr<Client>>&)>& fill) {
+// Whether the sender gracefully closes a connection that `fill` causes it to close. The sender reads for half
+// a second after it has shut down its side; a test process that is suspended for longer misses the graceful
+// close, so there are several tries. A connection that is closed without that phase never passes.
+bool endsInOrder(const std::function<void(SmallSender&, std::vector<std::unique_ptr<Client>>&)>& fill) {
   constexpr int kTries = 5;
   for (int i = 0; i < kTries; ++i) {
-    Small f;
-    std::vector<std::unique_ptr<Client>> kept;
-    fill(f, kept);
-    if (kept[0]->endedInOrder())
+    SmallSender sender;
+    std::vector<std::unique_ptr<Client>> clients;
+    fill(sender, clients);
+    if (clients[0]->endedInOrder())
       return true;
   }
   return false;
 }
 
-// Risk: clients that ask once and keep their connection use up what they may hold, and ask no more.
+// Guards against clients that send one request for each connection, keep the connections open, and run out of
+// the connections that they may hold.
 TEST(RespListener, ClosesIdleConnectionsWhenCrowded) {
-  Small f;
-  std::vector<std::unique_ptr<Client>> kept;
+  SmallSender sender;
+  std::vector<std::unique_ptr<Client>> idle_clients;
   for (int i = 0; i < 40; ++i) {
-    kept.push_back(std::make_unique<Client>(f.program.port()));
-    ASSERT_EQ("+OK", kept.back()->put("m" + std::to_string(i), "notice", 7));
+    idle_clients.push_back(std::make_unique<Client>(sender.program.port()));
+    ASSERT_EQ("+OK", idle_clients.back()->put("m" + std::to_string(i), "notice", 7));
   }
-  EXPECT_TRUE(kept[0]->ended());
-  EXPECT_TRUE(kept[1]->ended());
-  EXPECT_TRUE(endsInOrder([](Small& small, auto& clients) {
+  EXPECT_TRUE(idle_clients[0]->ended());
+  EXPECT_TRUE(idle_clients[1]->ended());
+  EXPECT_TRUE(endsInOrder([](SmallSender& small, auto& clients) {
     for (int i = 0; i < 40 && (clients.empty() || !clients[0]->hasEnded()); ++i) {
       clients.push_back(std::make_unique<Client>(small.program.port()));
       EXPECT_EQ("+OK", clients.back()->put("m" + std::to_string(i), "notice", 7));
@@ -83,24 +84,24 @@
   }));
 }
 
-// Risk: a request crosses the end of its connection. A close over it resets the connection, and the last
-// answer, which the client has not read yet, is gone with it.
+// Guards against a lost answer: a request arrives while the listener closes the connection, a close over
+// unread input resets the connection, and the client loses the last answer, which it has not read.
 TEST(RespListener, ClosesConnectionsGracefullyWhenTheProcessStops) {
-  Small f;
-  Client resting(f.program.port()), idle(f.program.port());
-  resting.send(Client::request({"PING"}));  // its answer stays unread
+  SmallSender sender;
+  Client resting(sender.program.port()), idle(sender.program.port());
+  resting.send(Client::request({"PING"}));  // the client does not read the answer yet
   EXPECT_EQ("+PONG", idle.ask({"PING"}));
   EXPECT_EQ("+OK", idle.put("m", "order", 7));
-  f.program.signal(SIGTERM);
+  sender.program.signal(SIGTERM);
   EXPECT_TRUE(idle.endedInOrder());
   EXPECT_EQ("+PONG", resting.line());
   EXPECT_TRUE(resting.endedInOrder());
-  EXPECT_EQ(0, f.program.wait());
+  EXPECT_EQ(0, sender.program.wait());
 }
 
-// The same for the one that makes room for others in a table that is nearly full.
+// The same for a connection that is closed to make room in a table that is nearly full.
 TEST(RespListener, ClosesGracefullyToMakeRoom) {
-  EXPECT_TRUE(endsInOrder([](Small& small, auto& clients) {
+  EXPECT_TRUE(endsInOrder([](SmallSender& small, auto& clients) {
     for (int i = 0; i < 200 && (clients.empty() || !clients[0]->hasEnded()); ++i) {
       clients.push_back(std::make_unique<Client>(small.program.port()));
       EXPECT_EQ("+PONG", clients.back()->ask({"PING"})) << i;
@@ -108,52 +109,54 @@
   }));
 }
 
-// Risk: the same useless request again and again, or hundreds at once, take the processor from all others.
+// Guards against clients that use up the processor time of all others by repeating an invalid request, or by
+// sending hundreds at once.
 TEST(RespListener, DisconnectsAfterManyErrorsInARow) {
-  Small f;
-  Client flood(f.program.port()), good(f.program.port());
+  SmallSender sender;
+  Client flood(sender.program.port()), good(sender.program.port());
   std::string many;
   for (int i = 0; i < 500; ++i)
     many += Client::request({"MSG.PUT", "0", "m" + std::to_string(i), "c=nonsense,d=8000,dest=7", "x"});
   flood.send(many);
   EXPECT_EQ("+OK", good.put("good", "order", 7));
-  int told = 0;
+  int error_count = 0;
   while (!flood.line().empty())
-    ++told;
-  EXPECT_GT(told, 0);
-  EXPECT_LT(told, 500);
+    ++error_count;
+  EXPECT_GT(error_count, 0);
+  EXPECT_LT(error_count, 500);
   EXPECT_EQ("+OK", good.put("good2", "order", 7));
 }
 
-// Risk: what can't be read is answered by silence, or is taken on.
+// Guards against malformed requests that get no answer, or are accepted.
 TEST(RespListener, AnswersMalformedRequestsWithAnErrorAndCloses) {
-  Small f;
+  SmallSender sender;
   for (const std::string& bytes :
        {std::string("\x16\x03\x01\x02\x00\x01", 6), std::string(100'000, 'a'), std::string("*-1\r\n"),
         std::string("*5\r\n$-7\r\n"), std::string("*5\r\n$60000000\r\n") + std::string(3'000'000, 'x'),
         std::string("*99999999999999999999\r\n"), std::string("*1\r\n$4\r\nPINGxx")}) {
-    Client c(f.program.port());
-    c.send(bytes);
-    const std::string told = c.line();  // a close with input unread may overtake the line
-    EXPECT_TRUE(told.empty() || told.rfind("-ERR", 0) == 0) << told;
-    EXPECT_TRUE(c.ended());
+    Client client(sender.program.port());
+    client.send(bytes);
+    const std::string reply = client.line();  // a close over unread input may discard the line
+    EXPECT_TRUE(reply.empty() || reply.rfind("-ERR", 0) == 0) << reply;
+    EXPECT_TRUE(client.ended());
   }
-  EXPECT_EQ(0u, f.endpoint.seen().size());
+  EXPECT_EQ(0u, sender.endpoint.seen().size());
 }
 
-// Risk: the id of a message that is over is taken on once more, and an unsafe one runs twice.
+// Guards against a second execution of a non-idempotent message whose id is submitted again after its final
+// outcome.
 TEST(RespListener, DeliversARepeatedIdOnce) {
-  Small f;
-  Client c(f.program.port());
-  ASSERT_EQ("+OK", c.put("once", "payment", 7));
-  ASSERT_TRUE(f.endpoint.waitFor(1));
+  SmallSender sender;
+  Client client(sender.program.port());
+  ASSERT_EQ("+OK", client.put("once", "payment", 7));
+  ASSERT_TRUE(sender.endpoint.waitFor(1));
   for (int i = 0; i < 3; ++i) {
-    Client other(f.program.port());
+    Client other(sender.program.port());
     EXPECT_FALSE(other.put("once", "payment", 7).empty());
   }
-  ASSERT_EQ("+OK", c.put("next", "payment", 7));
-  ASSERT_TRUE(f.endpoint.waitFor(2));
-  EXPECT_EQ("next", f.endpoint.seen()[1].field("X-Txn"));
+  ASSERT_EQ("+OK", client.put("next", "payment", 7));
+  ASSERT_TRUE(sender.endpoint.waitFor(2));
+  EXPECT_EQ("next", sender.endpoint.seen()[1].field("X-Txn"));
 }
 
 }  // namespace
--- a/tests/listener/resp_parser_test.cpp
+++ b/tests/listener/resp_parser_test.cpp
@@ -1,4 +1,4 @@
-// The parser of RESP2 requests: pieces of any size, bounds, and what is malformed.
+// The parser of RESP2 requests: partial input, bounds, and malformed requests.
 #include <gtest/gtest.h>
 
 #include "../../src/listener/resp/parser.h"
@@ -8,22 +8,22 @@
 
 ParseStatus parse(const std::string& in, std::vector<std::string>& words, std::size_t& used) {
   std::string error;
-  const ParseStatus p = parseRequest(in, words, used, error);
-  EXPECT_EQ(p == ParseStatus::malformed, !error.empty());
-  return p;
+  const ParseStatus status = parseRequest(in, words, used, error);
+  EXPECT_EQ(status == ParseStatus::malformed, !error.empty());
+  return status;
 }
 
 TEST(RespParser, ReadsACompleteRequestAndReportsEveryPrefixAsPartial) {
-  const std::string whole = std::string("*2\r\n$4\r\nPING\r\n$3\r\n\0\r\n", 21) + "\r\n";
+  const std::string request = std::string("*2\r\n$4\r\nPING\r\n$3\r\n\0\r\n", 21) + "\r\n";
   std::vector<std::string> words;
   std::size_t used = 0;
-  ASSERT_EQ(ParseStatus::complete, parse(whole + "*1", words, used));
-  EXPECT_EQ(whole.size(), used);
+  ASSERT_EQ(ParseStatus::complete, parse(request + "*1", words, used));
+  EXPECT_EQ(request.size(), used);
   ASSERT_EQ(2u, words.size());
   EXPECT_EQ("PING", words[0]);
   EXPECT_EQ(std::string("\0\r\n", 3), words[1]);
-  for (std::size_t n = 0; n < whole.size(); ++n)
-    EXPECT_EQ(ParseStatus::partial, parse(whole.substr(0, n), words, used)) << n;
+  for (std::size_t size = 0; size < request.size(); ++size)
+    EXPECT_EQ(ParseStatus::partial, parse(request.substr(0, size), words, used)) << size;
 }
 
 TEST(RespParser, RejectsMalformedAndTooLongRequestsEarly) {
@@ -47,35 +47,36 @@
   EXPECT_LE(in.size(), kMaxRequestBytes);
 }
 
-bool knows(std::string_view word, bool whole) {
+bool isPutCommand(std::string_view word, bool complete) {
   const std::string name = "MSG.PUT";
-  return !word.empty() && (whole ? word == name : name.compare(0, word.size(), word) == 0);
+  return !word.empty() && (complete ? word == name : name.compare(0, word.size(), word) == 0);
 }
 
 struct InlineCase {
   const char *name, *line;
-  std::vector<std::string> words;  // none: an error
-  friend void PrintTo(const InlineCase& c, std::ostream* out) { *out << c.name; }
+  std::vector<std::string> words;  // empty: the line is malformed
+  friend void PrintTo(const InlineCase& inline_case, std::ostream* out) { *out << inline_case.name; }
 };
 class InlineCommand : public ::testing::TestWithParam<InlineCase> {};
 
-// Whole, and byte by byte: a beginning is never taken for a whole request, nor for a mistake.
-TEST_P(InlineCommand, IsReadAsTyped) {
+// Parses the complete line and each prefix: a prefix is neither a complete nor a malformed request.
+TEST_P(InlineCommand, IsReadCompletelyAndReportsEveryPrefixAsPartial) {
   const std::string line = GetParam().line;
   std::vector<std::string> words;
   std::size_t used = 0;
   std::string error;
-  const ParseStatus whole = parseRequest(line, words, used, error, knows);
+  const ParseStatus status = parseRequest(line, words, used, error, isPutCommand);
   if (GetParam().words.empty()) {
-    EXPECT_EQ(whole, ParseStatus::malformed);
+    EXPECT_EQ(status, ParseStatus::malformed);
     EXPECT_EQ(error.rfind("Protocol error", 0), 0u);
     return;
   }
-  ASSERT_EQ(whole, ParseStatus::complete) << error;
+  ASSERT_EQ(status, ParseStatus::complete) << error;
   EXPECT_EQ(words, GetParam().words);
   EXPECT_EQ(line.substr(used), line.substr(line.find('\n') + 1));
   for (std::size_t cut = 0; cut <= line.find('\n'); ++cut)
-    EXPECT_EQ(parseRequest(line.substr(0, cut), words, used, error, knows), ParseStatus::partial) << cut;
+    EXPECT_EQ(parseRequest(line.substr(0, cut), words, used, error, isPutCommand), ParseStatus::partial)
+        << cut;
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, InlineCommand,
@@ -91,17 +92,18 @@
         InlineCase{"empty", "\r\n", {}},
         InlineCase{"many", "MSG.PUT 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17\r\n", {}}));
 
-// Risk: a client that speaks another protocol holds its place until its time is over.
+// Guards against clients of another protocol that occupy a connection until a time limit.
 TEST(InlineCommand, IsRejectedAtOnceWhenUnknownOrTooLong) {
   std::vector<std::string> words;
   std::size_t used = 0;
   std::string error;
   for (const char* text : {"G", "\x16\x03\x01", "MSG.PUX", "MSG.PU ", "$3", " "})
-    EXPECT_EQ(parseRequest(text, words, used, error, knows), ParseStatus::malformed) << text;
+    EXPECT_EQ(parseRequest(text, words, used, error, isPutCommand), ParseStatus::malformed) << text;
   const std::string start = "MSG.PUT ";
-  EXPECT_EQ(parseRequest(start + std::string(kMaxInlineBytes - start.size(), 'x'), words, used, error, knows),
+  EXPECT_EQ(parseRequest(start + std::string(kMaxInlineBytes - start.size(), 'x'), words, used, error,
+                         isPutCommand),
             ParseStatus::partial);
-  EXPECT_EQ(parseRequest(start + std::string(kMaxInlineBytes, 'x'), words, used, error, knows),
+  EXPECT_EQ(parseRequest(start + std::string(kMaxInlineBytes, 'x'), words, used, error, isPutCommand),
             ParseStatus::malformed);
 }
 
