--- a/tests/discovery/poll_schedule_test.cpp
+++ b/tests/discovery/poll_schedule_test.cpp
@@ -1,4 +1,4 @@
-// A fleet that asks one discovery: by itself in virtual time, and the watch over loopback.
+// A fleet that polls one discovery: the schedule in virtual time, and the watcher over loopback.
 #include "../../src/discovery/poll_schedule.h"
 
 #include <queue>
@@ -12,25 +12,27 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-// Calls are served one after another, `each` apart; one is turned away at once if its answer would take
-// longer than `patience`, and its caller gives up after that, though it is worked on all the same.
-struct Overbooked {
+// A model of discovery that serves calls one after another, `each` microseconds per call. It rejects a call
+// at once if its service would start later than `patience`. A caller times out after `patience`, but its call
+// is still served.
+struct OverloadedDiscovery {
   Micros each, patience = 2 * kSecond, free_at = 0;
-  // When the caller knows, and whether it was answered.
+  // Returns when the caller learns the result, and whether it was answered.
   std::pair<Micros, bool> call(Micros now) {
     const Micros start = std::max(now, free_at);
     if (start - now > patience)
       return {now + 15'000, false};
     free_at = start + each;
-    const bool heard = free_at - now <= patience;
-    return {heard ? free_at : now + patience, heard};
+    const bool answered = free_at - now <= patience;
+    return {answered ? free_at : now + patience, answered};
   }
 };
 
-// How many of so many senders that start at one moment were answered by `until`, and how many calls it took.
+// Returns how many of the senders were answered by `until`, and how many calls they made. `first`: when a
+// sender makes its first call; `again`: its delay after a failed call.
 template <class First, class Again>
 std::pair<int, int> answeredOf(int senders, Micros each, Micros until, First first, Again again) {
-  Overbooked discovery{each};
+  OverloadedDiscovery discovery{each};
   std::priority_queue<std::pair<Micros, int>, std::vector<std::pair<Micros, int>>, std::greater<>> due;
   for (int i = 0; i < senders; ++i)
     due.emplace(first(i), i);
@@ -38,8 +40,8 @@
   for (; !due.empty() && due.top().first < until; ++calls) {
     const auto [now, i] = due.top();
     due.pop();
-    const auto [at, heard] = discovery.call(now);
-    if (heard)
+    const auto [at, was_answered] = discovery.call(now);
+    if (was_answered)
       ++answered;
     else
       due.emplace(at + again(i), i);
@@ -47,8 +49,8 @@
   return {answered, calls};
 }
 
-// herd+vast 932159627858: 39 of 100 were answered, and nobody after that. All ask at once first: what waits
-// is not told of drains.
+// Scenario herd+vast, seed 932159627858: 39 of 100 senders were answered, and none after that. All senders
+// poll at once first, because a sender that delays its first poll is not notified of drains.
 TEST(PollSchedule, AnswersAllSendersOfAFleetThatStartsAtOnce) {
   for (const int senders : {30, 100, 200}) {
     for (const double all_in : {2.0, 5.0, 8.0}) {  // seconds in which discovery can serve a call of each
@@ -65,7 +67,7 @@
   }
   const auto [answered, calls] = answeredOf(
       100, 50'000, 40 * kSecond, [](int) { return 0; }, [](int i) { return 100'000 + 337 * i; });
-  EXPECT_LT(answered, 60);  // the stand-in shows what it is for
+  EXPECT_LT(answered, 60);  // retries after 100 ms or more without spreading fail in the model
   EXPECT_GT(calls, 4000);
 }
 
@@ -83,18 +85,20 @@
   }
 }
 
-// A call that broke off says nothing of how many ask: drains have to be heard in time, whatever the fleet.
+// A failed call does not indicate overload, so the retry delay must not depend on the fleet size: the sender
+// must be notified of drains in time.
 TEST(PollSchedule, RetriesSoonAfterAFailureInAnyFleet) {
   PollSchedule a(100'000, 5);
   for (int i = 0; i < 50; ++i)
     EXPECT_LE(a.delayAfterFailure(), PollSchedule::kMaxBackoff);
 }
 
-// What the agent has counts as told, whether or not it was asked: a sender that starts, or whose discovery
-// has moved, asks at once, however many there are; turned away it asks again before news count as told.
+// A sender must act on a list that its agent has, whether or not it polled. So a sender that starts, or whose
+// discovery has moved, polls at once in a fleet of any size; after a rejection it polls again before the list
+// must be known.
 TEST(PollSchedule, PollsAtOnceFirstAndNeverLaterThanTheListMustBeKnown) {
   loopback::Listener first, moved;
-  const auto called = [](const loopback::Listener& l) {
+  const auto wasCalled = [](const loopback::Listener& l) {
     pollfd p{l.fd, POLLIN, 0};
     return ::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(loopback::kLong).count())) > 0;
   };
@@ -103,40 +107,41 @@
   EndpointWatcher watcher(
       Agent(io, parseAddress(first.address()), first.address()), worker,
       [](const EndpointListAnswer& a) { return a.index; }, 100'000, 3);
-  watcher.start(0);  // the loop doesn't run: what waits for a timer does not come
-  EXPECT_TRUE(called(first));
+  watcher.start(0);  // the loop does not run, so a call that waits for a timer is not made
+  EXPECT_TRUE(wasCalled(first));
   watcher.moveTo(parseAddress(moved.address()), moved.address());
-  EXPECT_TRUE(called(moved));
+  EXPECT_TRUE(wasCalled(moved));
   PollSchedule many(100'000, 5);
   for (int i = 0; i < 200; ++i)
     EXPECT_LE(many.delayAfterRejection(), 5'000'000);
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls
-// before. Each order of failures, by the longest that each can take, has the next call begin before that.
+// A sender must know a change 6 s after discovery has it and is reachable, whatever happened to earlier
+// calls. Each order of failures, with the longest time of each, must end in an answer before that.
 TEST(PollSchedule, EndsEachOrderOfFailuresBeforeTheListMustBeKnown) {
-  constexpr Micros kCountsAsTold = 6 * kSecond, kAnswer = kSecond / 2;
+  constexpr Micros kMustBeKnown = 6 * kSecond, kAnswerTime = kSecond / 2;
   const Micros silent_watch = PollSchedule::kLongPollTime + PollSchedule::kResponseGrace,
                silent_call = PollSchedule::kResponseGrace;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     PollSchedule fresh(300, seed);
     EXPECT_LE(silent_watch + fresh.delayAfterFailure() + PollSchedule::kConnectTimeout +
-                  fresh.delayAfterFailure() + kAnswer,
-              kCountsAsTold);
+                  fresh.delayAfterFailure() + kAnswerTime,
+              kMustBeKnown);
     PollSchedule refused(300, seed);
-    EXPECT_LE(kAnswer + refused.delayAfterRejection() + kAnswer + refused.delayAfterRejection() + kAnswer,
-              kCountsAsTold);
+    EXPECT_LE(kAnswerTime + refused.delayAfterRejection() + kAnswerTime + refused.delayAfterRejection() +
+                  kAnswerTime,
+              kMustBeKnown);
     PollSchedule outage(300, seed);
     for (int i = 0; i < 20; ++i)
-      outage.delayAfterFailure();  // it was long; the last call began as it ended
+      outage.delayAfterFailure();  // a long outage; the last call began when it ended
     EXPECT_LE(PollSchedule::kConnectTimeout + silent_call + outage.delayAfterFailure() + silent_call +
-                  outage.delayAfterFailure() + kAnswer,
-              kCountsAsTold);
+                  outage.delayAfterFailure() + kAnswerTime,
+              kMustBeKnown);
   }
 }
 
-// Risk: an agent that fell silent is asked with a call that may wait, and 3 s more go by if it is silent
-// still.
+// Guards against a long poll as the first call after an agent stopped responding: if it still does not
+// respond, another 3 s are lost.
 TEST(PollSchedule, PollsWithoutWaitingAfterATimeout) {
   std::mutex mutex;
   std::vector<std::string> targets;
@@ -144,7 +149,7 @@
     std::lock_guard<std::mutex> l(mutex);
     targets.push_back(seen.head.substr(0, seen.head.find(" HTTP/")));
     if (targets.size() == 2)
-      return loopback::Act{"", true};  // the watch breaks off
+      return loopback::Act{"", true};  // the long poll is aborted
     return loopback::Act{loopback::answer("200 OK", "", R"({"index":7,"snapshot":false,"endpoints":[]})")};
   });
   boost::asio::io_context io(1);
@@ -168,43 +173,44 @@
   EXPECT_EQ(watch + "2500", targets[3]);
 }
 
-// The watch waits as it is told: its calls come no sooner than these pauses, which 100 ms would be.
+// The watcher must wait for the delays of its schedule: its calls must not arrive earlier, as they would with
+// delays of 100 ms.
 TEST(PollSchedule, AppliesItsDelaysToTheWatch) {
   using Clock = std::chrono::steady_clock;
   constexpr int kSenders = 12;
   std::mutex mutex;
-  std::vector<Clock::time_point> came;
+  std::vector<Clock::time_point> arrivals;
   loopback::Server server([&](const loopback::Seen&) {
     std::lock_guard<std::mutex> l(mutex);
-    came.push_back(Clock::now());
-    if (came.size() < 4)
+    arrivals.push_back(Clock::now());
+    if (arrivals.size() < 4)
       return loopback::Act{loopback::answer("503 Busy")};
     return loopback::Act{loopback::answer("200 OK", "", R"({"index":7,"snapshot":true,"endpoints":[]})")};
   });
   const std::uint64_t seed = 11;
   PollSchedule same(kSenders, seed);
-  Micros least = 0;
+  Micros min_total_delay = 0;
   for (int i = 0; i < 3; ++i)
-    least += same.delayAfterRejection();
-  ASSERT_GT(least, 4 * PollSchedule::kInitialBackoff);  // more than pauses of 100 ms make
+    min_total_delay += same.delayAfterRejection();
+  ASSERT_GT(min_total_delay, 4 * PollSchedule::kInitialBackoff);  // longer than delays of 100 ms add up to
   boost::asio::io_context io(1);
   Worker worker(io);
-  std::int64_t heard = -1;
-  const auto begun = Clock::now();
+  std::int64_t received_index = -1;
+  const auto start = Clock::now();
   EndpointWatcher watcher(
       Agent(io, parseAddress(server.address()), server.address()), worker,
       [&](EndpointListAnswer a) {
-        heard = a.index;
+        received_index = a.index;
         io.stop();
         return a.index;
       },
       kSenders, seed);
   watcher.start(0);
   io.run_for(loopback::kLong);
-  EXPECT_EQ(heard, 7);
+  EXPECT_EQ(received_index, 7);
   std::lock_guard<std::mutex> l(mutex);
-  ASSERT_GE(came.size(), 4u);
-  EXPECT_GE(came[3] - begun, std::chrono::microseconds(least));
+  ASSERT_GE(arrivals.size(), 4u);
+  EXPECT_GE(arrivals[3] - start, std::chrono::microseconds(min_total_delay));
 }
 
 }  // namespace
--- a/tests/membership/dns_client_test.cpp
+++ b/tests/membership/dns_client_test.cpp
@@ -1,4 +1,4 @@
-// Names asked for at a name server that answers well, cut short, falsely or not at all.
+// The DNS client against a name server that answers correctly, truncated, falsely or not at all.
 #include "../../src/net/dns_client.h"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,7 @@
   std::unique_ptr<DnsClient> client;
 };
 
-TEST_F(DnsClientTest, AddressesOfBothFamiliesWithTheirTtl) {
+TEST_F(DnsClientTest, ReturnsAddressesOfBothFamiliesWithTheirTtl) {
   set(DnsFault::none);
   const DnsTarget t = lookHost();
   EXPECT_EQ(t.v4.addresses, (All{"127.0.0.2", "127.0.0.3"}));
@@ -64,8 +64,8 @@
   EXPECT_TRUE(a.targets[0].v6.addresses.empty());
 }
 
-// Risk: half of a partner's endpoints are taken for all of them.
-TEST_F(DnsClientTest, ATruncatedAnswerIsAskedForOverTcpAndNeverTakenAsWhole) {
+// Guards against a truncated UDP answer being used as the complete list of a partner's endpoints.
+TEST_F(DnsClientTest, QueriesOverTcpAfterATruncatedAnswerAndNeverUsesItAsComplete) {
   set(DnsFault::truncated);
   EXPECT_EQ(lookHost().v4.addresses, (All{"127.0.0.2", "127.0.0.3"}));
   EXPECT_GE(server.overTcp(), 1u);
@@ -75,7 +75,7 @@
   EXPECT_TRUE(t.v4.addresses.empty());
 }
 
-TEST_F(DnsClientTest, WhatIsNoAnswerToTheQuestionIsNone) {
+TEST_F(DnsClientTest, FailsWhenTheResponseDoesNotAnswerTheQuery) {
   for (const DnsFault f : {DnsFault::other_name, DnsFault::other_id, DnsFault::garbled, DnsFault::silent,
                            DnsFault::failed, DnsFault::refused}) {
     set(f);
@@ -85,17 +85,17 @@
     EXPECT_NE(t.v4.cause, "");
   }
   set(DnsFault::none);
-  EXPECT_EQ(lookHost().v4.addresses.size(), 2u);  // and it goes on well afterwards
+  EXPECT_EQ(lookHost().v4.addresses.size(), 2u);  // a correct answer is accepted afterwards
 }
 
-TEST_F(DnsClientTest, NoNameAndNoRecordAreTwoThings) {
+TEST_F(DnsClientTest, DistinguishesAMissingNameFromMissingRecords) {
   set(DnsFault::no_data);
   EXPECT_EQ(lookHost().v4.kind, DestinationKind::records);
   set(DnsFault::no_name);
   EXPECT_EQ(lookHost().v4.kind, DestinationKind::no_name);
 }
 
-TEST_F(DnsClientTest, ServicesAreFollowedToTheirAddresses) {
+TEST_F(DnsClientTest, ResolvesSrvTargetsToTheirAddresses) {
   harness::DnsZoneEntry services;
   services.services = {{10, 0, 8001, "shop.test"}, {20, 5, 8002, "far.test"}, {5, 0, 0, "."}};
   services.ttl = 3;
@@ -116,16 +116,16 @@
   EXPECT_EQ(look(s).kind, DestinationKind::no_name);
 }
 
-TEST_F(DnsClientTest, WhatIsUnderWayIsCalledOffWithTheClient) {
+TEST_F(DnsClientTest, CancelsPendingQueriesWhenTheClientIsDestroyed) {
   set(DnsFault::silent);
-  bool told = false;
+  bool answered = false;
   NameSpec s;
   s.host = "shop.test";
-  client->resolve(s, [&](const DnsAnswer&) { told = true; });
+  client->resolve(s, [&](const DnsAnswer&) { answered = true; });
   io.poll();
   client.reset();
   io.run_for(std::chrono::milliseconds(50));
-  EXPECT_FALSE(told);
+  EXPECT_FALSE(answered);
 }
 
 }  // namespace
--- a/tests/membership/name_memory_test.cpp
+++ b/tests/membership/name_memory_test.cpp
@@ -1,4 +1,4 @@
-// What a name in DNS is taken for: answers that change, shrink, fail, lie or come in halves.
+// The endpoints of a DNS name when answers change, shrink, fail, contain forbidden addresses or are partial.
 #include "../../src/membership/name_memory.h"
 
 #include <gtest/gtest.h>
@@ -35,23 +35,24 @@
   return a;
 }
 
-TEST(NameMemory, FollowsItsAnswersAndTheirTtl) {
+TEST(NameMemory, AppliesAnswersAndTheirTtl) {
   NameMemory m(host(), {});
   EXPECT_EQ(m.nextDue(), 0);
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2", "10.0.0.1"})), 5 * kS).changed);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
   EXPECT_EQ(m.nextQuery(), 15 * kS);
   EXPECT_FALSE(m.onAnswer(answer(records({"10.0.0.1", "10.0.0.2"})), 15 * kS).changed);
-  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.9"})), 20 * kS).changed);  // all at once, down to one
+  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.9"})), 20 * kS)
+                  .changed);  // the whole list is replaced, down to one address
   EXPECT_EQ(m.endpoints(), All{"10.0.0.9:80"});
   m.onAnswer(answer(records({"10.0.0.9"}, 0)), 30 * kS);
-  EXPECT_EQ(m.nextQuery(), 31 * kS);  // a TTL of 0 is one second
+  EXPECT_EQ(m.nextQuery(), 31 * kS);  // a TTL of 0 counts as one second
   m.onAnswer(answer(records({"10.0.0.9"}, 1000'000 * kS)), 40 * kS);
   EXPECT_EQ(m.nextQuery(), 40 * kS + 3600 * kS);
 }
 
-// Risk: a name server's bad minute takes a partner off the list.
-TEST(NameMemory, NothingEmptiesIt) {
+// Guards against a temporary failure of the name server removing a partner's endpoints.
+TEST(NameMemory, KeepsEndpointsWhenAnswersAreUnusable) {
   NameMemory m(host(), {});
   m.onAnswer(answer(records({"10.0.0.1"})), 0);
   Micros now = 10 * kS, pause = 0;
@@ -62,17 +63,17 @@
     EXPECT_FALSE(h.changed);
     EXPECT_NE(h.problem, "");
     EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
-    EXPECT_GE(m.nextQuery() - now, pause);  // ever more slowly, up to 30 s
+    EXPECT_GE(m.nextQuery() - now, pause);  // the retry delay grows up to 30 s
     pause = m.nextQuery() - now;
     now = m.nextQuery();
   }
   EXPECT_EQ(pause, 30 * kS);
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2"})), now).changed);
   m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
-  EXPECT_EQ(m.nextQuery(), now + kS);  // quick again
+  EXPECT_EQ(m.nextQuery(), now + kS);  // the retry delay was reset
 }
 
-TEST(NameMemory, AFamilyThatFailsTakesTheOtherAlongOrNothing) {
+TEST(NameMemory, AppliesOneFamilyWhenTheOtherFails) {
   NameMemory m(host(), {});
   m.onAnswer(answer(records({"10.0.0.1"}), records({"2001:db8::1"})), 0);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "[2001:db8::1]:80"}));
@@ -80,13 +81,13 @@
   EXPECT_TRUE(h.changed);
   EXPECT_NE(h.problem.find("AAAA: timed out"), std::string::npos) << h.problem;
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.2:80", "[2001:db8::1]:80"}));
-  EXPECT_EQ(m.nextQuery(), 2 * kS);  // the part that failed is not left for its TTL
+  EXPECT_EQ(m.nextQuery(), 2 * kS);  // queried again before the TTL, as AAAA failed
   m.onAnswer(answer(records({"10.0.0.2"}), records({})),
-             2 * kS);  // there is none any more: that is an answer
+             2 * kS);  // an answer without AAAA records removes them
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:80"});
 }
 
-TEST(NameMemory, AddressesThatAreRuledOutAreToldAndNeverListed) {
+TEST(NameMemory, ReportsForbiddenAddressesAndNeverListsThem) {
   NameSpec s = host();
   s.allow = {"10.0.0.0/8", "2001:db8::/32"};
   NameMemory m(s, {});
@@ -99,7 +100,7 @@
   EXPECT_FALSE(h.changed);
   EXPECT_NE(h.problem.find("allow"), std::string::npos);
   EXPECT_EQ(m.endpoints().size(), 3u);
-  NameMemory any(host(), {});  // what no host can have is never listed
+  NameMemory any(host(), {});  // addresses that no host can have are never listed
   EXPECT_EQ(
       any.onAnswer(answer(records({"0.0.0.0", "224.0.0.1", "255.255.255.255"}), records({"::", "ff02::1"})),
                    0)
@@ -109,7 +110,7 @@
   EXPECT_THROW(Networks({"10.0.0.0/33"}), std::invalid_argument);
 }
 
-TEST(NameMemory, OfServicesTheLowestPriorityThatHasAnAddressServes) {
+TEST(NameMemory, ListsTheLowestSrvPriorityThatHasAnAddress) {
   NameSpec s;
   s.srv = "_print._tcp.test";
   NameMemory m(s, {});
@@ -125,7 +126,7 @@
   a.targets[1].v4 = none(DestinationKind::no_name);
   m.onAnswer(a, kS);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.3:3"});
-  a.targets[0].v4 = none(DestinationKind::failed);  // what it had was nothing
+  a.targets[0].v4 = none(DestinationKind::failed);  // it had no addresses before
   a.targets[1].v4 = records({"10.0.0.2"});
   m.onAnswer(a, 2 * kS);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:2"});
@@ -136,8 +137,8 @@
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:2"});
 }
 
-// Name servers that answer with a part of what there is, another each time.
-TEST(NameMemory, KeepHoldsWhatIsNamedNoMoreForItsTime) {
+// Some name servers return a different subset of the addresses in each answer.
+TEST(NameMemory, ListsMissingAddressesForTheKeepTime) {
   NameSpec s = host();
   s.keep = 30 * kS;
   NameMemory m(s, {});
@@ -154,11 +155,11 @@
   EXPECT_EQ(m.nextDue(), 630 * kS);
 }
 
-TEST(NameMemory, WhatAnEarlierProcessKnewServesAsOldUntilAnAnswer) {
+TEST(NameMemory, UsesAdoptedEndpointsAsStaleUntilAnAnswer) {
   NameMemory m(host(), {});
   m.adopt({"10.0.0.7:80"});
   EXPECT_TRUE(m.isStale());
-  for (Micros now = 0; now < 3600 * kS; now = m.nextQuery()) {  // silent for an hour
+  for (Micros now = 0; now < 3600 * kS; now = m.nextQuery()) {  // no answer for an hour
     m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
     ASSERT_EQ(m.endpoints(), All{"10.0.0.7:80"});
     ASSERT_TRUE(m.isStale());
@@ -168,7 +169,7 @@
   EXPECT_FALSE(m.isStale());
 }
 
-TEST(NameMemory, ManyAddressesAreBounded) {
+TEST(NameMemory, LimitsTheNumberOfAddresses) {
   All many;
   for (int i = 0; i < 200; ++i)
     many.push_back("10.0.1." + std::to_string(i));
@@ -177,8 +178,8 @@
   EXPECT_EQ(m.endpoints().size(), DnsLimits{}.most_addresses);
 }
 
-// A TTL of hours must not outlast a limit that was lowered meanwhile; what is known serves on.
-TEST(NameMemory, LimitsThatChangeHoldForWhatIsKnownAlready) {
+// A long TTL must not delay the next query beyond a limit that was lowered later; the endpoints are kept.
+TEST(NameMemory, AppliesChangedLimitsToPendingQueries) {
   NameMemory m(host(), {});
   m.onAnswer(answer(records({"127.0.0.1"}, 3000 * kS)), 0);
   EXPECT_EQ(m.nextQuery(), 3000 * kS);
--- a/tests/membership/table_test.cpp
+++ b/tests/membership/table_test.cpp
@@ -1,5 +1,4 @@
-// The table of partners of several sources: whose each is, what the core hears, and that a change costs what
-// it changes.
+// The table of partners of several sources: the owner of each partner and the changes that the core receives.
 #include "../../src/membership/table.h"
 
 #include <gtest/gtest.h>
@@ -22,8 +21,8 @@
   return "127.0.0.1:" + std::to_string(port);
 }
 
-// "+id" for one that is listed, "~id" draining, "-id" gone.
-std::string heard(const PartnerTable::Change& c) {
+// "+id" for a listed endpoint, "~id" for a draining one, "-id" for a removed one.
+std::string describe(const PartnerTable::Change& c) {
   std::string all;
   for (const EndpointChange& e : c.entries) {
     const EndpointState s = e.entry.endpoint.state;
@@ -42,24 +41,24 @@
   return all;
 }
 
-TEST(PartnerTable, TellsWhatAUnitChanges) {
+TEST(PartnerTable, ReturnsTheChangesOfAUnit) {
   PartnerTable t;
   t.declare("a", {partner("shop", {at(1), at(2)}), partner("bank", {at(3)})});
-  EXPECT_EQ(heard(t.takeChanges()), "+bank@127.0.0.1:3 +shop@127.0.0.1:1 +shop@127.0.0.1:2");
-  EXPECT_EQ(heard(t.takeChanges()), "");
+  EXPECT_EQ(describe(t.takeChanges()), "+bank@127.0.0.1:3 +shop@127.0.0.1:1 +shop@127.0.0.1:2");
+  EXPECT_EQ(describe(t.takeChanges()), "");
   Partner drains = partner("shop", {at(1), at(2)});
   drains.draining = {at(2)};
   t.declare("a", {drains, partner("bank", {at(3)})});
-  EXPECT_EQ(heard(t.takeChanges()), "~shop@127.0.0.1:2");
+  EXPECT_EQ(describe(t.takeChanges()), "~shop@127.0.0.1:2");
   t.declare("a", {partner("bank", {at(3)})});
-  EXPECT_EQ(heard(t.takeChanges()), "-shop@127.0.0.1:1 -shop@127.0.0.1:2");
+  EXPECT_EQ(describe(t.takeChanges()), "-shop@127.0.0.1:1 -shop@127.0.0.1:2");
   EXPECT_EQ(t.find("shop"), nullptr);
   EXPECT_EQ(t.partners(), 1u);
   EXPECT_EQ(t.endpoints(), 1u);
 }
 
-// Risk: an endpoint stays in the zone where it was listed first, for the fleet and over a restart.
-TEST(PartnerTable, AnEndpointsZoneIsItsOwnOrThePartnersAndIsKept) {
+// Guards against an endpoint staying in its first zone, in the fleet and after a restart.
+TEST(PartnerTable, UsesTheEndpointsZoneOrThePartnersAndStoresIt) {
   PartnerTable t;
   Partner shop = partner("shop", {at(1), at(2)});
   shop.zone = "a";
@@ -69,9 +68,9 @@
   ASSERT_EQ(2u, first.entries.size());
   EXPECT_EQ("a", first.entries[0].entry.endpoint.zone);
   EXPECT_EQ("b", first.entries[1].entry.endpoint.zone);
-  StoredEntry kept;
-  ASSERT_TRUE(parseStoredEntry(first.entries[1].text, kept));
-  EXPECT_EQ("b", kept.zone);
+  StoredEntry stored;
+  ASSERT_TRUE(parseStoredEntry(first.entries[1].text, stored));
+  EXPECT_EQ("b", stored.zone);
   shop.zones[at(1)] = "c";
   t.declare("u", {shop});
   const auto moved = t.takeChanges();
@@ -79,8 +78,8 @@
   EXPECT_EQ("c", moved.entries[0].entry.endpoint.zone);
 }
 
-// Risk: a partner vanishes for a moment, and its messages with it, when it moves from file to file.
-TEST(PartnerTable, APartnerThatMovesBetweenFilesIsNeverGone) {
+// Guards against a partner, and its messages, being lost for a moment when it moves from one file to another.
+TEST(PartnerTable, NeverRemovesAPartnerThatMovesBetweenFiles) {
   for (const bool new_first : {true, false}) {
     PartnerTable t;
     t.declare("a", {partner("shop", {at(1)})});
@@ -88,9 +87,9 @@
     if (new_first) {
       t.declare("b", {partner("shop", {at(1)})});
       const auto c = t.takeChanges();
-      EXPECT_EQ(heard(c), "");
+      EXPECT_EQ(describe(c), "");
       EXPECT_EQ(conflicts(c), "shop/b//a");
-      EXPECT_EQ(conflicts(t.takeChanges()), "");  // told once
+      EXPECT_EQ(conflicts(t.takeChanges()), "");  // reported once
       t.declare("a", {});
     } else {
       t.declare("a", {});
@@ -102,46 +101,46 @@
   }
 }
 
-TEST(PartnerTable, ARenamedPartnerKeepsItsNumberAndItsEndpoints) {
+TEST(PartnerTable, KeepsNumberAndEndpointsOfARenamedPartner) {
   PartnerTable t;
   t.declare("a", {partner("shop", {at(1)})});
   t.takeChanges();
   const std::int64_t number = t.find("shop")->number;
   t.declare("a", {partner("print-shop", {at(1)}, "shop")});
   const auto c = t.takeChanges();
-  EXPECT_EQ(heard(c), "");
+  EXPECT_EQ(describe(c), "");
   ASSERT_TRUE(t.find("print-shop"));
   EXPECT_EQ(t.find("print-shop")->number, number);
-  EXPECT_EQ(t.find("shop"), t.find("print-shop"));  // clients that know the old name
+  EXPECT_EQ(t.find("shop"), t.find("print-shop"));  // clients may still use the former name
   t.declare("a", {partner("print-shop", {at(1), at(2)}, "shop")});
-  EXPECT_EQ(heard(t.takeChanges()), "+shop@127.0.0.1:2");
+  EXPECT_EQ(describe(t.takeChanges()), "+shop@127.0.0.1:2");
 }
 
-TEST(PartnerTable, APartnerSplitInTwoIsNoConflict) {
+TEST(PartnerTable, ReportsNoConflictWhenAPartnerIsSplitInTwo) {
   PartnerTable t;
   t.declare("a", {partner("z", {at(1), at(2)})});
   t.takeChanges();
   t.declare("a", {partner("z", {at(1)}), partner("b", {at(2)})});
   const auto c = t.takeChanges();
   EXPECT_EQ(conflicts(c), "");
-  EXPECT_EQ(heard(c), "+b@127.0.0.1:2 -z@127.0.0.1:2");
+  EXPECT_EQ(describe(c), "+b@127.0.0.1:2 -z@127.0.0.1:2");
 }
 
-TEST(PartnerTable, AnEndpointOfTwoPartnersIsTheFirstOnesUntilItLetsGo) {
+TEST(PartnerTable, ListsASharedEndpointForItsFirstPartnerUntilReleased) {
   PartnerTable t;
   t.declare("a", {partner("shop", {at(1)})});
   t.takeChanges();
   t.declare("b", {partner("bank", {at(1), at(2)})});
   const auto c = t.takeChanges();
-  EXPECT_EQ(heard(c), "+bank@127.0.0.1:2");
+  EXPECT_EQ(describe(c), "+bank@127.0.0.1:2");
   EXPECT_EQ(conflicts(c), "bank/b/127.0.0.1:1/shop");
   t.declare("a", {partner("shop", {at(5)})});
-  EXPECT_EQ(heard(t.takeChanges()), "+bank@127.0.0.1:1 -shop@127.0.0.1:1 +shop@127.0.0.1:5");
-  t.declare("a", {partner("shop", {at(1), at(5)})});  // now it is the other way round, and told again
+  EXPECT_EQ(describe(t.takeChanges()), "+bank@127.0.0.1:1 -shop@127.0.0.1:1 +shop@127.0.0.1:5");
+  t.declare("a", {partner("shop", {at(1), at(5)})});  // the owner is the other partner now: a new conflict
   EXPECT_EQ(conflicts(t.takeChanges()), "shop/a/127.0.0.1:1/bank");
 }
 
-TEST(PartnerTable, ANumberIsOnePartnersAndTheNextInLineTakesItOver) {
+TEST(PartnerTable, GivesAReleasedNumberToTheNextClaimant) {
   PartnerTable t;
   Partner one = partner("z", {at(1)}), other = partner("a", {at(2)});
   one.number = other.number = 7;
@@ -149,16 +148,16 @@
   t.takeChanges();
   t.declare("b", {other});
   const auto c = t.takeChanges();
-  EXPECT_EQ(heard(c), "");
+  EXPECT_EQ(describe(c), "");
   EXPECT_EQ(conflicts(c), "a/b//z");
-  one.rate = 5;  // what changes in the owner doesn't make it lose its number
+  one.rate = 5;  // the owner keeps its number when it changes
   t.declare("a", {one});
-  EXPECT_EQ(heard(t.takeChanges()), "+z@127.0.0.1:1");
+  EXPECT_EQ(describe(t.takeChanges()), "+z@127.0.0.1:1");
   t.declare("a", {});
-  EXPECT_EQ(heard(t.takeChanges()), "-z@127.0.0.1:1 +a@127.0.0.1:2");
+  EXPECT_EQ(describe(t.takeChanges()), "-z@127.0.0.1:1 +a@127.0.0.1:2");
 }
 
-TEST(PartnerTable, WhatTheJournalKeptIsReadBack) {
+TEST(PartnerTable, ParsesStoredEntries) {
   PartnerTable t;
   Partner p = partner("print-shop", {at(1)}, "shop");
   p.rate = 4.5;
@@ -178,14 +177,14 @@
   EXPECT_FALSE(parseStoredEntry("{\"partner\":5,\"address\":\"127.0.0.1:1\"}", k));
 }
 
-// The claims of units in a plain model beside the table; what the core heard must be what is in force.
-TEST(PartnerTable, WhatTheCoreHeardIsWhatIsInForceWhateverTheOrder) {
+// Random declarations of units: after each change, the core's endpoints must match the partners in force.
+TEST(PartnerTable, KeepsTheCoreConsistentWithThePartnersInForceInAnyOrder) {
   std::mt19937_64 random(20261201);
   const auto draw = [&](std::uint64_t n) { return static_cast<int>(random() % n); };
   PartnerTable t;
   std::map<std::string, ListedEndpoint> core;
-  std::map<std::string, std::string> owner;  // of an address, as the core knows it
-  std::map<std::string, std::vector<Partner>> said;
+  std::map<std::string, std::string> owner;  // owner by address, in the core
+  std::map<std::string, std::vector<Partner>> declared;
   for (int step = 0; step < 4000; ++step) {
     const std::string unit = "u" + std::to_string(draw(4));
     std::vector<Partner> all;
@@ -201,10 +200,10 @@
       if (draw(5) == 0)
         all.back().number = draw(3);
     }
-    said[unit] = all;
+    declared[unit] = all;
     t.declare(unit, all);
     if (draw(3) == 0)
-      continue;  // several in one change
+      continue;  // several declarations in one change
     for (const EndpointChange& e : t.takeChanges().entries) {
       const std::string id = e.entry.endpoint.id;
       if (e.entry.endpoint.state == EndpointState::gone)
@@ -227,13 +226,13 @@
       ++count;
     }
     ASSERT_EQ(count, t.endpoints());
-    // Nobody waits for what is free: each named partner is in force, or its number is another's; each of its
-    // addresses is listed, for it or for another.
-    for (const auto& [u, partners] : said)
+    // No claimant waits for a free number or address: each declared partner is in force, or another partner
+    // has its number; each of its addresses is listed, for this partner or another.
+    for (const auto& [u, partners] : declared)
       for (const Partner& p : partners) {
         const Partner* f = t.find(p.name);
         if (!f) {
-          ASSERT_TRUE(std::any_of(said.begin(), said.end(),
+          ASSERT_TRUE(std::any_of(declared.begin(), declared.end(),
                                   [&](const auto& s) {
                                     return std::any_of(s.second.begin(), s.second.end(),
                                                        [&](const Partner& o) {
