--- a/tests/membership/name_memory_test.cpp
+++ b/tests/membership/name_memory_test.cpp
@@ -1,4 +1,4 @@
-// What a name in DNS is taken for: answers that change, shrink, fail, lie or come in halves.
+// The endpoints of a DNS name when answers change, shrink, fail, contain forbidden addresses or are partial.
 #include "../../src/membership/name_memory.h"
 
 #include <gtest/gtest.h>
@@ -35,23 +35,24 @@
   return a;
 }
 
-TEST(NameMemory, FollowsItsAnswersAndTheirTtl) {
+TEST(NameMemory, AppliesAnswersAndTheirTtl) {
   NameMemory m(host(), {});
-  EXPECT_EQ(m.nextLook(), 0);
+  EXPECT_EQ(m.nextDue(), 0);
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2", "10.0.0.1"})), 5 * kS).changed);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
   EXPECT_EQ(m.nextQuery(), 15 * kS);
   EXPECT_FALSE(m.onAnswer(answer(records({"10.0.0.1", "10.0.0.2"})), 15 * kS).changed);
-  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.9"})), 20 * kS).changed);  // all at once, down to one
+  EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.9"})), 20 * kS)
+                  .changed);  // the whole list is replaced, down to one address
   EXPECT_EQ(m.endpoints(), All{"10.0.0.9:80"});
   m.onAnswer(answer(records({"10.0.0.9"}, 0)), 30 * kS);
-  EXPECT_EQ(m.nextQuery(), 31 * kS);  // a TTL of 0 is one second
+  EXPECT_EQ(m.nextQuery(), 31 * kS);  // a TTL of 0 counts as one second
   m.onAnswer(answer(records({"10.0.0.9"}, 1000'000 * kS)), 40 * kS);
   EXPECT_EQ(m.nextQuery(), 40 * kS + 3600 * kS);
 }
 
-// Risk: a name server's bad minute takes a partner off the list.
-TEST(NameMemory, NothingEmptiesIt) {
+// Guards against a temporary failure of the name server removing a partner's endpoints.
+TEST(NameMemory, KeepsEndpointsWhenAnswersAreUnusable) {
   NameMemory m(host(), {});
   m.onAnswer(answer(records({"10.0.0.1"})), 0);
   Micros now = 10 * kS, pause = 0;
@@ -60,33 +61,33 @@
         DestinationKind::failed, DestinationKind::failed, DestinationKind::failed}) {
     const auto h = m.onAnswer(answer(none(k), none(k)), now);
     EXPECT_FALSE(h.changed);
-    EXPECT_NE(h.trouble, "");
+    EXPECT_NE(h.problem, "");
     EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
-    EXPECT_GE(m.nextQuery() - now, pause);  // ever more slowly, up to 30 s
+    EXPECT_GE(m.nextQuery() - now, pause);  // the retry delay grows up to 30 s
     pause = m.nextQuery() - now;
     now = m.nextQuery();
   }
   EXPECT_EQ(pause, 30 * kS);
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.2"})), now).changed);
   m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
-  EXPECT_EQ(m.nextQuery(), now + kS);  // quick again
+  EXPECT_EQ(m.nextQuery(), now + kS);  // the retry delay was reset
 }
 
-TEST(NameMemory, AFamilyThatFailsTakesTheOtherAlongOrNothing) {
+TEST(NameMemory, AppliesOneFamilyWhenTheOtherFails) {
   NameMemory m(host(), {});
   m.onAnswer(answer(records({"10.0.0.1"}), records({"2001:db8::1"})), 0);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "[2001:db8::1]:80"}));
   const auto h = m.onAnswer(answer(records({"10.0.0.2"}), none(DestinationKind::failed)), kS);
   EXPECT_TRUE(h.changed);
-  EXPECT_NE(h.trouble.find("AAAA: timed out"), std::string::npos) << h.trouble;
+  EXPECT_NE(h.problem.find("AAAA: timed out"), std::string::npos) << h.problem;
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.2:80", "[2001:db8::1]:80"}));
-  EXPECT_EQ(m.nextQuery(), 2 * kS);  // the part that failed is not left for its TTL
+  EXPECT_EQ(m.nextQuery(), 2 * kS);  // queried again before the TTL, as AAAA failed
   m.onAnswer(answer(records({"10.0.0.2"}), records({})),
-             2 * kS);  // there is none any more: that is an answer
+             2 * kS);  // an answer without AAAA records removes them
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:80"});
 }
 
-TEST(NameMemory, AddressesThatAreRuledOutAreToldAndNeverListed) {
+TEST(NameMemory, ReportsForbiddenAddressesAndNeverListsThem) {
   NameSpec s = host();
   s.allow = {"10.0.0.0/8", "2001:db8::/32"};
   NameMemory m(s, {});
@@ -97,9 +98,9 @@
   EXPECT_EQ(h.forbidden, (All{"11.0.0.1:80", "192.168.1.1:80", "[2001:db9::1]:80"}));
   h = m.onAnswer(answer(records({"11.0.0.1"})), kS);
   EXPECT_FALSE(h.changed);
-  EXPECT_NE(h.trouble.find("allow"), std::string::npos);
+  EXPECT_NE(h.problem.find("allow"), std::string::npos);
   EXPECT_EQ(m.endpoints().size(), 3u);
-  NameMemory any(host(), {});  // what no host can have is never listed
+  NameMemory any(host(), {});  // addresses that no host can have are never listed
   EXPECT_EQ(
       any.onAnswer(answer(records({"0.0.0.0", "224.0.0.1", "255.255.255.255"}), records({"::", "ff02::1"})),
                    0)
@@ -109,7 +110,7 @@
   EXPECT_THROW(Networks({"10.0.0.0/33"}), std::invalid_argument);
 }
 
-TEST(NameMemory, OfServicesTheLowestPriorityThatHasAnAddressServes) {
+TEST(NameMemory, ListsTheLowestSrvPriorityThatHasAnAddress) {
   NameSpec s;
   s.srv = "_print._tcp.test";
   NameMemory m(s, {});
@@ -125,7 +126,7 @@
   a.targets[1].v4 = none(DestinationKind::no_name);
   m.onAnswer(a, kS);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.3:3"});
-  a.targets[0].v4 = none(DestinationKind::failed);  // what it had was nothing
+  a.targets[0].v4 = none(DestinationKind::failed);  // it had no addresses before
   a.targets[1].v4 = records({"10.0.0.2"});
   m.onAnswer(a, 2 * kS);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:2"});
@@ -136,8 +137,8 @@
   EXPECT_EQ(m.endpoints(), All{"10.0.0.2:2"});
 }
 
-// Name servers that answer with a part of what there is, another each time.
-TEST(NameMemory, KeepHoldsWhatIsNamedNoMoreForItsTime) {
+// Some name servers return a different subset of the addresses in each answer.
+TEST(NameMemory, ListsMissingAddressesForTheKeepTime) {
   NameSpec s = host();
   s.keep = 30 * kS;
   NameMemory m(s, {});
@@ -147,28 +148,28 @@
   m.onAnswer(answer(records({"10.0.0.1"})), 20 * kS);
   m.onAnswer(answer(records({"10.0.0.1"}, 600 * kS)), 30 * kS);
   EXPECT_EQ(m.endpoints(), (All{"10.0.0.1:80", "10.0.0.2:80"}));
-  EXPECT_EQ(m.nextLook(), 50 * kS);
+  EXPECT_EQ(m.nextDue(), 50 * kS);
   EXPECT_FALSE(m.expire(49 * kS));
   EXPECT_TRUE(m.expire(50 * kS));
   EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
-  EXPECT_EQ(m.nextLook(), 630 * kS);
+  EXPECT_EQ(m.nextDue(), 630 * kS);
 }
 
-TEST(NameMemory, WhatAnEarlierProcessKnewServesAsOldUntilAnAnswer) {
+TEST(NameMemory, UsesAdoptedEndpointsAsStaleUntilAnAnswer) {
   NameMemory m(host(), {});
   m.adopt({"10.0.0.7:80"});
-  EXPECT_TRUE(m.old());
-  for (Micros now = 0; now < 3600 * kS; now = m.nextQuery()) {  // silent for an hour
+  EXPECT_TRUE(m.isStale());
+  for (Micros now = 0; now < 3600 * kS; now = m.nextQuery()) {  // no answer for an hour
     m.onAnswer(answer(none(DestinationKind::failed), none(DestinationKind::failed)), now);
     ASSERT_EQ(m.endpoints(), All{"10.0.0.7:80"});
-    ASSERT_TRUE(m.old());
+    ASSERT_TRUE(m.isStale());
   }
   EXPECT_TRUE(m.onAnswer(answer(records({"10.0.0.1"})), 3600 * kS).changed);
   EXPECT_EQ(m.endpoints(), All{"10.0.0.1:80"});
-  EXPECT_FALSE(m.old());
+  EXPECT_FALSE(m.isStale());
 }
 
-TEST(NameMemory, ManyAddressesAreBounded) {
+TEST(NameMemory, LimitsTheNumberOfAddresses) {
   All many;
   for (int i = 0; i < 200; ++i)
     many.push_back("10.0.1." + std::to_string(i));
@@ -177,8 +178,8 @@
   EXPECT_EQ(m.endpoints().size(), DnsLimits{}.most_addresses);
 }
 
-// A TTL of hours must not outlast a limit that was lowered meanwhile; what is known serves on.
-TEST(NameMemory, LimitsThatChangeHoldForWhatIsKnownAlready) {
+// A long TTL must not delay the next query beyond a limit that was lowered later; the endpoints are kept.
+TEST(NameMemory, AppliesChangedLimitsToPendingQueries) {
   NameMemory m(host(), {});
   m.onAnswer(answer(records({"127.0.0.1"}, 3000 * kS)), 0);
   EXPECT_EQ(m.nextQuery(), 3000 * kS);
@@ -187,7 +188,7 @@
   less.most_retry = 2 * kS;
   m.setLimits(less, kS);
   EXPECT_EQ(m.nextQuery(), 6 * kS);
-  EXPECT_EQ(m.nextLook(), 6 * kS);
+  EXPECT_EQ(m.nextDue(), 6 * kS);
   EXPECT_EQ(m.endpoints().size(), 1u);
   m.onAnswer(answer(records({"127.0.0.1"}, 3000 * kS)), 6 * kS);
   EXPECT_EQ(m.nextQuery(), 11 * kS);
