--- a/include/grademux/sender.h
+++ b/include/grademux/sender.h
@@ -57,7 +57,7 @@
 struct ShutdownScheduled {
   Micros at = 0;
 };
-// The submitter withdrew the message: no later action names the message.
+// The engine did not accept the message after all: no later action names the message.
 struct MessageWithdrawn {
   std::string id;
 };
@@ -65,6 +65,7 @@
   std::string id;
   int attempt = 0;
   AttemptResult result = AttemptResult::ok;
+  // The endpoint reported the message as finished, by this attempt or by an earlier one.
   bool already_finished = false;
   Micros retry_after = 0;  // with any result: no attempts to this destination for this span; 0: none
   Micros round_trip = 0;
--- a/src/core/action_guard.h
+++ b/src/core/action_guard.h
@@ -1,5 +1,5 @@
 // The permission to accept messages and to start attempts, where something outside the process can revoke it:
-// the plan of a fleet. A sender on a platform has no guard and may always act.
+// the plan of a fleet. A sender that belongs to no fleet has no guard and may always act.
 #pragma once
 
 #include <cstdint>
--- a/src/core/journal.cpp
+++ b/src/core/journal.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 // This margin stays free in the disk budget. A compaction is worth its writes once the obsolete records take
-// more than four times this size.
+// more than four times this size and more than half of the file.
 constexpr std::uint64_t kMarginBytes = 64u << 10;
 constexpr std::uint64_t kEndpointListBudgetDivisor = 4;
 
--- a/src/daemon/commands/fleet_plan_command.cpp
+++ b/src/daemon/commands/fleet_plan_command.cpp
@@ -17,8 +17,8 @@
     addRequirementOptions();
     addPolicyOptions();
     bind_ = addChangeCommand(app_, "bind", "keeps the requirements and makes the plan strict");
-    halt_ = addChangeCommand(app_, "halt",
-                             "restores the previous plan's requirements, and marks this plan as faulty");
+    halt_ = addChangeCommand(
+        app_, "halt", "restores the previous plan's requirements in a new plan that is marked as halted");
     addChangeCommand(app_, "revert", "restores the previous plan's requirements");
     app_.require_subcommand(1);
   }
--- a/src/daemon/config_reloader.cpp
+++ b/src/daemon/config_reloader.cpp
@@ -70,6 +70,7 @@
     throw std::runtime_error("settings: missing: " + missing);
   needs_restart = partsNeedingRestart(components_.config, fresh);
   retainPartsNeedingRestart(components_.config, fresh);
+  // Throws if the listeners leave too few connections for clients.
   clientLimits(fresh, components_.daemon_file);
   return fresh;
 }
--- a/src/daemon/sender_components.cpp
+++ b/src/daemon/sender_components.cpp
@@ -14,8 +14,8 @@
 
 // Retry-After for clients while a partner's name has no address.
 constexpr Micros kUnresolvedRetryAfter = 1'000'000;
-// Limit for one admission step: a client waits 400 ms for its answer.
-constexpr Micros kAdmissionStepTimeout = 300'000;
+// Limit for the whole admission chain: a client waits 400 ms for its answer.
+constexpr Micros kAdmissionTimeout = 300'000;
 
 Agent platformAgent(SenderComponents& components) {
   const Config& config = components.config;
@@ -52,7 +52,7 @@
   components.engine =
       std::make_unique<DeliveryEngine>(components.io, config.settings, config.seed, *components.journal,
                                        *components.attempts, *components.notifier);
-  components.admission = std::make_unique<Admission>(components.io, *components.engine, kAdmissionStepTimeout,
+  components.admission = std::make_unique<Admission>(components.io, *components.engine, kAdmissionTimeout,
                                                      config.settings.max_retry_after);
   if (components.recorder)
     components.engine->setObserver(
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -98,9 +98,8 @@
       recording.path, recording.most_bytes, components_.config.settings, components_.config.seed);
 }
 
-// False: another process has the folder and is to be replaced, which is so where the platform keeps the
-// clients' socket open from one process to the next. Elsewhere that process is an error, unless it is about
-// to end.
+// Returns false if another process has the folder and this process, which inherited the clients' socket, is
+// to replace it; without an inherited socket, throws if that process doesn't end in time.
 bool Service::lockFolder() {
   handover::FolderLock& lock = components_.folder_lock;
   const bool replaces_process = components_.config.inherited_socket >= 0;
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -130,7 +130,8 @@
 }
 
 // The session at the store is not ended here: it ends by its TTL, or the next process of this sender ends it
-// because its report has an older epoch. The audit log is closed before another process can open it.
+// because its report has an older epoch. All audit records are written and the audit log is closed before
+// another process can open it.
 void FleetMember::release(const std::string& cause) {
   if (released_)
     return;
@@ -380,8 +381,9 @@
   updateCompliance();
 }
 
-// A plan that too many senders can't follow would fence all of them. Any of these senders replaces the plan
-// by the requirements of the plan before; the operator decides on the next plan.
+// A plan that too many senders can't follow would fence all of them. Any sender that can't follow the plan,
+// unless an operator fenced it, replaces the plan by one with the requirements of the plan before; the
+// operator decides on the next plan.
 void FleetMember::haltPlanIfTooManyLag() {
   halting_ = true;
   store_->listPrefix(
--- a/src/fleet/zone_coordinator.h
+++ b/src/fleet/zone_coordinator.h
@@ -35,7 +35,7 @@
                   const FleetConfig& config, const PlanCompliance& compliance, Backoff& backoff,
                   const std::string& folder, Callbacks callbacks);
 
-  /// Applies the zone states of the plan that this sender acts under.
+  /// Applies the zone states of the plan that this sender acts under, and the evacuations of the newest plan.
   void applyZoneStates();
   /// Starts the periodic evaluation of votes.
   void evaluate();
--- a/src/listener/resp/session.h
+++ b/src/listener/resp/session.h
@@ -1,7 +1,7 @@
 // One client connection of the RESP2 listener: reads one request at a time, passes it to the engine, and
-// writes the reply. Each step has a time limit. A session refers to its listener only through SessionOwner.
-// Loop thread only; sessions are shared with their pending socket operations and submissions, and closed
-// sessions may outlive the listener.
+// writes the reply. Each step has a time limit, except the wait for the engine to accept or reject a message.
+// A session refers to its listener only through SessionOwner. Loop thread only; sessions are shared with
+// their pending socket operations and submissions, and closed sessions may outlive the listener.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/membership/partner_file.cpp
+++ b/src/membership/partner_file.cpp
@@ -73,7 +73,7 @@
 // Reads `zone`, for all endpoints, and `zones`, a table of the endpoints in each zone.
 void readZones(TomlTable& t, Partner& p, const PartnerDefaults& defaults, std::vector<Mistake>& mistakes,
                std::vector<EffectiveValue>* effective) {
-  const auto checkZone = [&](TomlTable& in, const char* key, const std::string& zone) {
+  const auto check_zone = [&](TomlTable& in, const char* key, const std::string& zone) {
     if (zone.empty() || defaults.regions.empty() || defaults.regions.contains(zone))
       return;
     std::vector<std::string> names;
@@ -85,7 +85,7 @@
   };
   if (t.node("zone"))
     p.zone = t.string("zone", "");
-  checkZone(t, "zone", p.zone);
+  check_zone(t, "zone", p.zone);
   const toml::node* n = t.node("zones");
   if (!n)
     return;
@@ -94,7 +94,7 @@
   TomlTable z(*n->as_table(), "partner.zones", mistakes, effective);
   for (const auto& [key, list] : *n->as_table()) {
     const std::string zone(key.str());
-    checkZone(z, zone.c_str(), zone);
+    check_zone(z, zone.c_str(), zone);
     for (const std::string& e : z.strings(zone.c_str())) {
       if (p.dns || std::find(p.endpoints.begin(), p.endpoints.end(), e) == p.endpoints.end())
         z.reportExpected(zone.c_str(), e + " is not one of the endpoints");
--- a/src/zones/zone_health_monitor.h
+++ b/src/zones/zone_health_monitor.h
@@ -1,9 +1,9 @@
 // Zone health as one sender observes it, from the outcomes of its attempts per destination and zone. No I/O
 // and no clock: times are microseconds of one monotonic clock. Used on the loop thread only.
 //
-// A zone fails where destinations fail in it and not in their other zones. A destination that is down
-// everywhere, or that has endpoints in one zone only, is no evidence about a zone. A sender whose own network
-// fails, or whose process was suspended, sees every zone fail and reports none as failing.
+// A zone fails where destinations fail in it and not in their zones in other regions. A destination that is
+// down everywhere, or that has endpoints in one region only, is no evidence about a zone. A sender whose own
+// network fails, or whose process was suspended, sees every zone fail and reports none as failing.
 #pragma once
 
 #include <map>
@@ -54,7 +54,7 @@
   /// Destinations whose last attempt in the zone failed, with the time at which it ended.
   std::map<std::int64_t, Micros> failingDestinations(const std::string& zone) const;
 
-  /// Drops the statistics of a zone whose phase has changed; baselines stay.
+  /// Drops the statistics of a zone whose phase, stage or probers have changed; baselines stay.
   void resetZone(const std::string& zone);
   /// Drops destinations without attempts for kStatsExpiry, and endpoints whose rate is negligible.
   void expire(Micros now);
