--- a/tests/daemon/daemon_file_test.cpp
+++ b/tests/daemon/daemon_file_test.cpp
@@ -132,7 +132,7 @@
              "[[door]]\nkind = \"http\"\nlisten = \"0.0.0.0:9\"\n[[door]]\nkind = \"resp\"\n"
              "listen = \"127.0.0.1:9\"\n",
              "f.toml:6:10: door.listen: an address of its own"}),
-    [](const auto& info) { return std::string(info.param.name); });
+    [](const auto& test_info) { return std::string(test_info.param.name); });
 
 TEST(DaemonFile, ReportsAllMistakesInOrderOfPosition) {
   const auto lines = mistakesOf("a = 1\n[[door]]\nkind = \"x\"\nlisten = 5\nidle_s = 0\n[b]\n");
